--- a/src/holder/accounts.ts
+++ b/src/holder/accounts.ts
@@ -3,85 +3,92 @@
 import type { TeamUse } from '../placement/index.js';
 import type { HeldShard } from './held.js';
 import type { JobRun } from './run.js';
-import { teamNeeds, type WaitingJob } from './teamneeds.js';
-import { teamUse } from './teamuse.js';
+import { computeTeamNeeds, type WaitingJob } from './teamneeds.js';
+import { computeTeamUse } from './teamuse.js';
 
-/** Where a limit of 0 means none, a share of nothing is written as next to nothing. */
-const LEAST = 1e-9;
+/** Stands for an empty share of a limit: a limit of 0 would mean that the team has none. */
+const NEAR_ZERO_LIMIT = 1e-9;
 
-const capped = (cap: number, limited: boolean): number => (limited ? Math.max(LEAST, cap) : 0);
+/** The limit to plan with: `cap`, but never 0 for a resource that the team has a limit on. */
+const shareLimit = (cap: number, limited: boolean): number => (limited ? Math.max(NEAR_ZERO_LIMIT, cap) : 0);
 
-/** The accounts of teams with limits in one shard: what may be in use, up to where, and what waits. */
-export class TeamAccounts {
-  /** How many tasks of unknown jobs keep teams with a limit from starting anything; 0: none. */
-  heldBackBy = 0;
+/** Tracks teams with a resource limit in one shard: what they may be using, their current limits, and what waits. */
+export class TeamQuotaTracker {
+  /** Number of tasks of unknown jobs. Above 0, they keep teams with a limit from starting anything. */
+  blockingUnknownTasks = 0;
 
   constructor(private readonly held: HeldShard) {}
 
-  /** What teams with a limit may be using now, and up to where they may. */
+  /** Possible current use of each team with a limit, against the share of its limit that this shard may use. */
   use(): ReadonlyMap<string, TeamUse> {
     const { shard, deps } = this.held;
     const limited = new Map<string, TeamUse>();
-    for (const [team, account] of this.inUse()) {
+    for (const [team, account] of this.useUnderFullLimits()) {
       const cap = deps.quotas.capOf(team, shard);
       const left = deps.quotas.leftOf(team);
       limited.set(team, {
         ...account,
-        cpusMax: capped(cap?.cpus ?? 0, account.cpusMax > 0),
-        gpusMax: capped(cap?.gpus ?? 0, account.gpusMax > 0),
+        cpusMax: shareLimit(cap?.cpus ?? 0, account.cpusMax > 0),
+        gpusMax: shareLimit(cap?.gpus ?? 0, account.gpusMax > 0),
         ...(left === null ? {} : { wholeLeft: left }),
       });
     }
     return limited;
   }
 
-  /** The same under the teams' whole limits, whatever share of them is this shard's. */
-  private inUse(): ReadonlyMap<string, TeamUse> {
+  /** The same against the teams' whole limits, regardless of this shard's share of them. */
+  private useUnderFullLimits(): ReadonlyMap<string, TeamUse> {
     const { settings } = this.held.deps;
-    const { use, unknown } = teamUse(settings.teams, this.held.machines.values(), this.held.storedSpecOf);
-    this.noteUnknown(unknown, [...use.keys()]);
+    const { use, unknown } = computeTeamUse(settings.teams, this.held.machines.values(), this.held.storedSpecOf);
+    this.noteUnknownTasks(unknown, [...use.keys()]);
     return use;
   }
 
-  private noteUnknown(unknown: number, teams: readonly string[]): void {
-    if (unknown > 0 !== this.heldBackBy > 0)
+  private noteUnknownTasks(unknown: number, teams: readonly string[]): void {
+    if (unknown > 0 !== this.blockingUnknownTasks > 0)
       this.held.deps.log.info(
         { shard: this.held.shard, teams, tasks: unknown },
         unknown > 0
-          ? 'teams with a limit start nothing: tasks of jobs that nobody knows any more may be theirs'
-          : 'teams with a limit start again',
+          ? 'teams with a limit start nothing: tasks of unknown jobs may belong to them'
+          : 'teams with a limit start tasks again: no tasks of unknown jobs are left',
       );
-    this.heldBackBy = unknown;
+    this.blockingUnknownTasks = unknown;
   }
 
-  /** What limited teams use here and wait for; `shareBound`: what the last plan could start but for a larger share. */
+  /**
+   * What teams with a limit use and wait for here. `shareBound`: what the last plan would start given a larger share.
+   */
   needs(shareBound: readonly { readonly job: JobId; readonly count: number }[]): ReadonlyMap<string, TeamNeed> {
     const wall = this.held.deps.runtime.wall();
     const waiting: WaitingJob[] = [];
     for (const { job, count } of shareBound) {
       const run = this.held.jobs.get(job);
       if (!run || run.ended || run.complete) continue;
-      const waitedMs = millis(Math.max(0, wall - run.countsFrom));
+      const waitedMs = millis(Math.max(0, wall - run.objectivesFrom));
       waiting.push({ spec: run.spec, missing: Math.min(count, run.missing), waitedMs });
     }
-    return teamNeeds(this.inUse(), waiting);
+    return computeTeamNeeds(this.useUnderFullLimits(), waiting);
   }
 
-  /** Jobs of limited teams whose account another shard keeps. */
+  /** Whether this shard has open jobs of teams with a limit whose whole limit is assigned to another shard. */
   get foreign(): boolean {
-    for (const run of this.held.jobs.values()) if (!run.ended && this.isForeign(run.spec.team)) return true;
+    for (const run of this.held.jobs.values()) if (!run.ended && this.isAccountedElsewhere(run.spec.team)) return true;
     return false;
   }
 
-  private isForeign(team: string): boolean {
+  /** Whether the team has a limit that is assigned to another shard, or to none, while limits are not shared. */
+  private isAccountedElsewhere(team: string): boolean {
     const { quotas, settings } = this.held.deps;
     return limitOf(settings.teams.get(team)) !== null && quotas.account(team) !== this.held.shard;
   }
 
-  /** Limits are no more shared: work of teams whose account is elsewhere is stopped, to go on there. */
-  foldForeign(move: (run: JobRun) => void): void {
+  /**
+   * Once limits are no longer shared, stops the work of teams whose limit is assigned elsewhere and moves the jobs
+   * there.
+   */
+  relocateForeignWork(move: (run: JobRun) => void): void {
     for (const run of this.held.jobs.values()) {
-      if (run.ended || run.complete || !this.isForeign(run.spec.team)) continue;
+      if (run.ended || run.complete || !this.isAccountedElsewhere(run.spec.team)) continue;
       for (const task of run.active.values()) this.held.stop(run, task, 'drain');
       if (run.active.size === 0) move(run);
     }
--- a/src/holder/booking.ts
+++ b/src/holder/booking.ts
@@ -5,38 +5,48 @@
 import type { ListedTask, MachineBelief } from '../workers/index.js';
 import type { ActiveTask, JobRun } from './run.js';
 
-/** What the tasks that are possibly on a machine take of it, kept until something there changes. */
+/** Resources of a machine that its possible tasks occupy. Cached until something on the machine changes. */
 export interface Booking {
-  /** What it was worked out from; another value of any of them makes it out of date. */
+  /**
+   * `generation`, `type` and `at` are the inputs: the booking is out of date when the first two differ or it is too
+   * old.
+   */
   readonly generation: number;
   readonly type: MachineType;
   readonly at: Millis;
   readonly freeCpus: number;
   readonly freeGpus: number;
   readonly freeMemoryGb: number;
-  /** False with tasks of unknown size: nothing may be put beside them. */
+  /** False when a task of unknown size may be on the machine: nothing is placed beside it. */
   readonly known: boolean;
-  /** Images being fetched. */
+  /** Number of images being fetched. */
   readonly fetching: number;
-  /** What could be stopped to make room. */
+  /** Tasks that can be preempted. */
   readonly running: readonly Stoppable[];
-  /** What arrays take: they share it among themselves, and give it up to services. */
+  /** Resources of array tasks below production priority: arrays share them, and yield them to services. */
   readonly yieldCpus: number;
   readonly yieldMemoryGb: number;
-  /** A machine with accelerators is idle while nothing uses them and only arrays fill its cpus. */
+  /**
+   * False when the machine is idle. One with accelerators is idle while none is used and only arrays occupy its CPUs.
+   */
   readonly inUse: boolean;
 }
 
-/** Work that keeps a machine with accelerators from being given back; replicas are not stopped for that. */
-export const usesAccelerators = (spec: JobSpec): boolean => spec.gpus > 0 || spec.kind === 'service';
+/**
+ * Whether a job keeps a machine with accelerators from being returned. Services do, as replicas are not stopped for
+ * that.
+ */
+export const keepsGpuMachineInUse = (spec: JobSpec): boolean => spec.gpus > 0 || spec.kind === 'service';
 
-/** What stopping a task now would lose, in seconds of its run. */
-function lossOf(spec: JobSpec, active: ActiveTask | undefined, now: Millis): number {
+/**
+ * Run time that stopping a task now would lose, in seconds: on average half a checkpoint interval if it checkpoints.
+ */
+function preemptionLossS(spec: JobSpec, active: ActiveTask | undefined, now: Millis): number {
   const ranS = active?.runningAt == null ? 0 : (now - active.runningAt) / 1000;
   return spec.checkpointS > 0 ? Math.min(ranS, spec.checkpointS / 2) : ranS;
 }
 
-/** Pure: the same belief and jobs give the same booking. */
+/** Computes the booking of a machine from the tasks that may be on it. Pure: depends on the arguments alone. */
 export function bookingOf(
   belief: MachineBelief,
   type: MachineType,
@@ -49,7 +59,7 @@
   let inUse = type.gpus > 0 ? belief.pendingStarts.size > 0 : !belief.empty;
   const fetching = new Set<string>();
   const running: Stoppable[] = [];
-  const take = (task: Pick<ListedTask, 'job' | 'index'> | null, listed: boolean, fetches: boolean): void => {
+  const deduct = (task: Pick<ListedTask, 'job' | 'index'> | null, listed: boolean, isFetching: boolean): void => {
     const run = task ? runOf(task.job) : undefined;
     if (!task || !run) {
       known = false;
@@ -61,8 +71,8 @@
     gpus -= spec.gpus;
     memoryGb -= spec.memoryGb;
     if (!listed) return;
-    if (usesAccelerators(spec)) inUse = true;
-    if (fetches) fetching.add(spec.image);
+    if (keepsGpuMachineInUse(spec)) inUse = true;
+    if (isFetching) fetching.add(spec.image);
     if (spec.kind !== 'array' && !run.ended) return;
     const active = run.active.get(task.index);
     const stoppable = {
@@ -72,7 +82,7 @@
       cpus: spec.cpus,
       gpus: spec.gpus,
       memoryGb: spec.memoryGb,
-      lossS: lossOf(spec, active, now),
+      lossS: preemptionLossS(spec, active, now),
       stopping: run.ended || active?.stopping != null,
     };
     running.push(stoppable);
@@ -82,11 +92,11 @@
     }
   };
   for (const listed of belief.tasks.values()) {
-    if (listed.state !== 'exited') take(listed, true, listed.state === 'fetching');
+    if (listed.state !== 'exited') deduct(listed, true, listed.state === 'fetching');
   }
   for (const key of belief.pendingStarts.keys()) {
     const listed = belief.tasks.get(key);
-    if (!listed || listed.state === 'exited') take(parseTaskKey(key), false, false);
+    if (!listed || listed.state === 'exited') deduct(parseTaskKey(key), false, false);
   }
   return {
     generation: belief.generation,
--- a/src/holder/departures.ts
+++ b/src/holder/departures.ts
@@ -4,18 +4,26 @@
 import { chooseRestarts, flagTasks, resourceR, type Flag } from '../speculation/index.js';
 import { JobRun, type ActiveTask } from './run.js';
 
-/** Work that can save runs until just before the end; work that cannot only if it finishes in time. */
+/**
+ * Whether a task must be stopped on a machine that is reclaimed in `leftS` seconds. A task that checkpoints runs until
+ * there is just time to save; one that does not may stay only if it is expected to finish in time. Services, and tasks
+ * that do not run yet, always have to go.
+ */
 export function mustLeave(spec: JobSpec, running: boolean, expectedLeftS: number, leftS: number): boolean {
   if (spec.kind === 'service' || !running) return true;
   if (spec.checkpointS > 0) return leftS < spec.saveS + 3;
   return expectedLeftS > leftS;
 }
 
-/** Who has to leave a machine: stragglers by the adaptive threshold, and all on a machine that is drained or taken back. */
-export class Departures {
+/**
+ * Stops tasks that have to leave their machine: stragglers, by the adaptive threshold, and all on drained or reclaimed
+ * machines.
+ */
+export class TaskEvictor {
   constructor(private readonly held: HeldShard) {}
 
-  heedNotices(now: Millis): void {
+  /** Stops tasks on drained machines and on those that the cloud provider reclaims after a notice. */
+  evictForDrainsAndNotices(now: Millis): void {
     const drained = this.held.deps.operator().drained;
     for (const machine of this.held.machines.values()) {
       const leftS = machine.noticeUntil === null ? null : (machine.noticeUntil - now) / 1000;
@@ -23,19 +31,20 @@
       if (leftS === null && !drain) continue;
       for (const { run, task } of [...machine.active.values()]) {
         if (task.stopping) continue;
-        if (drain) this.held.stopWithMates(run, task, 'drain');
-        else if (leftS !== null && this.mustLeave(run, task, leftS, now)) this.held.stopWithMates(run, task, 'notice');
+        if (drain) this.held.stopWithGang(run, task, 'drain');
+        else if (leftS !== null && this.mustStop(run, task, leftS, now)) this.held.stopWithGang(run, task, 'notice');
       }
     }
   }
 
-  private mustLeave(run: JobRun, active: ActiveTask, leftS: number, now: Millis): boolean {
+  private mustStop(run: JobRun, active: ActiveTask, leftS: number, now: Millis): boolean {
     const expectedLeftS = run.expectedRunS - (now - (active.runningAt ?? now)) / 1000;
     return mustLeave(run.spec, active.state === 'running', expectedLeftS, leftS);
   }
 
-  speculate(now: Millis): void {
-    const t = this.held.deps.operator().tunables;
+  /** Stops stragglers of array jobs so that they are started again on other machines. */
+  restartStragglers(now: Millis): void {
+    const tunables = this.held.deps.operator().tunables;
     const booked: { cpu: number; memory: number }[] = [];
     const late = new Set<string>();
     for (const machine of this.held.machines.values()) {
@@ -43,7 +52,7 @@
       if (b?.known) booked.push({ cpu: 1 - b.freeCpus / b.type.cpus, memory: 1 - b.freeMemoryGb / b.type.memoryGb });
       if (now - machine.belief.lastHeardAt > 2 * this.held.deps.settings.workers.reportMs) late.add(machine.id);
     }
-    const r = resourceR(booked, t);
+    const r = resourceR(booked, tunables);
     const flags: Flag[] = [];
     const running = new Map<string, number>();
     const wall = this.held.deps.runtime.wall();
@@ -73,20 +82,20 @@
             })),
           },
           r,
-          t,
+          tunables,
         ),
       );
     }
-    for (const flag of chooseRestarts(flags, running, late, t)) {
+    for (const flag of chooseRestarts(flags, running, late, tunables)) {
       const run = this.held.jobs.get(jobId(flag.job));
       const active = run?.active.get(flag.index);
       if (!run || !active) continue;
       run.restarted.add(flag.index);
-      run.keepOff(active.machine, now);
+      run.avoidMachine(active.machine, now);
       this.held.stop(run, active, 'straggler');
       this.held.deps.log.info(
         { job: run.id, index: flag.index, machine: flag.machine, threshold: flag.threshold, estimateS: flag.estimateS },
-        'a straggler is restarted elsewhere',
+        'stopping a straggler to restart it on another machine',
       );
     }
   }
--- a/src/holder/deps.ts
+++ b/src/holder/deps.ts
@@ -20,12 +20,14 @@
 import type { Mirror, StateClient } from '../state/index.js';
 import type { Trail } from '../trail/index.js';
 
+/** Settings that operators change at run time: straggler tunables, cordoned machines and drained machines. */
 export interface OperatorView {
   readonly tunables: Tunables;
   readonly cordoned: ReadonlySet<string>;
   readonly drained: ReadonlySet<string>;
 }
 
+/** What a shard's holder needs from the rest of the controller. */
 export interface HolderDeps {
   readonly self: NodeName;
   readonly incarnation: Incarnation;
@@ -35,57 +37,67 @@
   readonly directory: ShardDirectory;
   readonly registry: JobRegistry;
   readonly runtime: Runtime;
-  /** Connections to workers, of all shards together. */
+  /** Limits the connections to workers, over all shards of this node. */
   readonly sockets: SocketBudget;
   readonly log: Logger;
-  /** What happens here is told to those who record it; null: nobody does. */
+  /** Event trail for recorders; null when events are not recorded. */
   readonly trail: Trail | null;
+  /** Known machine types, by name. */
   types(): ReadonlyMap<string, MachineType>;
   operator(): OperatorView;
-  /** Until when at least nobody else can have taken our shards over. */
+  /** Earliest time at which another node can have claimed this node's shards. */
   heldUntil(): Millis;
-  /** True while nobody else can have claimed our shards, whatever the watch has not shown yet. */
+  /**
+   * True while no other node can have claimed this node's shards, including by a claim that the watch has not delivered
+   * yet.
+   */
   certain(): boolean;
-  /** What is known of jobs that await others. */
+  /** State of jobs that depend on other jobs. */
   readonly pipelines: Pipelines;
-  /** How the limits of teams are divided between shards. */
+  /** Division of team limits between shards. */
   readonly quotas: Quotas;
-  /** Progress of a shard's jobs is stored in one record for all of them. */
+  /** Whether the progress of all of a shard's jobs is stored in a single record. */
   grouped(): boolean;
-  /** What this node may still do as a holder, by who reassures it. */
+  /**
+   * What this node may still do as a holder: everything, only answer reports, or nothing. It depends on how long ago
+   * its lease or a majority of controllers last confirmed that no other node holds its shards.
+   */
   standing(): Standing;
-  /** How long a worker is answered that still lists tasks of jobs that are over, in milliseconds. */
+  /** How long the reports of a worker that still lists tasks of ended jobs are answered, in milliseconds. */
   readonly leftoverMs: number;
-  /** Something is to be done soon. */
+  /** Requests a reconcile round of the held shards soon. */
   nudge(): void;
-  /** A worker has answered. */
+  /** Records that a worker has answered, which shows that this node reaches workers. */
   heard(): void;
-  /** Another shard that has room for this job now. */
+  /** Finds another shard that has capacity for `count` tasks of this job now; null when there is none. */
   roomElsewhere(from: ShardName, spec: JobSpec, count: number): ShardName | null;
 }
 
+/** Dependencies between jobs, as the holder needs them. */
 export interface Pipelines {
-  /** All that the job needs is stored as done. */
+  /** Whether all jobs that this one depends on are stored as done. */
   isReady(id: JobId): boolean;
-  /** When that came to be; null: not known. */
+  /** When the last dependency was done; null when unknown. */
   readyAt(id: JobId): WallMillis | null;
-  /** What it takes over from those that need it; null: no job does. */
+  /** Priority and due time that the job inherits from its dependents; null when it has none. */
   inherited(id: JobId): Inherited | null;
 }
 
+/** Division of team limits between shards, as the holder needs it. */
 export interface Quotas {
-  /** Up to where a shard may use a team's limit now; null: the team has none. */
+  /** The part of a team's limit that a shard may use now; null when the team has no limit. */
   capOf(team: string, shard: ShardName): Amount | null;
-  /** What all shards together leave of a team's limit, while it is shared; null: it isn't. */
+  /** What all shards together leave unused of a team's limit while limits are shared; null when they are not. */
   leftOf(team: string): Amount | null;
-  /** The shard that has a team's whole limit while it isn't shared. */
+  /** The shard that is assigned a team's whole limit while limits are not shared. */
   account(team: string): ShardName | null;
-  /** What is shared is being put back. */
+  /** Whether the shares are being returned, so that each team has one shard with its whole limit again. */
   isReturning(): boolean;
-  /** Work of a limited team waits. */
+  /** Reports that work of a team with a limit waits for a larger share. */
   wanted(): void;
 }
 
+/** HTTP response to a worker's report. */
 export interface ReportReply {
   readonly status: number;
   readonly body: unknown;
--- a/src/holder/forgetting.ts
+++ b/src/holder/forgetting.ts
@@ -3,26 +3,28 @@
 import type { HeldMachine } from './machine.js';
 import type { JobRun } from './run.js';
 
-const FORGET_AT_ONCE = 6;
+const MIN_FORGET_BATCH = 6;
 
 /**
- * Exited tasks that the worker need not keep. A finished one only when that is stored. Each forgetting
- * makes the worker report at once, so it waits for a few, or for the machine to be idle.
+ * Orders for a worker to forget exited tasks. A finished task is kept until its completion is stored, and so are tasks
+ * of jobs that the holder does not manage. As each forget order makes the worker report at once, orders wait until
+ * there are several, or until the machine is idle.
  */
-export function forgets(
+export function forgetOrders(
   machine: HeldMachine,
-  runOf: (id: JobId) => JobRun | undefined,
-  untouched: (id: JobId) => boolean,
+  findRun: (id: JobId) => JobRun | undefined,
+  isUnmanaged: (id: JobId) => boolean,
 ): Order[] {
   const orders: Order[] = [];
-  let atOnce = machine.belief.empty;
+  let sendNow = machine.belief.empty;
   for (const [key, listed] of machine.belief.tasks) {
     if (listed.state !== 'exited' || machine.belief.pendingStarts.has(key)) continue;
-    const run = runOf(listed.job);
-    const kept = untouched(listed.job) || (listed.why === 'done' && run && !run.ended && !run.stored.has(listed.index));
+    const run = findRun(listed.job);
+    const kept =
+      isUnmanaged(listed.job) || (listed.why === 'done' && run && !run.ended && !run.stored.has(listed.index));
     if (!kept) orders.push({ op: 'forget', key, attempt: listed.attempt });
-    // Such a task may be started there again, which is plainest when nothing is left of it.
-    if (!kept && listed.why !== 'done') atOnce = true;
+    // An unfinished task may be started on this machine again, which is unambiguous once the old entry is gone.
+    if (!kept && listed.why !== 'done') sendNow = true;
   }
-  return atOnce || orders.length >= FORGET_AT_ONCE ? orders : [];
+  return sendNow || orders.length >= MIN_FORGET_BATCH ? orders : [];
 }
--- a/src/holder/grouping.ts
+++ b/src/holder/grouping.ts
@@ -2,37 +2,41 @@
 import { millis, type Bits, type JobId, type Millis } from '../kernel/index.js';
 import { progressKey, reread, Urgency, type Change, type Guard } from '../state/index.js';
 import type { HeldShard } from './held.js';
-import { recall } from './recall.js';
+import { applyGroupedProgress } from './recall.js';
 import type { JobRun } from './run.js';
 
-/** One record for all is a change however many there are: at a second apart it was more than thirty jobs' own take. */
-const GROUP_EVERY_MS = 2000;
-/** Larger jobs keep their progress in their own records: each write of the group holds all of it. */
-const MOST_TASKS = 4000;
-/** How much of what the state service takes as one value a group may fill. */
-const MOST_OF_A_VALUE = 0.6;
+/**
+ * Writing the group is one change however many jobs it holds. At 1000 ms it took more changes than 30 jobs' own
+ * records.
+ */
+const GROUP_WRITE_INTERVAL_MS = 2000;
+/** Larger jobs keep their progress in their own records, as each write of the group contains all of it. */
+const MAX_TASKS_PER_GROUPED_JOB = 4000;
+/** Part of the state service's value size limit that a group may fill. */
+const MAX_VALUE_FILL_RATIO = 0.6;
 
-/** What is to be written of a group, and which jobs found no room in it. */
-export interface Grouping {
+/** Progress to write as a group, and the jobs that do not fit into it and need their own record written. */
+export interface GroupPlan {
   readonly jobs: ReadonlyMap<JobId, Bits>;
   readonly own: ReadonlySet<JobRun>;
 }
 
-/** Done beyond what the job's own record says. */
-export const beyondRecord = (run: JobRun): boolean => run.done.count > run.record.done.count;
+/** Whether more tasks are done than the job's own record says. */
+export const isAheadOfRecord = (run: JobRun): boolean => run.done.count > run.record.done.count;
 
-const isNew = (run: JobRun | undefined): boolean =>
+/** Whether an open, incomplete job has done tasks that are not stored anywhere yet. */
+const hasUnstoredProgress = (run: JobRun | undefined): boolean =>
   run !== undefined && !run.ended && !run.complete && run.done.count > run.stored.count;
 
-/** Which jobs' progress goes into the group, the oldest first as far as the room lasts. Pure. */
-export function planGroup(runs: Iterable<JobRun>, mostBytes: number): Grouping {
+/** Selects the jobs whose progress goes into the group, oldest first, up to `maxBytes`. Pure. */
+export function planGroupedProgress(runs: Iterable<JobRun>, maxBytes: number): GroupPlan {
   const jobs = new Map<JobId, Bits>();
   const own = new Set<JobRun>();
   let bytes = 0;
   for (const run of runs) {
-    if (run.ended || run.complete || !beyondRecord(run)) continue;
+    if (run.ended || run.complete || !isAheadOfRecord(run)) continue;
     const size = groupedBytes(run.id, run.spec.tasks);
-    if (run.spec.tasks > MOST_TASKS || bytes + size > mostBytes) {
+    if (run.spec.tasks > MAX_TASKS_PER_GROUPED_JOB || bytes + size > maxBytes) {
       own.add(run);
       continue;
     }
@@ -43,54 +47,57 @@
 }
 
 /**
- * Progress of a shard's jobs in one record: one change every two seconds for all, where each job's own record takes one
- * for each of them. On only once every controller reads it; one that doesn't would start done tasks again, which end
- * as done at once. On the way back each job's own record is written, then the group goes.
+ * Stores the progress of a shard's jobs in one record: one change every two seconds for all jobs instead of one per
+ * job. It is enabled only once every controller reads the record: one that does not would start done tasks again, which
+ * end as done at once. When it is disabled, each job's own record is written before the group is removed.
  */
 export class GroupedProgress {
   private writing = false;
-  private triedAt: Millis;
+  private lastAttemptAt: Millis;
 
   constructor(private readonly held: HeldShard) {
-    this.triedAt = millis(held.since - GROUP_EVERY_MS);
+    this.lastAttemptAt = millis(held.since - GROUP_WRITE_INTERVAL_MS);
   }
 
   private get key(): string {
     return progressKey(this.held.shard);
   }
 
-  /** Somebody else's, late or from before a claim: what it knows to be done is done. */
+  /** Merges a group that another holder wrote, before the claim or seen late: tasks that it lists as done are done. */
   onChange(change: Change): void {
     if (change.removed || writerOf(change.value) === this.held.deps.incarnation) return;
-    for (const run of this.held.jobs.values()) recall(run, change.value);
+    for (const run of this.held.jobs.values()) applyGroupedProgress(run, change.value);
   }
 
-  /** One round: what is to be stored in the jobs' own records. */
+  /** Runs one round and returns the test for jobs whose progress has to go into their own records. */
   store(now: Millis): (run: JobRun) => boolean {
     const { deps } = this.held;
-    const due = !this.writing && now - this.triedAt >= GROUP_EVERY_MS;
+    const due = !this.writing && now - this.lastAttemptAt >= GROUP_WRITE_INTERVAL_MS;
     if (!deps.grouped()) {
-      if (due && deps.mirror.get(this.key)) this.putBack(now);
-      return beyondRecord;
+      if (due && deps.mirror.get(this.key)) this.removeGroup(now);
+      return isAheadOfRecord;
     }
-    if (!due || !this.news) return this.ownOnly;
-    const { jobs, own } = planGroup(this.held.jobs.values(), MOST_OF_A_VALUE * deps.state.limits.valueBytes);
+    if (!due || !this.anyUnstoredProgress) return this.needsOwnWrite;
+    const { jobs, own } = planGroupedProgress(
+      this.held.jobs.values(),
+      MAX_VALUE_FILL_RATIO * deps.state.limits.valueBytes,
+    );
     this.own = own;
-    // All that is new may be of jobs that found no room in it.
-    if (![...jobs.keys()].some((id) => isNew(this.held.jobs.get(id)))) return this.ownOnly;
-    this.triedAt = now;
+    // All new progress may belong to jobs that do not fit into the group.
+    if (![...jobs.keys()].some((id) => hasUnstoredProgress(this.held.jobs.get(id)))) return this.needsOwnWrite;
+    this.lastAttemptAt = now;
     void this.write(new Map([...jobs].map(([id, done]) => [id, done.copy()])));
-    return this.ownOnly;
+    return this.needsOwnWrite;
   }
 
-  /** Something is done that isn't stored yet. */
-  private get news(): boolean {
-    for (const run of this.held.jobs.values()) if (isNew(run)) return true;
+  /** Whether any job has done tasks that are not stored yet. */
+  private get anyUnstoredProgress(): boolean {
+    for (const run of this.held.jobs.values()) if (hasUnstoredProgress(run)) return true;
     return false;
   }
 
   private own: ReadonlySet<JobRun> = new Set();
-  private readonly ownOnly = (run: JobRun): boolean => this.own.has(run) && run.done.count > run.stored.count;
+  private readonly needsOwnWrite = (run: JobRun): boolean => this.own.has(run) && run.done.count > run.stored.count;
 
   private async write(jobs: ReadonlyMap<JobId, Bits>): Promise<void> {
     const { deps } = this.held;
@@ -103,10 +110,10 @@
     deps.nudge();
   }
 
-  /** Once every job's own record holds what the group does, the group is no more needed. */
-  private putBack(now: Millis): void {
-    this.triedAt = now;
-    for (const run of this.held.jobs.values()) if (!run.ended && beyondRecord(run)) return;
+  /** Removes the group once every job's own record contains the progress that the group holds. */
+  private removeGroup(now: Millis): void {
+    this.lastAttemptAt = now;
+    for (const run of this.held.jobs.values()) if (!run.ended && isAheadOfRecord(run)) return;
     void this.put([{ remove: this.key }], undefined);
   }
 
@@ -123,7 +130,8 @@
         mirror.apply({ key: this.key, value, removed: value === undefined, version: result.revision });
         return true;
       }
-      // Another's write, or our own of unknown outcome: the next one is guarded by what is there now.
+      // Another holder wrote, or an earlier write of unknown outcome was applied: the next write is guarded by the
+      // current version.
       if (result.kind !== 'refused') await reread(state, mirror, this.key);
       return false;
     } finally {
--- a/src/holder/held.ts
+++ b/src/holder/held.ts
@@ -16,44 +16,56 @@
 import { jobKey, JOBS, progressKey, reread, shardKey, type Change } from '../state/index.js';
 import { TaskIndex, encodeRedirect, encodeReply, type ListedTask, type WorkerMessage } from '../workers/index.js';
 import { bookingOf, type Booking } from './booking.js';
-import { takeExit } from './exits.js';
-import { forgets } from './forgetting.js';
-import { leftoversOn } from './leftovers.js';
+import { handleExit } from './exits.js';
+import { forgetOrders } from './forgetting.js';
+import { leftoverStops } from './leftovers.js';
 import { HeldMachine } from './machine.js';
 import { BlockMembers, type BlockSource } from './members.js';
-import { recall } from './recall.js';
+import { applyGroupedProgress } from './recall.js';
 import { JobRun, type ActiveTask, type StopReason } from './run.js';
 import type { HolderDeps, ReportReply } from './deps.js';
 
-/** How old what stopping a task would lose may be. */
+/** How long a booking is reused although the run time that a preemption would lose grows. */
 const BOOKING_VALID_MS = 1500;
 
 /**
- * A shard as its holder sees it: its open jobs and its block of machines, what is wanted of them (from the
- * state service) and what is (from the workers). Its parts, each with a duty of its own, act on the difference.
+ * State of a shard on the node that holds it: its open jobs and its block of machines, with the desired state (from the
+ * state service) and the observed state (from the workers). The components of `ShardHolder` reconcile the two.
  */
 export class HeldShard {
   readonly members: BlockMembers;
   readonly jobs = new Map<JobId, JobRun>();
-  /** Found by what is asked, not by a walk: a block holds hundreds of machines and thousands of tasks. */
+  /**
+   * Machines by task and by job. An index, because scanning a block means hundreds of machines and thousands of tasks.
+   */
   readonly taskIndex = new TaskIndex();
-  /** Jobs that are over while something of theirs may be on a machine. */
+  /** Ended jobs whose tasks may still be on a machine. */
   readonly endedRuns = new Set<JobRun>();
-  /** Jobs of this shard whose records only a later release reads: what runs of them goes on, nothing of them starts. */
+  /** Jobs whose records only a later release can read: their running tasks are left running, and none is started. */
   private readonly foreign = new Set<JobId>();
-  /** Jobs of this shard that may await others yet. After a claim their tasks may be at work: what is listed of them stays. */
+  /**
+   * Jobs whose dependencies are not known to be done. After a claim their tasks may nevertheless be running, started by
+   * the earlier holder, so listed tasks are left running.
+   */
   readonly waiting = new Set<JobId>();
-  /** Machines with something to stop. */
-  readonly toStop = new Set<HeldMachine>();
-  /** Something has changed that a plan depends on. */
+  /** Machines that list tasks which have to be stopped. */
+  readonly machinesWithStops = new Set<HeldMachine>();
+  /** Whether something that the placement plan depends on has changed since the last plan. */
   replan = true;
-  /** Machines of the block at the claim that may still run what we have not seen. */
-  readonly claimFence = new Set<MachineId>();
-  proof: Millis | null;
-  /** Earlier holders that may still command. */
+  /**
+   * Machines of the block at the claim that have not acknowledged this holder's token: they may run tasks unknown to
+   * it.
+   */
+  readonly unfencedMachines = new Set<MachineId>();
+  /** When all earlier holders were known to have stopped sending commands; null while one may still send them. */
+  predecessorsStoppedAt: Millis | null;
+  /** Earlier holders that may still command workers. */
   readonly earlier: Map<NodeName, PreviousHolder>;
+  /** Set while the shard is being released: no rounds run, and reports are refused. */
   frozen = false;
+  /** When this node took over the shard, on its own clock. */
   readonly since: Millis;
+  /** Set once this node no longer holds the shard. */
   dropped = false;
 
   constructor(
@@ -61,76 +73,83 @@
     readonly claimedAt: Revision,
     value: ShardValue,
     previous: readonly PreviousHolder[],
-    /** Machines that the holder before took for faulty. */
+    /** Machines that the previous holder considered faulty. */
     faulty: readonly MachineId[],
     readonly deps: HolderDeps,
   ) {
     const now = deps.runtime.now();
     this.since = now;
     this.earlier = new Map(previous.map((holder) => [holder.node, holder]));
-    this.proof = previous.length === 0 ? now : null;
+    this.predecessorsStoppedAt = previous.length === 0 ? now : null;
     this.members = new BlockMembers(shard, claimedAt, deps, {
-      make: (info, base) => this.makeMachine(info, base),
-      isKnown: (machine) => !this.claimFence.has(machine.id),
+      createMachine: (info, base) => this.createMachine(info, base),
+      isFenced: (machine) => !this.unfencedMachines.has(machine.id),
       release: (machine, why) => {
         this.releaseAll(machine, why);
-        this.unfence(machine.id);
-        this.toStop.delete(machine);
+        this.markFenced(machine.id);
+        this.machinesWithStops.delete(machine);
       },
     });
-    this.members.begin(value);
-    for (const id of this.machines.keys()) this.claimFence.add(id);
-    for (const id of faulty) this.machines.get(id)?.condemn(now);
+    this.members.initialize(value);
+    for (const id of this.machines.keys()) this.unfencedMachines.add(id);
+    for (const id of faulty) this.machines.get(id)?.markFaulty(now);
     for (const entry of deps.mirror.under(JOBS)) {
       this.onJob({ key: entry.key, value: entry.value, removed: false, version: entry.version });
     }
   }
 
-  /** Machines of the block, and those missing from it on which something of this shard may run. */
+  /** Machines of the block, and machines missing from it that may still run tasks of this shard. */
   get machines(): ReadonlyMap<MachineId, HeldMachine> {
     return this.members.machines;
   }
 
+  /** Whether every machine of the block at the claim is fenced or known to run nothing. */
   get fenced(): boolean {
-    return this.claimFence.size === 0;
+    return this.unfencedMachines.size === 0;
   }
 
-  /** An earlier holder is known to command no more; after the last, the workers' leases run out from here on. */
+  /**
+   * Records that an earlier holder no longer commands workers. After the last one, unanswered workers' leases count
+   * from now.
+   */
   proven(node: NodeName): void {
-    if (!this.earlier.delete(node) || this.earlier.size > 0 || this.proof !== null) return;
+    if (!this.earlier.delete(node) || this.earlier.size > 0 || this.predecessorsStoppedAt !== null) return;
     const now = this.deps.runtime.now();
-    this.proof = now;
-    for (const id of this.claimFence) this.machines.get(id)?.belief.answered(now);
-    this.deps.log.info({ shard: this.shard }, 'the earlier holder is known to have stopped');
+    this.predecessorsStoppedAt = now;
+    for (const id of this.unfencedMachines) this.machines.get(id)?.belief.answered(now);
+    this.deps.log.info({ shard: this.shard }, 'all earlier holders are known to have stopped');
   }
 
-  /** Who must be known to have stopped before a silent worker's lease can be taken for over. */
+  /** Earlier holders that must be known to have stopped before a silent worker's lease can be considered expired. */
   get doubtful(): PreviousHolder[] {
-    return this.claimFence.size > 0 ? [...this.earlier.values()] : [];
+    return this.unfencedMachines.size > 0 ? [...this.earlier.values()] : [];
   }
 
-  unfence(id: MachineId): void {
-    if (!this.claimFence.delete(id) || this.claimFence.size > 0) return;
+  /** Records that nothing unknown can run on the machine any more. */
+  markFenced(id: MachineId): void {
+    if (!this.unfencedMachines.delete(id) || this.unfencedMachines.size > 0) return;
     const afterMs = Math.round(this.deps.runtime.now() - this.since);
-    this.deps.log.info({ shard: this.shard, afterMs }, 'every machine is known: jobs from before the claim go on');
+    this.deps.log.info({ shard: this.shard, afterMs }, 'all machines are fenced: resuming jobs from before the claim');
   }
 
+  /** Closes the connections to the workers once the shard is held elsewhere. */
   drop(): void {
     this.dropped = true;
     for (const machine of this.machines.values()) machine.commandSender.close();
   }
 
+  /** Handles a change of the shard's stored machines. */
   onShard(value: ShardValue, source: BlockSource): void {
     this.members.follow(value, source);
     this.deps.nudge();
   }
 
-  private makeMachine(info: BlockMachine, base: Revision): HeldMachine {
+  private createMachine(info: BlockMachine, base: Revision): HeldMachine {
     const { runtime, log, sockets } = this.deps;
     const hooks = {
       heard: () => {
         this.deps.heard();
-        this.sync(machine);
+        this.applyWorkerState(machine);
         this.soon();
       },
       superseded: () => this.superseded(machine),
@@ -139,28 +158,29 @@
     return machine;
   }
 
-  /** Something has changed: a round follows soon, with a plan. */
+  /** Requests a reconcile round with a new placement plan. */
   soon(): void {
     this.replan = true;
     this.deps.nudge();
   }
 
-  /** What is booked there is worked out anew. */
-  private touch(machine: HeldMachine): void {
+  /** Marks the booking of a machine as out of date and requests a round. */
+  private invalidateBooking(machine: HeldMachine): void {
     if (machine.booking) machine.booking = { ...machine.booking, generation: -1 };
     this.soon();
   }
 
+  /** Handles a change of a job's record. */
   onJob(change: Change): void {
     const id = jobId(change.key.slice(JOBS.length));
     const run = this.jobs.get(id);
     if (change.removed || !isForeignJob(change.value)) this.foreign.delete(id);
-    else return this.leaveAlone(id, run);
+    else return this.ignoreUnreadableJob(id, run);
     if (change.removed || (isObject(change.value) && change.value['shard'] !== this.shard)) {
       this.onOver(id);
       return;
     }
-    // It ended in the state service, or so a peer says: whatever the watch still shows of it is older.
+    // The job has ended, as the state service or a peer reported: what the watch delivers of it is older.
     if (this.deps.registry.isOver(id)) {
       this.onOver(id);
       return;
@@ -181,34 +201,38 @@
     this.waiting.delete(id);
     const bornField = isObject(change.value) ? change.value['born'] : undefined;
     const born = typeof bornField === 'number' ? revision(bornField) : change.version;
-    const fresh = new JobRun(record, change.version, born, this.deps.runtime.now(), this.deps.pipelines);
-    recall(fresh, this.deps.mirror.get(progressKey(this.shard))?.value);
+    const newRun = new JobRun(record, change.version, born, this.deps.runtime.now(), this.deps.pipelines);
+    applyGroupedProgress(newRun, this.deps.mirror.get(progressKey(this.shard))?.value);
     if (run) this.endedRuns.delete(run);
-    this.jobs.set(id, fresh);
+    this.jobs.set(id, newRun);
     const { spec, submittedAt } = record;
     this.deps.trail?.note({ kind: 'job', job: id, spec, submittedAt, shard: this.shard });
-    // Tasks of it may be listed already: this is a takeover, or the watch was late.
+    // Workers may list tasks of this job already, after a takeover or when the watch is late.
     for (const name of this.taskIndex.machinesOfJob(id)) {
       const machine = this.machines.get(name);
       if (!machine) continue;
-      this.sync(machine);
-      this.touch(machine);
+      this.applyWorkerState(machine);
+      this.invalidateBooking(machine);
     }
     this.soon();
   }
 
-  /** All that it needs is done. */
+  /** Handles that all dependencies of a job are done. */
   onReady(id: JobId): void {
     const entry = this.waiting.has(id) ? this.deps.mirror.get(jobKey(id)) : undefined;
     if (entry) this.onJob({ key: entry.key, value: entry.value, removed: false, version: entry.version });
   }
 
-  private leaveAlone(id: JobId, run: JobRun | undefined): void {
+  /** Stops managing a job whose record is in a format of a later release. */
+  private ignoreUnreadableJob(id: JobId, run: JobRun | undefined): void {
     if (this.foreign.has(id)) return;
     this.foreign.add(id);
-    this.deps.log.error({ job: id }, "a job's record can't be read by this release: it is left alone");
+    this.deps.log.error(
+      { job: id },
+      "job record has a format that this release can't read: its tasks are left as they are",
+    );
     if (!run) return;
-    // It was ours and has been rewritten by a later release: what runs of it stays where it is.
+    // This holder managed the job until a later release rewrote its record: its running tasks are left running.
     this.jobs.delete(id);
     this.endedRuns.delete(run);
     for (const machine of this.machines.values()) {
@@ -216,52 +240,60 @@
     }
   }
 
+  /** Ends a job: its tasks are stopped, and it is removed once none of them may be on a machine. */
   endRun(run: JobRun): void {
     run.ended = true;
     this.endedRuns.add(run);
-    this.stopAll(run.id);
+    this.stopAllTasks(run.id);
   }
 
-  private stopAll(id: JobId): void {
+  private stopAllTasks(id: JobId): void {
     for (const name of this.taskIndex.machinesOfJob(id)) {
       const machine = this.machines.get(name);
       if (!machine) continue;
-      this.toStop.add(machine);
-      this.touch(machine);
+      this.machinesWithStops.add(machine);
+      this.invalidateBooking(machine);
     }
     this.soon();
   }
 
-  /** What is listed of it stays where it is: this program can't judge it, or not yet. */
-  untouched(id: JobId): boolean {
+  /**
+   * Whether listed tasks of the job are left as they are: its record is unreadable for this release, or its
+   * dependencies are not known to be done yet.
+   */
+  isUnmanaged(id: JobId): boolean {
     return this.foreign.has(id) || this.waiting.has(id);
   }
 
   /**
-   * It is over, and so it stays: no read is needed. Found by `gap`: asked for while the state service refused this node
-   * alone, the word of a peer was dropped for good.
+   * Handles that a job has ended. Ended jobs never reopen, so the record is not read again: a read that failed while
+   * the state service refused only this node would lose the peer's message for good (found by the scenario `gap`).
    */
   onOver(id: JobId): void {
     const run = this.jobs.get(id);
     if (run && !run.ended) this.endRun(run);
-    else if (this.waiting.delete(id)) this.stopAll(id);
+    else if (this.waiting.delete(id)) this.stopAllTasks(id);
   }
 
+  /**
+   * Handles a worker that has a higher token than this holder's: reads whether the shard was claimed by another node.
+   */
   private superseded(machine: HeldMachine): void {
     this.deps.log.info(
       { shard: this.shard, machine: machine.id },
-      'a worker has seen a higher token: another holder is at work',
+      'worker has seen a higher fencing token: another holder commands it',
     );
     void reread(this.deps.state, this.deps.mirror, shardKey(this.shard));
   }
 
+  /** Answers a worker's report. An answered report renews the worker's lease. */
   onReport(message: WorkerMessage): ReportReply {
     const machine = this.members.present(message.machine);
     const now = this.deps.runtime.now();
     if (!machine || this.dropped) return { status: 421, body: encodeRedirect(null) };
     if (this.frozen || (machine.leaving?.since ?? 0) < 0)
       return { status: 503, body: { error: 'the shard changes hands' } };
-    // Another may hold the shard by now: the worker's lease has to run out in time.
+    // Another node may hold the shard by now, so this worker's lease must not be renewed.
     if (this.deps.standing() === 'nothing') return { status: 503, body: { error: 'nobody is heard' } };
     const { generation, fenced } = machine.belief;
     const verdict = machine.belief.take(message, now);
@@ -277,41 +309,42 @@
         this.deps.trail?.note({ kind: 'notice', machine: machine.id, leftS: message.noticeS });
       if (generation !== machine.belief.generation || machine.lost || noticed || fenced !== machine.belief.fenced) {
         machine.lost = false;
-        this.sync(machine);
+        this.applyWorkerState(machine);
         this.soon();
       }
     } else if (message.session < machine.belief.session || !machine.belief.heard) {
       return { status: 503, body: { error: 'an old report' } };
     }
-    const leftovers = leftoversOn(this, machine, now);
+    const leftovers = leftoverStops(this, machine, now);
     if (leftovers === null) return { status: 503, body: { error: 'it lists tasks of jobs that are over' } };
     machine.belief.answered(now);
-    const forgotten = forgets(machine, this.runOf, (id) => this.untouched(id));
+    const forgotten = forgetOrders(machine, this.findRun, (id) => this.isUnmanaged(id));
     return { status: 200, body: encodeReply(machine.belief.token, [...forgotten, ...leftovers]) };
   }
 
-  /** Takes in what a worker lists: progress, exits, and tasks that an earlier holder started. */
-  private sync(machine: HeldMachine): void {
+  /** Applies the tasks that a worker lists: progress, exits, and tasks that an earlier holder started. */
+  private applyWorkerState(machine: HeldMachine): void {
     const now = this.deps.runtime.now();
-    if (machine.belief.fenced) this.unfence(machine.id);
+    if (machine.belief.fenced) this.markFenced(machine.id);
     for (const [key, listed] of machine.belief.tasks) {
       const run = this.jobs.get(listed.job);
-      if (this.untouched(listed.job)) continue;
+      if (this.isUnmanaged(listed.job)) continue;
       if (!run) {
-        // Cancelled while the earlier holder was down: nobody else will ever stop it.
-        if (listed.state !== 'exited') this.toStop.add(machine);
+        // The job was cancelled while the earlier holder was down, so only this holder can stop the task.
+        if (listed.state !== 'exited') this.machinesWithStops.add(machine);
         continue;
       }
       const active = run.active.get(listed.index);
-      const mine = active !== undefined && active.machine === machine.id && active.attempt === listed.attempt;
+      const isCurrentAttempt =
+        active !== undefined && active.machine === machine.id && active.attempt === listed.attempt;
       if (listed.state === 'exited') {
-        if (machine.seenExits.get(key) === listed.attempt) continue;
-        machine.seenExits.set(key, listed.attempt);
-        takeExit(this, machine, run, listed, mine ? active : undefined, now);
-      } else if (mine) {
-        this.onState(machine, run, active, listed, now);
+        if (machine.processedExits.get(key) === listed.attempt) continue;
+        machine.processedExits.set(key, listed.attempt);
+        handleExit(this, machine, run, listed, isCurrentAttempt ? active : undefined, now);
+      } else if (isCurrentAttempt) {
+        this.onTaskState(machine, run, active, listed, now);
       } else if (!active && !run.done.has(listed.index)) {
-        // Started by an earlier holder: it is kept running.
+        // An earlier holder started this task: it is adopted and kept running.
         const adopted: ActiveTask = {
           index: listed.index,
           machine: machine.id,
@@ -323,11 +356,13 @@
           stopping: null,
         };
         this.assign(machine, run, adopted);
-        this.onState(machine, run, adopted, listed, now);
+        this.onTaskState(machine, run, adopted, listed, now);
       }
-      if (listed.state !== 'exited' && this.graceOf(machine, listed, now) !== null) this.toStop.add(machine);
+      if (listed.state !== 'exited' && this.stopGraceS(machine, listed, now) !== null)
+        this.machinesWithStops.add(machine);
     }
-    for (const key of machine.seenExits.keys()) if (!machine.belief.tasks.has(key)) machine.seenExits.delete(key);
+    for (const key of machine.processedExits.keys())
+      if (!machine.belief.tasks.has(key)) machine.processedExits.delete(key);
     for (const key of machine.stopSentAt.keys()) if (!machine.belief.tasks.has(key)) machine.stopSentAt.delete(key);
     for (const [key, { run, task }] of machine.active) {
       if (!machine.belief.possibly(key)) this.release(machine, run, task, 'not there any more');
@@ -335,31 +370,33 @@
     this.bookingOf(machine, now);
   }
 
+  /** Tracks an attempt of a task on a machine. */
   assign(machine: HeldMachine, run: JobRun, task: ActiveTask): void {
     run.active.set(task.index, task);
     machine.active.set(taskKey(run.id, task.index), { run, task });
   }
 
-  /** What is booked on a machine; null as long as its type is unknown. */
+  /** The booking of a machine, cached; null while its type is unknown. */
   bookingOf(machine: HeldMachine, now: Millis): Booking | null {
     const type = this.deps.types().get(machine.info.type);
     if (!type) return null;
     const known = machine.booking;
     const current = known?.generation === machine.belief.generation && known.type === type;
     if (known && current && (now - known.at < BOOKING_VALID_MS || known.running.length === 0)) return known;
-    const booking = bookingOf(machine.belief, type, this.runOf, now);
+    const booking = bookingOf(machine.belief, type, this.findRun, now);
     if (booking.inUse || known?.inUse === true) machine.emptySince = now;
     machine.booking = booking;
     return booking;
   }
 
-  private readonly runOf = (id: JobId): JobRun | undefined => this.jobs.get(id);
+  private readonly findRun = (id: JobId): JobRun | undefined => this.jobs.get(id);
 
+  /** Whether tasks keep the machine from being idle; see `Booking.inUse`. */
   inUse(machine: HeldMachine): boolean {
     return this.bookingOf(machine, this.deps.runtime.now())?.inUse ?? !machine.belief.empty;
   }
 
-  private onState(machine: HeldMachine, run: JobRun, active: ActiveTask, listed: ListedTask, now: Millis): void {
+  private onTaskState(machine: HeldMachine, run: JobRun, active: ActiveTask, listed: ListedTask, now: Millis): void {
     if (active.state !== listed.state) {
       active.state = listed.state;
       if (listed.state === 'running') {
@@ -373,6 +410,7 @@
     }
   }
 
+  /** Records that an attempt is no longer on its machine. */
   release(machine: HeldMachine, run: JobRun, active: ActiveTask, why: string): void {
     run.noteRunning(active, this.deps.runtime.now());
     run.active.delete(active.index);
@@ -380,18 +418,21 @@
     const { index, attempt } = active;
     const ran = active.runningAt !== null;
     this.deps.trail?.note({ kind: 'left', job: run.id, index, attempt, machine: machine.id, why, ran });
-    this.deps.log.debug({ job: run.id, index: active.index, machine: machine.id, why }, 'a task is off its machine');
+    this.deps.log.debug({ job: run.id, index: active.index, machine: machine.id, why }, 'task left its machine');
     if (run.spec.kind === 'gang' && !run.done.has(active.index)) {
-      // The attempt is broken: the rest leaves by itself or is told to, then all start again.
+      // A gang's attempt fails as a whole: running tasks exit by themselves and the others are stopped. Then all start
+      // again.
       for (const other of run.active.values()) if (other.state !== 'running') this.stop(run, other, 'regroup');
     }
     this.soon();
   }
 
+  /** Records that none of the tracked tasks is on the machine any more. */
   releaseAll(machine: HeldMachine, why: string): void {
     for (const { run, task } of [...machine.active.values()]) this.release(machine, run, task, why);
   }
 
+  /** Marks a task to be stopped; the next round sends the order. */
   stop(run: JobRun, active: ActiveTask, reason: StopReason, graceS = run.graceS): void {
     if (active.stopping) return;
     if (reason === 'cancelled' || reason === 'regroup') graceS = 0;
@@ -400,33 +441,31 @@
     this.deps.trail?.note({ kind: 'stopping', job: run.id, index, attempt, machine: active.machine, why: reason });
     const machine = this.machines.get(active.machine);
     if (machine) {
-      this.toStop.add(machine);
-      this.touch(machine);
+      this.machinesWithStops.add(machine);
+      this.invalidateBooking(machine);
     }
-    this.deps.log.debug(
-      { job: run.id, index: active.index, machine: active.machine, reason },
-      'a task is to be stopped',
-    );
+    this.deps.log.debug({ job: run.id, index: active.index, machine: active.machine, reason }, 'stopping task');
   }
 
-  /** Tasks of a gang are stopped together or the saving fails. */
-  stopWithMates(run: JobRun, active: ActiveTask, reason: StopReason): void {
+  /** Stops a task and, for a gang, all other tasks with it: a gang can save its state only as a whole. */
+  stopWithGang(run: JobRun, active: ActiveTask, reason: StopReason): void {
     if (run.spec.kind !== 'gang') this.stop(run, active, reason);
-    else for (const mate of run.active.values()) this.stop(run, mate, reason);
+    else for (const member of run.active.values()) this.stop(run, member, reason);
   }
 
+  /** The spec of a job that this holder manages. */
   readonly specOf = (id: JobId): JobSpec | null => this.jobs.get(id)?.spec ?? null;
 
-  /** The same for any job that is stored as open, of whatever shard. */
+  /** The spec of any job that is stored as open, in any shard. */
   readonly storedSpecOf = (id: JobId): JobSpec | null => {
     const stored = this.jobs.has(id) ? undefined : this.deps.mirror.get(jobKey(id));
     return stored ? decodeSpec(stored.value) : this.specOf(id);
   };
 
-  /** How long a task may save before it is gone, or null when it may stay. */
-  graceOf(machine: HeldMachine, listed: ListedTask, now: Millis): number | null {
+  /** Grace period, in seconds, with which a listed task has to be stopped; null when it may stay. */
+  stopGraceS(machine: HeldMachine, listed: ListedTask, now: Millis): number | null {
     const run = this.jobs.get(listed.job);
-    if (this.untouched(listed.job)) return null;
+    if (this.isUnmanaged(listed.job)) return null;
     if (!run || run.ended || run.done.has(listed.index)) return 0;
     const active = run.active.get(listed.index);
     if (!active || active.machine !== machine.id || active.attempt !== listed.attempt) return 0;
@@ -436,6 +475,7 @@
     return now - since > limit ? 0 : graceS;
   }
 
+  /** Counts of running and done tasks of an open job; null when this holder has no such job. */
   runningOf(id: JobId): { running: number; done: number } | null {
     const run = this.jobs.get(id);
     return run && !run.ended ? { running: run.runningCount, done: run.done.count } : null;
--- a/src/holder/holder.ts
+++ b/src/holder/holder.ts
@@ -1,9 +1,9 @@
-import { TeamAccounts } from './accounts.js';
-import { Departures } from './departures.js';
+import { TeamQuotaTracker } from './accounts.js';
+import { TaskEvictor } from './departures.js';
 import { HeldShard } from './held.js';
-import { missingUntil } from './members.js';
+import { missingLeaseExpiresAt } from './members.js';
 import { Moves } from './moves.js';
-import { Starts } from './starts.js';
+import { TaskPlacer } from './starts.js';
 import { RecordStore } from './store.js';
 import {
   jobId,
@@ -18,75 +18,82 @@
 import type { MachineSummary, ShardSummary } from '../peers/index.js';
 import type { Order } from '../workers/index.js';
 import type { TeamNeed } from '../quota/index.js';
-import { usesAccelerators } from './booking.js';
+import { keepsGpuMachineInUse } from './booking.js';
 import type { HeldMachine } from './machine.js';
 
-/** What depends on time alone is looked at this often, whatever is reported in between. */
-const SWEEP_EVERY_MS = 250;
-/** After a claim: of so many machines one may be silent, through so many tries, for so long. */
-const FEW_SILENT = 10;
-const SILENT_TRIES = 3;
-const SILENT_FOR_MS = 3000;
-const STOP_AGAIN_MS = 2500;
+/** Interval of the checks that depend on time alone, such as lease expiry, regardless of the reports in between. */
+const SWEEP_INTERVAL_MS = 250;
+/**
+ * After a claim, fewer than one unfenced machine in this many may be given up before the workers' lease time is over.
+ */
+const MIN_MACHINES_PER_SILENT = 10;
+/** Failed commands, and time since the claim, after which such a machine is given up. */
+const SILENT_AFTER_FAILED_COMMANDS = 3;
+const SILENT_AFTER_MS = 3000;
+const STOP_RESEND_INTERVAL_MS = 2500;
 
 /**
- * Holds one shard: each round works out the difference between what is wanted and what is. A restart and a
- * takeover are the same: claim, fence every machine, go on.
+ * Holds one shard: each round reconciles the desired and the observed state. A restart and a takeover follow the same
+ * steps: claim the shard, fence every machine, resume.
  */
 export class ShardHolder extends HeldShard {
-  private sweptAt: Millis;
-  private lastSpeculation: Millis;
+  private lastSweepAt: Millis;
+  private lastStragglerCheckAt: Millis;
   private readonly store: RecordStore;
-  private readonly departures: Departures;
+  private readonly evictor: TaskEvictor;
   private readonly moves: Moves;
-  private readonly starts: Starts;
-  private readonly accounts: TeamAccounts;
+  private readonly starts: TaskPlacer;
+  private readonly teamQuotas: TeamQuotaTracker;
 
-  constructor(...made: ConstructorParameters<typeof HeldShard>) {
-    super(...made);
-    this.lastSpeculation = this.since;
-    this.sweptAt = millis(this.since - SWEEP_EVERY_MS);
+  constructor(...args: ConstructorParameters<typeof HeldShard>) {
+    super(...args);
+    this.lastStragglerCheckAt = this.since;
+    this.lastSweepAt = millis(this.since - SWEEP_INTERVAL_MS);
     this.store = new RecordStore(this);
-    this.departures = new Departures(this);
+    this.evictor = new TaskEvictor(this);
     this.moves = new Moves(this, this.store);
-    this.accounts = new TeamAccounts(this);
-    this.starts = new Starts(this, this.moves, this.accounts);
+    this.teamQuotas = new TeamQuotaTracker(this);
+    this.starts = new TaskPlacer(this, this.moves, this.teamQuotas);
   }
 
-  /** The leader wants this machine elsewhere, or back; it leaves once it is empty. */
+  /**
+   * Starts to move a machine to another shard, or to return it (`to` is null), as the leader asks. It leaves once
+   * empty.
+   */
   transfer(id: MachineId, to: ShardName | null): void {
     this.moves.transfer(id, to);
   }
 
-  /** May the shard change hands without anybody noticing: everything in it is known and heard? */
+  /** Whether the shard can change holders without disruption; see `Moves.quiet`. */
   get quiet(): boolean {
     return this.moves.quiet;
   }
 
-  /** What is stored as done of this shard's jobs has changed. */
+  /** Handles a change of the record that stores the progress of this shard's jobs as a group. */
   onProgress(change: Change): void {
     this.store.grouped.onChange(change);
   }
 
-  /** Gives the shard up by a write; see `Moves`. */
+  /** Releases the shard by a write; see `Moves.releaseShard`. */
   giveUp(why: string, to: NodeName | null = null): Promise<boolean> {
-    return this.moves.giveUp(why, to);
+    return this.moves.releaseShard(why, to);
   }
 
+  /** Runs one reconcile round. */
   round(): void {
     if (this.dropped || this.frozen) return;
     const now = this.deps.runtime.now();
-    const sweep = now - this.sweptAt >= SWEEP_EVERY_MS;
+    const sweep = now - this.lastSweepAt >= SWEEP_INTERVAL_MS;
     if (sweep) {
-      this.sweptAt = now;
+      this.lastSweepAt = now;
       this.expireLeases(now);
-      this.departures.heedNotices(now);
+      this.evictor.evictForDrainsAndNotices(now);
     }
-    this.prune();
+    this.pruneEndedRuns();
     this.store.store(now);
-    if (now - this.lastSpeculation >= 1000) {
-      this.lastSpeculation = now;
-      this.departures.speculate(now);
+    if (now - this.lastStragglerCheckAt >= 1000) {
+      this.lastStragglerCheckAt = now;
+      this.evictor.restartStragglers(now);
     }
     const orders = new Map<MachineId, Order[]>();
     this.collectStops(orders, now);
@@ -95,24 +102,29 @@
       this.starts.place(orders, now);
     }
     if (sweep) {
-      if (this.deps.quotas.isReturning()) this.accounts.foldForeign((run) => this.moves.moveSoon(run, now));
-      for (const [id, machine] of this.machines) this.deliver(machine, orders.get(id) ?? [], now);
-      this.moves.letGo(now);
+      if (this.deps.quotas.isReturning())
+        this.teamQuotas.relocateForeignWork((run) => this.moves.moveJobIfDue(run, now));
+      for (const [id, machine] of this.machines) this.sendOrders(machine, orders.get(id) ?? [], now);
+      this.moves.transferEmptyMachines(now);
       return;
     }
     for (const [id, list] of orders) {
       const machine = this.machines.get(id);
-      if (machine) this.deliver(machine, list, now);
+      if (machine) this.sendOrders(machine, list, now);
     }
   }
 
+  /** Removes the tasks of workers whose lease has expired. */
   private expireLeases(now: Millis): void {
     const { leaseMs, reportMs } = this.deps.settings.workers;
     for (const machine of this.machines.values()) {
       if (machine.lost) continue;
-      if (this.claimFence.has(machine.id) && this.proof === null) continue;
-      const at = machine.missing ? missingUntil(machine, leaseMs, reportMs) : machine.belief.expiresAt(leaseMs);
-      // Only our own answers can have kept the worker alive, as long as nobody can have replaced us.
+      if (this.unfencedMachines.has(machine.id) && this.predecessorsStoppedAt === null) continue;
+      const at = machine.missing
+        ? missingLeaseExpiresAt(machine, leaseMs, reportMs)
+        : machine.belief.expiresAt(leaseMs);
+      // Only this holder's answers can have renewed the worker's lease if no other node can have claimed the shard
+      // until `at`.
       if (now < at || this.deps.heldUntil() < at) continue;
       if (machine.missing) {
         this.members.expire(machine);
@@ -120,15 +132,15 @@
       }
       machine.lost = true;
       machine.belief.expire();
-      this.unfence(machine.id);
+      this.markFenced(machine.id);
       this.deps.trail?.note({ kind: 'lost', machine: machine.id });
-      this.deps.log.info({ machine: machine.id }, 'a worker is silent and its lease is over');
+      this.deps.log.info({ machine: machine.id }, 'worker lost: it is silent and its lease has expired');
       this.releaseAll(machine, 'lease over');
     }
   }
 
-  /** Ended jobs stay until nothing of theirs is on a machine. */
-  private prune(): void {
+  /** Removes ended jobs once none of their tasks may be on a machine. */
+  private pruneEndedRuns(): void {
     for (const run of this.endedRuns) {
       for (const active of run.active.values()) this.stop(run, active, 'cancelled');
       if (run.active.size > 0 || this.taskIndex.names(run.id)) continue;
@@ -137,27 +149,29 @@
     }
   }
 
+  /** Adds stop orders for listed tasks that have to stop, repeated until the worker lists them as exited. */
   private collectStops(orders: Map<MachineId, Order[]>, now: Millis): void {
-    for (const machine of this.toStop) {
+    for (const machine of this.machinesWithStops) {
       const list: Order[] = [];
       let any = false;
       for (const [key, listed] of machine.belief.tasks) {
         if (listed.state === 'exited') continue;
-        const grace = this.graceOf(machine, listed, now);
+        const grace = this.stopGraceS(machine, listed, now);
         if (grace === null) continue;
         any = true;
         const sentAt = machine.stopSentAt.get(key);
         const saving = listed.state === 'saving' && grace > 0;
-        if (saving || (sentAt !== undefined && now - sentAt < STOP_AGAIN_MS)) continue;
+        if (saving || (sentAt !== undefined && now - sentAt < STOP_RESEND_INTERVAL_MS)) continue;
         list.push({ op: 'stop', key, attempt: listed.attempt, graceS: grace });
       }
       if (list.length > 0) orders.set(machine.id, list);
-      // What is still on its way there shows in a later message, which puts the machine back in.
-      else if (!any) this.toStop.delete(machine);
+      // A start that is still in flight shows up in a later message, which adds the machine again.
+      else if (!any) this.machinesWithStops.delete(machine);
     }
   }
 
-  private deliver(machine: HeldMachine, orders: Order[], now: Millis): void {
+  /** Sends orders to a worker, or an empty command as a probe when it is unfenced, doubted or silent. */
+  private sendOrders(machine: HeldMachine, orders: Order[], now: Millis): void {
     const { belief, commandSender } = machine;
     if (machine.missing) return;
     const silent = now - belief.lastHeardAt > 1.4 * this.deps.settings.workers.reportMs;
@@ -167,58 +181,63 @@
       if (order.op === 'start') belief.noteStart(order.key, order.attempt);
       else machine.stopSentAt.set(order.key, now);
     }
-    this.tellOrders(machine, orders);
-    const startsUse = (o: Order): boolean => {
+    this.logOrders(machine, orders);
+    const startsKeepInUse = (o: Order): boolean => {
       if (o.op !== 'start') return false;
       const gpus = this.deps.types().get(machine.info.type)?.gpus ?? 0;
       const spec = this.specOf(parseTaskKey(o.key)?.job ?? jobId(''));
-      return gpus <= 0 || !spec || usesAccelerators(spec);
+      return gpus <= 0 || !spec || keepsGpuMachineInUse(spec);
     };
-    if (orders.some(startsUse)) machine.emptySince = now;
+    if (orders.some(startsKeepInUse)) machine.emptySince = now;
     void commandSender.send(orders);
   }
 
-  /** Starts and stops, with what allows them: the claim, the token, and how much of the state service was seen. */
-  private tellOrders(machine: HeldMachine, orders: readonly Order[]): void {
+  /** Logs orders together with the authority behind them: the claim, the token and the state revision seen. */
+  private logOrders(machine: HeldMachine, orders: readonly Order[]): void {
     const { deps, shard, claimedAt } = this;
     if (orders.length === 0 || !deps.log.isLevelEnabled('debug')) return;
     const named = orders.map(({ op, key, attempt }) => ({ op, key, attempt }));
     const { token, session } = machine.belief;
-    const rights = { claimedAt, standing: deps.standing(), seenUpTo: deps.mirror.seenUpTo };
-    deps.log.debug({ shard, machine: machine.id, token, session, ...rights, orders: named }, 'orders go to a worker');
+    const authority = { claimedAt, standing: deps.standing(), seenUpTo: deps.mirror.seenUpTo };
+    deps.log.debug(
+      { shard, machine: machine.id, token, session, ...authority, orders: named },
+      'sending orders to worker',
+    );
   }
 
   /**
-   * After a claim every old job waits for the last machine to acknowledge. When nearly all have, the few that
-   * don't answer are dead rather than slow: losing them costs less than keeping everybody waiting.
+   * Whether an unfenced machine is given up. After a claim, jobs from before it wait until the last machine has
+   * acknowledged the token. When nearly all have, the few that do not answer are dead rather than slow, and losing them
+   * costs less than making all these jobs wait.
    */
-  private givenUpOn(machine: HeldMachine, now: Millis): boolean {
+  private isGivenUp(machine: HeldMachine, now: Millis): boolean {
     const heldMs = now - this.since;
     if (heldMs > this.deps.settings.workers.leaseMs + 2000) return true;
-    const few = this.claimFence.size * FEW_SILENT < this.machines.size;
-    return few && machine.commandSender.failures >= SILENT_TRIES && heldMs > SILENT_FOR_MS;
+    const few = this.unfencedMachines.size * MIN_MACHINES_PER_SILENT < this.machines.size;
+    return few && machine.commandSender.failures >= SILENT_AFTER_FAILED_COMMANDS && heldMs > SILENT_AFTER_MS;
   }
 
-  /** Tasks of jobs that nobody knows any more, which keep teams with a limit from starting anything. */
+  /** Number of tasks of unknown jobs. Above 0, they keep teams with a limit from starting anything. */
   get heldBackBy(): number {
-    return this.accounts.heldBackBy;
+    return this.teamQuotas.blockingUnknownTasks;
   }
 
-  /** Everything that may be on its machines is known, and it is not changing hands. */
+  /** Whether all tasks that may be on the machines are known and the shard is not changing holders. */
   get settled(): boolean {
     return this.fenced && !this.frozen && !this.dropped && this.deps.certain();
   }
 
-  /** What limited teams use here and wait for. */
+  /** What teams with a limit use and wait for in this shard. */
   teamNeeds(): ReadonlyMap<string, TeamNeed> {
-    return this.accounts.needs(this.starts.shareBound);
+    return this.teamQuotas.needs(this.starts.shareBound);
   }
 
-  /** It has work of limited teams whose account another shard keeps. */
+  /** Whether it has open jobs of teams with a limit whose whole limit is assigned to another shard. */
   get hasForeignWork(): boolean {
-    return this.accounts.foreign;
+    return this.teamQuotas.foreign;
   }
 
+  /** Summary of the shard's machines and demand for the peers and the leader. */
   summary(): ShardSummary {
     const now = this.deps.runtime.now();
     const machines: MachineSummary[] = [];
@@ -233,21 +252,26 @@
     for (const machine of present) {
       const booking = this.bookingOf(machine, now);
       const silentMs = now - machine.belief.lastHeardAt;
-      // Not acknowledged since the claim: it may run what was cancelled, and old jobs wait for it.
-      const unknown = this.claimFence.has(machine.id) && this.givenUpOn(machine, now);
-      // Silent for reports and for commands while others of the block are heard: not our own network.
-      const dead =
+      // It has not acknowledged the token since the claim: it may run cancelled tasks, and jobs from before the claim
+      // wait for it.
+      const unknown = this.unfencedMachines.has(machine.id) && this.isGivenUp(machine, now);
+      // It neither reports nor answers commands. As most other machines of the block do, this node's own network is not
+      // the cause.
+      const unreachable =
         machine.commandSender.failures >= 2 && silentMs > 2 * reportMs + 1500 && heardLately * 2 > present.length;
-      // It answers commands and reaches no controller, while others of the block do: no lease of its lasts.
+      // It answers commands but its reports reach no controller, while those of most other machines do: its leases
+      // always expire.
       const unreportedMs = now - machine.belief.lastReportAt;
       const answers = silentMs < 2.5 * reportMs;
-      const mute = answers && unreportedMs > leaseMs + 2 * reportMs && reportedLately * 2 > present.length;
-      if (mute !== machine.mute && (mute || unreportedMs < 2.5 * reportMs)) {
-        machine.mute = mute;
-        const what = mute ? 'a machine answers commands and reaches no controller: it is given up' : 'it reports again';
+      const unreporting = answers && unreportedMs > leaseMs + 2 * reportMs && reportedLately * 2 > present.length;
+      if (unreporting !== machine.unreporting && (unreporting || unreportedMs < 2.5 * reportMs)) {
+        machine.unreporting = unreporting;
+        const what = unreporting
+          ? 'machine answers commands but reaches no controller with its reports: giving it up'
+          : 'machine reports again';
         this.deps.log.info({ machine: machine.id }, what);
       }
-      const lost = machine.lost || dead || mute || unknown;
+      const lost = machine.lost || unreachable || unreporting || unknown;
       if (lost) machine.givenUpAt = now;
       machines.push({
         id: machine.id,
@@ -261,8 +285,9 @@
         yieldMemoryGb: booking?.yieldMemoryGb ?? 0,
         idleMs: this.inUse(machine) ? 0 : now - machine.emptySince,
         empty: machine.belief.empty,
-        // Others send jobs and machines by this: what is only said to be usable makes jobs go in circles.
-        usable: booking?.known === true && this.starts.sound(machine, now),
+        // Peers move jobs and machines based on this. A machine that is reported usable but is not makes jobs move in
+        // circles.
+        usable: booking?.known === true && this.starts.acceptsTasks(machine, now),
         lost,
         faulty: machine.faulty(now),
         images: machine.imageList,
--- a/src/holder/index.ts
+++ b/src/holder/index.ts
@@ -4,5 +4,5 @@
 export { JobRun } from './run.js';
 export { mustLeave } from './departures.js';
 export type { BlockSource } from './members.js';
-export { planGroup } from './grouping.js';
-export { teamUse, type TeamAccount } from './teamuse.js';
+export { planGroupedProgress } from './grouping.js';
+export { computeTeamUse, type LimitedTeamUse } from './teamuse.js';
--- a/src/holder/leftovers.ts
+++ b/src/holder/leftovers.ts
@@ -4,34 +4,35 @@
 import type { JobRun } from './run.js';
 import type { HeldMachine } from './machine.js';
 
-/** What is known of a shard's jobs and of what has to be stopped there. */
+/** The parts of a shard that decide which listed tasks are left over from ended jobs. */
 export interface LeftoverContext {
   readonly deps: Pick<HolderDeps, 'log' | 'leftoverMs'>;
   readonly jobs: ReadonlyMap<JobId, JobRun>;
-  readonly toStop: ReadonlySet<HeldMachine>;
-  /** What is listed of it stays where it is. */
-  untouched(id: JobId): boolean;
+  readonly machinesWithStops: ReadonlySet<HeldMachine>;
+  /** Whether listed tasks of the job are left as they are. */
+  isUnmanaged(id: JobId): boolean;
 }
 
 /**
- * Stops of what a worker still lists of jobs that are over: the answer to its report carries them, too, for a command
- * may not reach it. null: it has gone on for so long that its lease has to run out instead.
+ * Stop orders for tasks of ended jobs that a worker still lists. They are also sent in the answer to its report,
+ * because commands may not reach the worker. Returns null when it has listed such tasks for longer than `leftoverMs`:
+ * its report is then not answered, so that its lease expires and it kills its tasks.
  */
-export function leftoversOn(held: LeftoverContext, machine: HeldMachine, now: Millis): Order[] | null {
+export function leftoverStops(held: LeftoverContext, machine: HeldMachine, now: Millis): Order[] | null {
   const orders: Order[] = [];
-  for (const [key, { job, attempt, state }] of held.toStop.has(machine) ? machine.belief.tasks : []) {
-    if (state !== 'exited' && !held.untouched(job) && held.jobs.get(job)?.ended !== false)
+  for (const [key, { job, attempt, state }] of held.machinesWithStops.has(machine) ? machine.belief.tasks : []) {
+    if (state !== 'exited' && !held.isUnmanaged(job) && held.jobs.get(job)?.ended !== false)
       orders.push({ op: 'stop', key, attempt, graceS: 0 });
   }
   if (orders.length === 0) machine.leftoversSince = null;
   else machine.leftoversSince ??= now;
   const { deps } = held;
   if (machine.leftoversSince === null || now - machine.leftoversSince <= deps.leftoverMs) return orders;
-  if (!machine.leftoversTold)
+  if (!machine.leftoversLogged)
     deps.log.warn(
       { machine: machine.id, tasks: orders.length },
-      'a worker goes on with tasks of jobs that are over: its lease has to run out',
+      'worker keeps running tasks of ended jobs: letting its lease expire',
     );
-  machine.leftoversTold = true;
+  machine.leftoversLogged = true;
   return null;
 }
--- a/src/holder/machine.ts
+++ b/src/holder/machine.ts
@@ -5,45 +5,54 @@
 import type { Booking } from './booking.js';
 import type { ActiveTask, JobRun } from './run.js';
 
+/** A task failure on the machine. */
 interface Failure {
   readonly job: JobId;
   readonly at: Millis;
 }
 
+/** Older failures no longer count. */
 const FAILURE_MEMORY_MS = 180_000;
 
-/** One machine of the block, as its holder sees it. */
+/** State of one machine of the block on the node that holds the shard. */
 export class HeldMachine {
   readonly belief: MachineBelief;
   readonly commandSender: CommandSender;
-  /** The tasks that this holder has put here or found here. */
+  /** Tasks that this holder has started or adopted here. */
   readonly active = new Map<TaskKey, { readonly run: JobRun; readonly task: ActiveTask }>();
-  /** What is booked here, as of the last change; see `booking.ts`. */
+  /** Cached resource booking; see `booking.ts`. */
   booking: Booking | null = null;
-  /** How the last plan saw it. */
+  /** View that the last placement plan used, and the booking that it was made from. */
   view: { readonly booking: Booking; readonly view: MachineView } | null = null;
-  /** Exits that have been taken in, until the worker no longer lists them. */
-  readonly seenExits = new Map<TaskKey, number>();
+  /** Attempts whose exit has been handled, until the worker no longer lists them. */
+  readonly processedExits = new Map<TaskKey, number>();
+  /** When a stop order was last sent, by task. */
   readonly stopSentAt = new Map<TaskKey, Millis>();
   private images: string[] = [];
   private failures: Failure[] = [];
   private slowness = 1;
   private runs = 0;
+  /** When the cloud provider reclaims the machine, if it has given notice. */
   noticeUntil: Millis | null = null;
-  coolUntil: Millis;
+  /** No tasks are placed here before this time, after the worker refused one as full or busy. */
+  cooldownUntil: Millis;
+  /** Since when it is idle; see `Booking.inUse`. */
   emptySince: Millis;
-  /** It answers commands, and none of its reports has come for longer than a lease. */
-  mute = false;
-  /** The lease is over and the worker has not come back. */
+  /** It answers commands, but no report of it has arrived for longer than a lease. */
+  unreporting = false;
+  /** Its lease has expired and the worker has not reported since. */
   lost = false;
-  /** Since when it is known to list tasks of jobs that are over; null: it doesn't. */
+  /** Since when it has listed tasks of ended jobs; null when it lists none. */
   leftoversSince: Millis | null = null;
-  leftoversTold = false;
-  /** When it was last told to the leader to be deleted. */
+  leftoversLogged = false;
+  /** When it was last reported as lost, which makes the leader delete it. */
   givenUpAt: Millis | null = null;
-  /** It is not in the block any more, and something of this shard may run there. */
+  /** It is no longer in the block, but tasks of this shard may still run on it. */
   missing = false;
-  /** Asked to leave the block: no new tasks. */
+  /**
+   * Set when it is to leave the block (`to` null: to be returned): it gets no new tasks. `since` is -1 once that is
+   * being written.
+   */
   leaving: { readonly to: string | null; readonly since: Millis } | null = null;
 
   constructor(
@@ -59,7 +68,7 @@
     this.belief = new MachineBelief(base, now, { mentions, machine: info.id });
     this.commandSender = new CommandSender(info.id, this.belief, runtime, log, hooks, sockets);
     this.commandSender.setAddress(info.address);
-    this.coolUntil = now;
+    this.cooldownUntil = now;
     this.emptySince = now;
   }
 
@@ -67,7 +76,7 @@
     return this.info.id;
   }
 
-  /** True when the machine is not known to have had it. */
+  /** Records that the machine has an image. Returns true when that was not known before. */
   noteImage(image: string): boolean {
     if (image === '' || this.images[0] === image) return false;
     const fresh = !this.images.includes(image);
@@ -75,38 +84,46 @@
     return fresh;
   }
 
+  /** The last images used here, most recent first. */
   get imageList(): readonly string[] {
     return this.images;
   }
 
+  /** Records that a task of the job failed here. */
   noteFailure(job: JobId, now: Millis): void {
     this.failures.push({ job, at: now });
     if (this.failures.length > 50) this.failures.shift();
   }
 
-  /** The job was at fault. */
-  absolve(job: JobId): void {
+  /** Discards the failures of a job that turned out to be at fault itself. */
+  clearFailuresOf(job: JobId): void {
     this.failures = this.failures.filter((failure) => failure.job !== job);
   }
 
-  /** Its last holder took it for faulty; that is forgotten like failures of our own. */
-  condemn(now: Millis): void {
-    for (const nth of ['1', '2', '3']) this.failures.push({ job: `earlier-${nth}` as JobId, at: now });
+  /**
+   * Takes over the previous holder's verdict that the machine is faulty. It expires like failures seen by this holder.
+   */
+  markFaulty(now: Millis): void {
+    for (const n of ['1', '2', '3']) this.failures.push({ job: `earlier-${n}` as JobId, at: now });
   }
 
-  /** A completed task's run time against its siblings'. */
+  /** Records a completed task's run time relative to the median of its job. */
   noteRun(ratio: number): void {
     this.runs += 1;
     this.slowness += (ratio - this.slowness) / Math.min(this.runs + 1, 5);
     if (ratio < 1.5) this.failures.shift();
   }
 
+  /** Number of recent failures, plus one if tasks run slowly here; 0 for a healthy machine. */
   suspicion(now: Millis): number {
     const recent = this.failures.length === 0 ? 0 : this.failures.filter((f) => now - f.at < FAILURE_MEMORY_MS).length;
     return recent + (this.runs >= 3 && this.slowness > 1.5 ? 1 : 0);
   }
 
-  /** Fails the tasks of several jobs, or keeps failing, or is slow beyond doubt. */
+  /**
+   * Whether the machine is at fault: tasks of several jobs fail, many tasks fail, or tasks take more than twice the
+   * usual time.
+   */
   faulty(now: Millis): boolean {
     if (this.runs >= 4 && this.slowness > 2) return true;
     if (this.failures.length === 0) return false;
--- a/src/holder/members.ts
+++ b/src/holder/members.ts
@@ -3,115 +3,125 @@
 import type { HolderDeps } from './deps.js';
 import type { HeldMachine } from './machine.js';
 
-/** A machine that this holder has given up is deleted and taken out of the block within this time. */
-const GIVEN_UP_FOR_MS = 30_000;
-/** Reports by which whoever has a missing machine now has stopped what it doesn't know there. */
-const REPORTS_TO_STOP = 2;
-/** A log line names so many machines at most. */
-const NAMED_IN_LOG = 20;
-
-/** How it is known that nothing of this shard runs on a machine that is not in the block any more. */
+/** Time within which a machine that this holder has given up is deleted and removed from the block. */
+const GIVEN_UP_VALID_MS = 30_000;
+/**
+ * Report intervals after which the current holder of a missing machine has stopped the tasks there that it doesn't
+ * know.
+ */
+const REPORTS_UNTIL_STOPPED = 2;
+/** Maximum number of machines named in a log line. */
+const MAX_MACHINES_LOGGED = 20;
+
+/** Why it is certain that no task of this shard runs on a machine that is no longer in the block. */
 type DepartureProof = 'nothing is there' | 'given up and deleted';
 
 /**
- * null: something may run there. Not to be in the block proves nothing: whoever wrote the block may have seen an older one.
- * `known`: what an earlier holder had there is known.
+ * Returns null when tasks may still run on the machine. Its absence from the block proves nothing, as the writer of the
+ * block may have seen an older version. `known`: the tasks that an earlier holder had there are known.
  */
 function departureProof(machine: HeldMachine, known: boolean, now: Millis): DepartureProof | null {
   if (known && machine.belief.empty) return 'nothing is there';
   const { givenUpAt } = machine;
-  return givenUpAt !== null && now - givenUpAt < GIVEN_UP_FOR_MS ? 'given up and deleted' : null;
+  return givenUpAt !== null && now - givenUpAt < GIVEN_UP_VALID_MS ? 'given up and deleted' : null;
 }
 
-/** From when on nothing can run on a missing machine, whoever has it now: its lease has run out, or all there was stopped. */
-export const missingUntil = (machine: HeldMachine, leaseMs: number, reportMs: number): Millis =>
-  millis(machine.belief.expiresAt(leaseMs) + REPORTS_TO_STOP * reportMs);
+/**
+ * When no task of this shard can run on a missing machine any more: its lease has expired, or its current holder has
+ * stopped the tasks that it does not know.
+ */
+export const missingLeaseExpiresAt = (machine: HeldMachine, leaseMs: number, reportMs: number): Millis =>
+  millis(machine.belief.expiresAt(leaseMs) + REPORTS_UNTIL_STOPPED * reportMs);
 
-/** A change of the state service by which machines come and go. */
+/** Key and revision of the change in the state service that adds or removes machines. */
 export interface BlockSource {
   readonly key: string;
   readonly revision: Revision;
 }
 
-/** A machine, and how many tasks of the shard may have been there at a change. */
-interface Counted {
+/** A machine and how many tasks the shard had on it at a change. */
+interface MachineTaskCount {
   readonly id: MachineId;
   readonly tasks: number;
 }
 
-const counted = ({ id, active }: HeldMachine): Counted => ({ id, tasks: active.size });
+const countTasks = ({ id, active }: HeldMachine): MachineTaskCount => ({ id, tasks: active.size });
 
-export interface MemberHooks {
-  /** A machine has come into the block; what is commanded there must be newer than this revision. */
-  make(info: BlockMachine, base: Revision): HeldMachine;
-  /** What earlier holders have started on the machine is known. */
-  isKnown(machine: HeldMachine): boolean;
-  /** Nothing of this shard is on the machine, which is the holder's no more. */
+/** Callbacks of `BlockMembers` into the shard. */
+export interface BlockMemberHooks {
+  /** Creates the state of a machine that joins the block. `base` is the revision that its fencing tokens start from. */
+  createMachine(info: BlockMachine, base: Revision): HeldMachine;
+  /** Whether the tasks that earlier holders started on the machine are known. */
+  isFenced(machine: HeldMachine): boolean;
+  /** Called when the machine leaves this holder and no task of the shard is on it. */
   release(machine: HeldMachine, why: string): void;
 }
 
-/** Which machines a holder has: who joins and leaves by what change, and what is kept of those that are missing. */
+/**
+ * Tracks the machines of a shard as they join and leave its block. A machine that disappears from the block while it
+ * may run tasks is kept as missing: its absence alone does not prove that the tasks have stopped.
+ */
 export class BlockMembers {
-  /** Those of the block, and those missing from it on which something of this shard may run. */
+  /** Machines of the block, and machines missing from it that may still run tasks of this shard. */
   readonly machines = new Map<MachineId, HeldMachine>();
 
   constructor(
     private readonly shard: ShardName,
     private readonly claimedAt: Revision,
     private readonly deps: Pick<HolderDeps, 'log' | 'runtime' | 'trail'>,
-    private readonly hooks: MemberHooks,
+    private readonly hooks: BlockMemberHooks,
   ) {}
 
-  /** The machine, if it is in the block. */
+  /** Returns a machine if it is in the block. */
   present(id: MachineId): HeldMachine | undefined {
     const machine = this.machines.get(id);
     return machine?.missing === true ? undefined : machine;
   }
 
-  /** How many machines are not in the block while something of this shard may run on them. */
+  /** Number of machines that are not in the block but may still run tasks of this shard. */
   get missing(): number {
     let missing = 0;
     for (const machine of this.machines.values()) if (machine.missing) missing += 1;
     return missing;
   }
 
-  /** The block at the claim. */
-  begin(value: ShardValue): void {
+  /** Adds the machines of the block at the claim. */
+  initialize(value: ShardValue): void {
     for (const info of value.machines) this.join(info, this.claimedAt);
   }
 
-  /** The block as it is now stored. */
+  /** Applies the block as it is stored now. */
   follow(value: ShardValue, source: BlockSource): void {
     const wanted = new Set(value.machines.map(({ id }) => id));
-    const { joined, back } = this.admit(value.machines, source.revision);
-    const { left, gone } = this.dismiss(wanted);
-    this.tell(source, joined, 'machines have joined the block');
-    this.tell(source, back, 'machines that were missing are back in the block');
-    for (const [why, machines] of left) this.tell({ ...source, why }, machines, 'machines have left the block');
-    this.tell(
+    const { joined, back } = this.addMachines(value.machines, source.revision);
+    const { left, gone } = this.removeMachines(wanted);
+    this.logChange(source, joined, 'machines have joined the block');
+    this.logChange(source, back, 'machines that were missing are back in the block');
+    for (const [why, machines] of left) this.logChange({ ...source, why }, machines, 'machines have left the block');
+    this.logChange(
       source,
       gone,
-      'machines are missing from the block: what may run there counts until their leases are over',
+      'machines are missing from the block: their tasks count as running until their leases expire',
     );
   }
 
-  private admit(
+  private addMachines(
     infos: readonly BlockMachine[],
     revision: Revision,
-  ): { readonly joined: Counted[]; readonly back: Counted[] } {
-    const joined: Counted[] = [];
-    const back: Counted[] = [];
+  ): { readonly joined: MachineTaskCount[]; readonly back: MachineTaskCount[] } {
+    const joined: MachineTaskCount[] = [];
+    const back: MachineTaskCount[] = [];
     for (const info of infos) {
       const machine = this.machines.get(info.id);
-      if (!machine) joined.push(counted(this.join(info, revision)));
-      else if (machine.missing) back.push(counted(this.rejoin(machine, revision)));
+      if (!machine) joined.push(countTasks(this.join(info, revision)));
+      else if (machine.missing) back.push(countTasks(this.rejoin(machine, revision)));
     }
     return { joined, back };
   }
 
   private join(info: BlockMachine, revision: Revision): HeldMachine {
-    // A page may be older than the claim: what we command must be newer than what the holder before did.
-    const machine = this.hooks.make(info, revision > this.claimedAt ? revision : this.claimedAt);
+    // A page may be older than the claim, but this holder's tokens must be higher than those of the previous holder.
+    const machine = this.hooks.createMachine(info, revision > this.claimedAt ? revision : this.claimedAt);
     this.machines.set(info.id, machine);
     const { id, type, zone, spot } = info;
     this.deps.trail?.note({ kind: 'joined', machine: id, type, zone, spot });
@@ -124,17 +134,17 @@
     return machine;
   }
 
-  private dismiss(wanted: ReadonlySet<MachineId>): {
-    readonly left: ReadonlyMap<DepartureProof, Counted[]>;
-    readonly gone: Counted[];
+  private removeMachines(wanted: ReadonlySet<MachineId>): {
+    readonly left: ReadonlyMap<DepartureProof, MachineTaskCount[]>;
+    readonly gone: MachineTaskCount[];
   } {
     const now = this.deps.runtime.now();
-    const left = new Map<DepartureProof, Counted[]>();
-    const gone: Counted[] = [];
+    const left = new Map<DepartureProof, MachineTaskCount[]>();
+    const gone: MachineTaskCount[] = [];
     for (const [id, machine] of this.machines) {
       if (wanted.has(id) || machine.missing) continue;
-      const proof = departureProof(machine, this.hooks.isKnown(machine), now);
-      const departed = counted(machine);
+      const proof = departureProof(machine, this.hooks.isFenced(machine), now);
+      const departed = countTasks(machine);
       if (proof === null) {
         machine.missing = true;
         machine.leaving = null;
@@ -149,9 +159,9 @@
     return { left, gone };
   }
 
-  /** The lease of a missing machine is over: nothing runs there any more. */
+  /** Removes a missing machine whose lease has expired: no task can run there any more. */
   expire(machine: HeldMachine): void {
-    this.deps.log.info({ shard: this.shard, machine: machine.id }, 'the lease of a missing machine is over');
+    this.deps.log.info({ shard: this.shard, machine: machine.id }, 'lease of a missing machine has expired');
     this.drop(machine, 'lease over');
   }
 
@@ -162,13 +172,13 @@
     this.machines.delete(machine.id);
   }
 
-  private tell(
+  private logChange(
     source: BlockSource & { readonly why?: DepartureProof },
-    machines: readonly Counted[],
+    machines: readonly MachineTaskCount[],
     what: string,
   ): void {
     if (machines.length === 0) return;
-    const named = machines.slice(0, NAMED_IN_LOG).map(({ id }) => id);
+    const named = machines.slice(0, MAX_MACHINES_LOGGED).map(({ id }) => id);
     const tasks = machines.reduce((sum, machine) => sum + machine.tasks, 0);
     const { shard } = this;
     this.deps.log.info({ shard, ...source, machines: named, count: machines.length, tasks }, what);
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -7,35 +7,40 @@
 import type { HeldMachine } from './machine.js';
 import type { JobRun } from './run.js';
 
-/** Each move is a write: a swarm of small jobs must not spend what accepting and finishing them needs. */
-const MOVES_EVERY_MS = 150;
-const LEAVE_WITHIN_MS = 10_000;
-/** Writes that are under way when a shard is given up have so long to come back. */
-const SETTLE_WITHIN_MS = 2500;
+/**
+ * Minimum time between job moves. Each is a write, and many small jobs must not use up the writes that accepting and
+ * finishing jobs needs.
+ */
+const MOVE_INTERVAL_MS = 150;
+/** A machine that has not become ready to leave by then stays in the block. */
+const MACHINE_TRANSFER_TIMEOUT_MS = 10_000;
+/** Time that pending writes have to complete when a shard is released. */
+const PENDING_WRITES_TIMEOUT_MS = 2500;
 
-const machinesOf = (entry: Entry | null, machines: readonly HeldMachine[]): readonly HeldMachine[] => {
+/** The machines that an entry into another shard has room for. */
+const acceptedMachines = (entry: Entry | null, machines: readonly HeldMachine[]): readonly HeldMachine[] => {
   const taken = new Set(entry?.taken.map(({ id }) => id));
   return machines.filter(({ id }) => taken.has(id));
 };
 
-/** What leaves the shard: jobs to where there is room, machines to other blocks or back, and the shard itself. */
+/** Moves jobs to shards with capacity, transfers or returns machines, and releases the shard itself. */
 export class Moves {
-  private moving = false;
-  movedAt: Millis;
+  private movingMachines = false;
+  lastJobMoveAt: Millis;
 
   constructor(
     private readonly held: HeldShard,
     private readonly store: RecordStore,
   ) {
-    this.movedAt = millis(held.since - MOVES_EVERY_MS);
+    this.lastJobMoveAt = millis(held.since - MOVE_INTERVAL_MS);
   }
 
-  /** A job with nothing possibly there may change shards, to where it can start. */
-  moveElsewhere(run: JobRun, count: number, now: Millis): void {
-    if (run.active.size > 0 || run.storing || run.moving || this.held.claimFence.size > 0) return;
+  /** Moves a job to a shard where it can start. Only a job without tasks that may be on a machine here can move. */
+  moveJob(run: JobRun, count: number, now: Millis): void {
+    if (run.active.size > 0 || run.storeInProgress || run.moving || this.held.unfencedMachines.size > 0) return;
     if (this.held.taskIndex.names(run.id)) return;
-    // Looking costs too: every machine of the other blocks is asked.
-    this.movedAt = now;
+    // The search counts as a move as well: it checks every machine of the other blocks.
+    this.lastJobMoveAt = now;
     const to = this.held.deps.roomElsewhere(this.held.shard, run.spec, count);
     if (to === null || to === this.held.shard) return;
     run.moving = true;
@@ -47,7 +52,7 @@
       run.moving = false;
       return;
     }
-    // Guarded by the shard too: whoever has claimed it may have started the job without a write.
+    // Guarded by the shard's version too: a node that has claimed the shard may have started the job without a write.
     const guards = [
       { key, version: run.version as number },
       { key: shardKey(this.held.shard), version: own.version as number },
@@ -58,12 +63,12 @@
         if (result.kind === 'ok') {
           this.held.deps.log.info(
             { job: run.id, from: this.held.shard, to },
-            'a waiting job moves to a shard with room',
+            'moving a waiting job to a shard with capacity',
           );
           this.held.deps.mirror.apply({ key, value, removed: false, version: result.revision });
           return;
         }
-        // Applied later, it would give the job to another holder while this one runs it.
+        // If the write were applied later, another holder would get the job while this one runs it.
         if (result.kind === 'unknown')
           await settleKey(
             key,
@@ -80,35 +85,41 @@
       });
   }
 
-  /** The same as far as moves may be made now: each is a write. */
-  moveSoon(run: JobRun, now: Millis, count = 1): void {
-    if (now - this.movedAt >= MOVES_EVERY_MS) this.moveElsewhere(run, count, now);
+  /** Moves a job unless the last move was less than `MOVE_INTERVAL_MS` ago. */
+  moveJobIfDue(run: JobRun, now: Millis, count = 1): void {
+    if (now - this.lastJobMoveAt >= MOVE_INTERVAL_MS) this.moveJob(run, count, now);
   }
 
-  /** The leader wants this machine elsewhere, or back; it leaves once it is empty. */
+  /**
+   * Starts to move a machine to another shard, or to return it (`to` is null), as the leader asks. It leaves once it is
+   * empty. A machine that is in use stays.
+   */
   transfer(id: MachineId, to: ShardName | null): void {
     const machine = this.held.members.present(id);
     if (!machine || machine.leaving) return;
     if (!machine.belief.empty && this.held.inUse(machine)) return;
     machine.leaving = { to, since: this.held.deps.runtime.now() };
-    // Idle accelerators leave although their cpus are lent out: that work saves and moves.
-    for (const { run, task } of [...machine.active.values()]) this.held.stopWithMates(run, task, 'drain');
+    // A machine with idle accelerators leaves even if arrays use its CPUs: those tasks save and start again elsewhere.
+    for (const { run, task } of [...machine.active.values()]) this.held.stopWithGang(run, task, 'drain');
     this.held.soon();
   }
 
-  /** All that are ready to leave for one place leave in one write: each writes the whole block's record. */
-  letGo(now: Millis): void {
+  /**
+   * Transfers all machines that are ready for one destination in one write, because each write contains the whole
+   * block's record.
+   */
+  transferEmptyMachines(now: Millis): void {
     const ready = new Map<ShardName | null, HeldMachine[]>();
     for (const machine of this.held.machines.values()) {
       const { leaving } = machine;
       if (!leaving || leaving.since < 0) continue;
-      if (now - leaving.since > LEAVE_WITHIN_MS) {
+      if (now - leaving.since > MACHINE_TRANSFER_TIMEOUT_MS) {
         machine.leaving = null;
         this.held.soon();
         continue;
       }
       const { belief } = machine;
-      // Only empty, with nothing possibly there, and with nothing that we still have to store.
+      // It leaves only when it is empty, no task may be there, and no exit that is listed there remains to be stored.
       if (!belief.fenced || !belief.empty || belief.tasks.size > 0 || !machine.commandSender.idle) continue;
       const to = leaving.to as ShardName | null;
       const list = ready.get(to);
@@ -116,10 +127,10 @@
       else ready.set(to, [machine]);
     }
     const [next] = ready;
-    if (!next || this.moving) return;
-    this.moving = true;
+    if (!next || this.movingMachines) return;
+    this.movingMachines = true;
     void this.moveMachines(next[1], next[0]).finally(() => {
-      this.moving = false;
+      this.movingMachines = false;
     });
   }
 
@@ -128,32 +139,32 @@
     const own = directory.all.get(this.held.shard);
     if (!own || own.value.holder !== this.held.deps.self) return;
     const target = to === null ? undefined : directory.all.get(to);
-    // What one page names leaves at once; others follow in the next round.
+    // One write removes the machines of one page; the others follow in the next round.
     const [first] = leave(this.held.shard, own, new Set(machines.map(({ id }) => id)));
-    const together = machines.filter(({ id }) => first?.ids.includes(id) === true);
-    const infos = together.map((machine) => ({ ...machine.info, address: machine.commandSender.knownAddress }));
+    const batch = machines.filter(({ id }) => first?.ids.includes(id) === true);
+    const infos = batch.map((machine) => ({ ...machine.info, address: machine.commandSender.knownAddress }));
     const { limits } = state;
     const room = { recordMost: blockLimit(limits.presentValueKb), pageBytes: limits.valueBytes };
     const entry = to !== null && target ? enter(to, target, infos, room) : null;
-    const taken = to === null ? together : machinesOf(entry, together);
-    for (const machine of together) if (!taken.includes(machine)) machine.leaving = null;
+    const taken = to === null ? batch : acceptedMachines(entry, batch);
+    for (const machine of batch) if (!taken.includes(machine)) machine.leaving = null;
     if (taken.length === 0) return;
     const ids = new Set(taken.map((machine) => machine.id));
     const earlier = [...this.held.earlier.values()];
     const [left] = leave(this.held.shard, { ...own, value: { ...own.value, earlier } }, ids);
     if (!left) return;
-    // From here on their reports are not answered: whoever has them next counts their leases from the write.
+    // From here on their reports are not answered, because the next holder counts their leases from this write.
     for (const machine of taken) machine.leaving = { to, since: millis(-1) };
     const head = { key: shardKey(this.held.shard), version: own.version as number };
     const guards = new Map([head, ...left.change.guards, ...(entry?.change.guards ?? [])].map((g) => [g.key, g]));
     const ops = [...left.change.ops, ...(entry?.change.ops ?? [])];
     const result = await state.txn(Urgency.shard, [...guards.values()], ops);
     if (result.kind === 'ok') {
-      log.info({ machines: [...ids], from: this.held.shard, to }, 'machines leave the block');
+      log.info({ machines: [...ids], from: this.held.shard, to }, 'transferred machines out of the block');
       mirror.wrote(ops, result.revision);
       return;
     }
-    // An unknown write may still be applied: the machines take nothing new until that is settled.
+    // A write of unknown outcome may still be applied: the machines get no new tasks until it is settled.
     if (result.kind === 'unknown') {
       for (const { key } of left.change.guards)
         await settleKey(key, state, mirror, this.held.deps.runtime, () => !this.held.dropped);
@@ -162,7 +173,10 @@
     this.held.soon();
   }
 
-  /** May the shard change hands without anybody noticing: everything in it is known and heard? */
+  /**
+   * Whether the shard can change holders without disruption: its machines are all fenced, heard recently and have no
+   * pending orders.
+   */
   get quiet(): boolean {
     if (!this.held.fenced) return false;
     const now = this.held.deps.runtime.now();
@@ -178,24 +192,25 @@
     return true;
   }
 
-  private get writing(): boolean {
+  /** Whether writes about machines or jobs of the shard are in flight. */
+  private get hasPendingWrites(): boolean {
     for (const machine of this.held.machines.values()) if ((machine.leaving?.since ?? 0) < 0) return true;
-    for (const run of this.held.jobs.values()) if (run.storing || run.moving) return true;
+    for (const run of this.held.jobs.values()) if (run.storeInProgress || run.moving) return true;
     return false;
   }
 
   /**
-   * Gives the shard up by a write: from there on this node commands nothing and answers no report,
-   * so whoever claims it counts the workers' leases from that write.
+   * Releases the shard by a write, for the node `to` if given. From that write on this node sends no commands and
+   * answers no reports, so the next holder counts the workers' leases from it. Returns false when the shard stays here.
    */
-  async giveUp(why: string, to: NodeName | null = null): Promise<boolean> {
-    // Whoever claims the shard wouldn't know of machines that are missing from its block.
+  async releaseShard(why: string, to: NodeName | null = null): Promise<boolean> {
+    // The next holder would not know of machines that are missing from the block.
     if (this.held.frozen || this.held.members.missing > 0) return false;
     this.held.frozen = true;
-    // Progress is written all the time: nothing new begins, and what is under way comes back first.
+    // Progress is written all the time: no new writes begin, and the pending ones complete first.
     for (
-      const until = this.held.deps.runtime.now() + SETTLE_WITHIN_MS;
-      this.writing && !this.held.dropped;
+      const until = this.held.deps.runtime.now() + PENDING_WRITES_TIMEOUT_MS;
+      this.hasPendingWrites && !this.held.dropped;
       await this.held.deps.runtime.sleep(20)
     ) {
       if (this.held.deps.runtime.now() < until) continue;
@@ -209,7 +224,7 @@
       return false;
     }
     const next = encodeShard({ ...value, earlier: [...this.held.earlier.values()], released: true, next: to });
-    // From here on nothing is commanded until it is through: not behind users' submissions.
+    // No commands are sent until this write completes, so it must not queue behind users' submissions.
     const result = await this.held.deps.state.txn(
       Urgency.session,
       [{ key: shardKey(this.held.shard), version: own.version }],
--- a/src/holder/recall.ts
+++ b/src/holder/recall.ts
@@ -1,8 +1,11 @@
 import { groupedOf } from '../jobs/index.js';
 import type { JobRun } from './run.js';
 
-/** Takes in what a group says of a job. A task that is possibly on a machine is left to what its worker tells. */
-export function recall(run: JobRun, group: unknown): void {
+/**
+ * Marks the tasks of a job that a stored progress group lists as done. Tasks that may be on a machine are skipped:
+ * their worker reports how they end.
+ */
+export function applyGroupedProgress(run: JobRun, group: unknown): void {
   if (run.ended) return;
   const done = groupedOf(group, run.id, run.spec.tasks);
   if (!done) return;
--- a/src/holder/run.ts
+++ b/src/holder/run.ts
@@ -14,66 +14,82 @@
 import { median } from '../speculation/index.js';
 import type { TaskState } from '../workers/index.js';
 
+/** Why a task is stopped; recorded in the event trail. */
 export type StopReason = 'cancelled' | 'preempted' | 'notice' | 'drain' | 'straggler' | 'regroup';
 
-/** One task that is possibly on a machine. */
+/** An attempt of a task that may be on a machine. */
 export interface ActiveTask {
   readonly index: number;
   readonly machine: MachineId;
   readonly attempt: Attempt;
   readonly orderedAt: Millis;
-  /** Started by an earlier holder: nobody here knows when, so its run time says nothing. */
+  /** Whether an earlier holder started it. Its start time and so its run time are unknown. */
   readonly adopted: boolean;
   state: TaskState | 'ordered';
   runningAt: Millis | null;
   stopping: { readonly reason: StopReason; readonly since: Millis; readonly graceS: number } | null;
 }
 
-const KEEP_OFF_MS = 60_000;
-const SUSPECT_AFTER = 3;
-const PROVEN_MS = 10_000;
-const FIRST_PAUSE_MS = 2000;
-const MOST_PAUSE_MS = 60_000;
-const MAX_RUNS = 100;
-const NONE: ReadonlySet<MachineId> = new Set();
+/** How long a job avoids a machine on which a task of it failed or was restarted. */
+const AVOID_MACHINE_MS = 60_000;
+/** Number of machines on which a job has to fail before it is considered at fault. */
+const SUSPECT_AFTER_MACHINES = 3;
+/** A task that ran this long shows that its job does not fail at the start. */
+const STABLE_RUN_MS = 10_000;
+/** Retry backoff of a job that fails on every machine. */
+const INITIAL_BACKOFF_MS = 2000;
+const MAX_BACKOFF_MS = 60_000;
+/** Number of recent run times that the median is taken of. */
+const MAX_RECORDED_RUNS = 100;
+const NO_MACHINES: ReadonlySet<MachineId> = new Set();
 const NO_PIPELINES = { inherited: (): null => null, readyAt: (): null => null };
 
-/** An open job as its holder runs it. */
+/** Run-time state of an open job on the node that holds its shard. */
 export class JobRun {
+  /** Attempts that may be on a machine, by task index. */
   readonly active = new Map<number, ActiveTask>();
+  /** Tasks that are done, stored or not. */
   readonly done: Bits;
-  /** What the state service knows to be done. */
+  /** Tasks that are stored as done in the state service. */
   stored: Bits;
-  /** Over for its user: whatever is still on a machine is stopped. */
+  /** The job is done or cancelled: any task that is still on a machine is stopped. */
   ended = false;
-  storing = false;
+  storeInProgress = false;
   lastStoredAt: Millis;
   startedAt: Millis | null = null;
+  /** Machines on which a task of the job has failed. */
   readonly errorMachines = new Set<MachineId>();
   notBefore: Millis;
-  /** How often in a row it was tried again and failed. */
-  private strikes = 0;
-  private proven = false;
+  /** Number of failed retries in a row since the job was first considered at fault. */
+  private failedRetries = 0;
+  /** Whether a task of it has run for `STABLE_RUN_MS`. */
+  private hasRunStably = false;
+  /** Tasks that were restarted as stragglers. */
   readonly restarted = new Set<number>();
+  /** Run times of the last completed tasks, in seconds. */
   readonly finishedRunsS: number[] = [];
-  private typical: number | null = null;
-  /** Machines that this job keeps away from, and until when. */
+  private cachedMedianRunS: number | null = null;
+  /** Machines that the job avoids, and until when. */
   readonly avoid = new Map<MachineId, Millis>();
+  /** Since when ready tasks of the job have found no capacity. */
   unplacedSince: Millis | null = null;
-  /** Those who record this know that it waits. */
-  waitTold = false;
+  /** Whether the trail has recorded that it waits. */
+  waitEventRecorded = false;
+  /** A write that moves the job to another shard is in flight. */
   moving = false;
-  /** When another shard was last looked for. */
-  lookedAt: Millis | null = null;
-  /** After a completion that could not be stored. */
+  /** When a move to another shard was last attempted. */
+  lastMoveAttemptAt: Millis | null = null;
+  /** Its completion is not written before this time, after a write that failed. */
   finishNotBefore: Millis;
+  /** All tasks with a lower index are done. */
   private cursor = 0;
-  /** Those that need it will be late unless it goes on now. */
-  pressing = false;
+  /** Whether its dependents will miss their deadline unless it runs now: it then takes on their full priority. */
+  usesInheritedPriority = false;
+  /** The last result of `spec` and its inputs. */
   private asked: {
     readonly inherited: Inherited;
     readonly stored: JobSpec;
-    readonly pressing: boolean;
+    readonly usesInheritedPriority: boolean;
     readonly spec: JobSpec;
   } | null = null;
 
@@ -95,25 +111,31 @@
     return this.record.spec.id;
   }
 
-  /** As it was submitted, with the priority and the deadline of those that need it where these are higher and earlier. */
+  /**
+   * The submitted spec, with the priority and deadline inherited from dependent jobs where these are higher or earlier.
+   */
   get spec(): JobSpec {
     const inherited = this.pipelines.inherited(this.id);
     if (!inherited) return this.record.spec;
-    const { asked, pressing } = this;
-    if (asked?.inherited === inherited && asked.stored === this.record.spec && asked.pressing === pressing)
+    const { asked, usesInheritedPriority } = this;
+    if (
+      asked?.inherited === inherited &&
+      asked.stored === this.record.spec &&
+      asked.usesInheritedPriority === usesInheritedPriority
+    )
       return asked.spec;
-    const spec = inheriting(this.record, inherited, pressing);
-    this.asked = { inherited, stored: this.record.spec, pressing, spec };
+    const spec = inheriting(this.record, inherited, usesInheritedPriority);
+    this.asked = { inherited, stored: this.record.spec, usesInheritedPriority, spec };
     return spec;
   }
 
-  /** Its deadline is of those that need it. */
-  get needed(): boolean {
+  /** Whether other jobs depend on it, so that it inherits their deadline. */
+  get hasDependents(): boolean {
     return this.pipelines.inherited(this.id) !== null;
   }
 
-  /** From when on the aims of its class count: its submission, or the end of the last job that it needed. */
-  get countsFrom(): WallMillis {
+  /** When its class's objectives start to count: at its submission, or when its last dependency was done. */
+  get objectivesFrom(): WallMillis {
     return this.record.awaits.length === 0 ? this.submittedAt : (this.pipelines.readyAt(this.id) ?? this.submittedAt);
   }
 
@@ -121,22 +143,24 @@
     return this.record.submittedAt;
   }
 
+  /** Records the run time of a completed task, in seconds. */
   noteRun(ranS: number): void {
     this.finishedRunsS.push(ranS);
-    if (this.finishedRunsS.length > MAX_RUNS) this.finishedRunsS.shift();
-    this.typical = median(this.finishedRunsS);
+    if (this.finishedRunsS.length > MAX_RECORDED_RUNS) this.finishedRunsS.shift();
+    this.cachedMedianRunS = median(this.finishedRunsS);
   }
 
-  /** Median run of the tasks that are through; null before the first. */
-  get typicalRunS(): number | null {
-    return this.typical;
+  /** Median run time of the last completed tasks; null before the first. */
+  get medianRunS(): number | null {
+    return this.cachedMedianRunS;
   }
 
-  /** What a task of it is expected to take. */
+  /** Expected run time of a task: the median, or the estimate in its spec. */
   get expectedRunS(): number {
-    return this.typical ?? this.spec.estimateS;
+    return this.cachedMedianRunS ?? this.spec.estimateS;
   }
 
+  /** Whether all tasks are done; services never complete. */
   get complete(): boolean {
     return this.spec.kind !== 'service' && this.done.count >= this.spec.tasks;
   }
@@ -148,41 +172,44 @@
   }
 
   /**
-   * A job that fails on several machines, and none of whose tasks has ever run for a while, is itself at
-   * fault: it is tried again now and then, when nothing else wants the room.
+   * Whether the job itself is at fault: it has failed on several machines, and no task of it has completed or run for a
+   * while. Such a job is retried with backoff, and only with capacity that no other job needs.
    */
   get failsEverywhere(): boolean {
-    return !this.proven && this.errorMachines.size >= SUSPECT_AFTER && this.done.count === 0;
+    return !this.hasRunStably && this.errorMachines.size >= SUSPECT_AFTER_MACHINES && this.done.count === 0;
   }
 
-  /** What runs for a while has no mistake that shows at the start. */
+  /** Records that a task has run long enough to show that the job does not fail at the start. */
   noteRunning(task: ActiveTask, now: Millis): void {
-    if (task.runningAt !== null && now - task.runningAt >= PROVEN_MS) this.proven = true;
+    if (task.runningAt !== null && now - task.runningAt >= STABLE_RUN_MS) this.hasRunStably = true;
   }
 
-  /** A task of it has failed. All that fail in one go count as one try; `luck` is between 0 and 1. */
-  noteError(machine: MachineId, now: Millis, luck: number): void {
+  /** Records a failed task. All failures before the next retry count as one; `jitter` is between 0 and 1. */
+  noteError(machine: MachineId, now: Millis, jitter: number): void {
     this.errorMachines.add(machine);
-    this.keepOff(machine, now);
+    this.avoidMachine(machine, now);
     for (const task of this.active.values()) this.noteRunning(task, now);
     if (!this.failsEverywhere || now < this.notBefore) return;
-    const pauseMs = Math.min(MOST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.strikes);
-    this.strikes += 1;
-    this.notBefore = millis(now + pauseMs * (0.75 + luck / 2));
+    const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** this.failedRetries);
+    this.failedRetries += 1;
+    this.notBefore = millis(now + backoffMs * (0.75 + jitter / 2));
   }
 
-  /** After a failure or a restart: a machine that fails everything at once always has room. */
-  keepOff(machine: MachineId, now: Millis): void {
-    this.avoid.set(machine, millis(now + KEEP_OFF_MS));
+  /**
+   * Avoids a machine after a failure or a restart there: one that fails every task at once always has free capacity.
+   */
+  avoidMachine(machine: MachineId, now: Millis): void {
+    this.avoid.set(machine, millis(now + AVOID_MACHINE_MS));
   }
 
-  avoided(now: Millis): ReadonlySet<MachineId> {
-    if (this.avoid.size === 0) return NONE;
+  /** Machines that the job avoids at this time. */
+  avoidedMachines(now: Millis): ReadonlySet<MachineId> {
+    if (this.avoid.size === 0) return NO_MACHINES;
     for (const [machine, until] of this.avoid) if (until < now) this.avoid.delete(machine);
     return new Set(this.avoid.keys());
   }
 
-  /** The lowest tasks that are neither done nor possibly anywhere. */
+  /** The lowest task indices, at most `most`, that are neither done nor possibly on a machine. */
   ready(most: number): number[] {
     const { tasks } = this.spec;
     while (this.cursor < tasks && this.done.has(this.cursor)) this.cursor += 1;
@@ -193,14 +220,16 @@
     return ready;
   }
 
+  /** Number of tasks that are neither done nor possibly on a machine. */
   get missing(): number {
     return this.spec.tasks - this.done.count - this.active.size;
   }
 
+  /** Marks a task as done. Returns whether that changed anything; tasks of services are never done. */
   markDone(index: number): boolean {
     if (this.spec.kind === 'service') return false;
     if (this.spec.kind === 'gang') {
-      // A gang completes together.
+      // A gang completes as a whole.
       let changed = false;
       for (let i = 0; i < this.spec.tasks; i++) changed = this.done.add(i) || changed;
       return changed;
@@ -208,7 +237,7 @@
     return this.done.add(index);
   }
 
-  /** A gang's stop is orderly only when it saves and has time to. */
+  /** Grace period of a stop, in seconds: time to save for jobs that checkpoint, otherwise none. */
   get graceS(): number {
     return this.spec.checkpointS > 0 ? this.spec.saveS + 1 : 0;
   }
--- a/src/holder/starts.ts
+++ b/src/holder/starts.ts
@@ -1,4 +1,4 @@
-import type { TeamAccounts } from './accounts.js';
+import type { TeamQuotaTracker } from './accounts.js';
 import type { HeldShard } from './held.js';
 import type { Moves } from './moves.js';
 import {
@@ -26,41 +26,47 @@
 import type { HeldMachine } from './machine.js';
 import type { JobRun } from './run.js';
 
+/** The larger of two reserves, by resource. */
 const maxReserve = (a: Reserve | null, b: Reserve): Reserve => ({
   cpus: Math.max(a?.cpus ?? 0, b.cpus),
   memoryGb: Math.max(a?.memoryGb ?? 0, b.memoryGb),
 });
-const MAX_READY = 100;
-/** So little time beside its run, and a job that others need goes by their priority. */
-const PRESSING_S = 40;
-const LOOK_ELSEWHERE_EVERY_MS = 1500;
-const LOOK_ELSEWHERE_AT_ONCE = 2;
-const MOVE_AFTER_MS = 1200;
-/** Those who record it are told of a wait that lasts, and of a plan now and then. */
-const WAIT_TOLD_MS = 1000;
-const PLAN_TOLD_EVERY_MS = 5000;
+/** Number of ready tasks of one job that a plan considers; gangs are considered whole. */
+const MAX_READY_TASKS = 100;
+/** A job takes on its dependents' full priority once its deadline leaves less time than this beyond its own run. */
+const INHERIT_PRIORITY_SLACK_S = 40;
+/** Limits on moving waiting jobs to other shards; see `Moves.moveJob`. */
+const JOB_MOVE_RETRY_MS = 1500;
+const MAX_JOB_MOVES_PER_ROUND = 2;
+const JOB_MOVE_AFTER_MS = 1200;
+/** The trail records waits that last this long, and a plan at this interval. */
+const WAIT_EVENT_AFTER_MS = 1000;
+const PLAN_EVENT_INTERVAL_MS = 5000;
 
-/** Places what is ready to start, and tells what finds no room. */
-export class Starts {
+/** Places ready tasks on machines, and publishes the demand that finds no capacity. */
+export class TaskPlacer {
+  /** Number of attempts that this holder has started; part of attempt numbers. */
   private attempts = 0;
+  /** Jobs that wait for capacity; the leader rents machines for them. */
   demand: DemandSummary[] = [];
-  /** What the last plan could start but for a larger share of its team's limit. */
+  /** Tasks that the last plan would start if their team had a larger share of its limit here. */
   shareBound: readonly Unplaced[] = [];
   private largestGpuTask: Reserve | null = null;
-  private planToldAt: Millis | null = null;
+  private lastPlanEventAt: Millis | null = null;
 
   constructor(
     private readonly held: HeldShard,
     private readonly moves: Moves,
-    private readonly accounts: TeamAccounts,
+    private readonly teamQuotas: TeamQuotaTracker,
   ) {}
 
+  /** Whether new tasks can be started on the machine now. */
   private usable(machine: HeldMachine, now: Millis): boolean {
-    return now >= machine.coolUntil && machine.commandSender.ready() && this.sound(machine, now);
+    return now >= machine.cooldownUntil && machine.commandSender.ready() && this.acceptsTasks(machine, now);
   }
 
-  /** May take new tasks, but for a command that is just on its way. */
-  sound(machine: HeldMachine, now: Millis): boolean {
+  /** Whether the machine accepts new tasks, regardless of a command in flight or a cooldown. */
+  acceptsTasks(machine: HeldMachine, now: Millis): boolean {
     const { belief } = machine;
     const operator = this.held.deps.operator();
     return (
@@ -71,7 +77,8 @@
       !machine.leaving &&
       machine.noticeUntil === null &&
       machine.commandSender.failures === 0 &&
-      // One that answers commands and reaches no controller loses its lease, and what is started there, again and again.
+      // A worker that answers commands but reaches no controller loses its lease, and the tasks started there, again
+      // and again.
       now - Math.min(belief.lastHeardAt, belief.lastReportAt) < 2.5 * this.held.deps.settings.workers.reportMs + 500 &&
       !machine.faulty(now) &&
       !operator.cordoned.has(machine.id) &&
@@ -79,6 +86,7 @@
     );
   }
 
+  /** The machine as the placement planner sees it; null while its booking is unknown. */
   private viewOf(machine: HeldMachine, now: Millis): MachineView | null {
     const b = this.held.bookingOf(machine, now);
     if (!b?.known) return null;
@@ -87,7 +95,7 @@
     const suspicion = machine.suspicion(now);
     const images = machine.imageList;
     const known = machine.view;
-    // Most machines are in one round what they were in the last.
+    // Most machines do not change from one round to the next.
     if (known?.booking === b && known.view.usable === usable && known.view.suspicion === suspicion) {
       if (known.view.images === images) return known.view;
     }
@@ -114,61 +122,67 @@
     return view;
   }
 
+  /** The job's slack; also decides whether it takes on its dependents' full priority. */
   private slackOf(run: JobRun): Slack {
     const { runtime, settings } = this.held.deps;
     const wall = runtime.wall();
     const sinceS = (wall - run.submittedAt) / 1000;
-    const aimsFrom = { sinceS: (wall - run.countsFrom) / 1000, always: run.needed };
-    if (run.needed) {
+    const aimsFrom = { sinceS: (wall - run.objectivesFrom) / 1000, always: run.hasDependents };
+    if (run.hasDependents) {
       const { deadlineS } = run.spec;
-      run.pressing = deadlineS !== null && deadlineS - sinceS - run.expectedRunS < PRESSING_S;
+      run.usesInheritedPriority =
+        deadlineS !== null && deadlineS - sinceS - run.expectedRunS < INHERIT_PRIORITY_SLACK_S;
     }
     return slackOf(run.spec, sinceS, run.expectedRunS, settings.objectives, aimsFrom);
   }
 
-  private workOf(run: JobRun): number {
+  /** Remaining work of the job, in cpu-seconds. */
+  private remainingWorkS(run: JobRun): number {
     const runS = Math.max(1, run.expectedRunS);
     return (run.spec.tasks - run.done.count) * runS * run.spec.cpus;
   }
 
-  /** The largest task with accelerators that was seen: what other work leaves room for. */
-  private reserve(): Reserve | null {
+  /** Resources of the largest task with accelerators seen so far, which other tasks leave free beside accelerators. */
+  private largestReserve(): Reserve | null {
     for (const run of this.held.jobs.values()) {
       if (run.spec.gpus > 0) this.largestGpuTask = maxReserve(this.largestGpuTask, run.spec);
     }
     return this.largestGpuTask;
   }
 
+  /** Runs one placement plan: adds start orders, marks preempted tasks to be stopped, and updates the demand. */
   place(orders: Map<MachineId, Order[]>, now: Millis): void {
-    // Another may hold the shard by now, and know of jobs that are over.
+    // Another node may hold the shard by now and know of jobs that have ended.
     if (this.held.deps.standing() !== 'all') return;
-    const teams = this.accounts.use();
+    const teams = this.teamQuotas.use();
     const pending: PendingJob[] = [];
     for (const run of this.held.jobs.values()) {
       if (run.missing <= 0 || run.ended || run.moving || run.complete || now < run.notBefore) continue;
-      // After a claim, what the earlier holder may have started is not started again before it is seen.
-      if (this.held.claimFence.size > 0 && (run.born <= this.held.claimedAt || teams.has(run.spec.team))) continue;
-      // Accepted by this very node, perhaps after a claim that the watch has not shown yet: the claimant
-      // starts it at once, on machines that we might still command.
+      // After a claim, tasks that the earlier holder may have started are not started again before all machines are
+      // fenced.
+      if (this.held.unfencedMachines.size > 0 && (run.born <= this.held.claimedAt || teams.has(run.spec.team)))
+        continue;
+      // This node accepted the job, possibly after another node's claim that the watch has not delivered yet: the
+      // claimant starts the job at once, while this node might still command the shard's machines.
       if (!this.held.deps.certain() && run.born > this.held.deps.mirror.seenUpTo) continue;
       if (run.spec.kind === 'gang' && run.active.size > 0) continue;
-      const most = run.failsEverywhere ? 1 : MAX_READY;
+      const most = run.failsEverywhere ? 1 : MAX_READY_TASKS;
       const ready = run.ready(run.spec.kind === 'gang' ? run.spec.tasks : most);
       if (ready.length === 0) {
         run.unplacedSince = null;
         continue;
       }
-      const { zoneUse, machineUse } = this.useOf(run);
+      const { zoneUse, machineUse } = this.placementUse(run);
       const slack = this.slackOf(run);
       pending.push({
         spec: run.spec,
         ready,
         zoneUse,
         machineUse,
-        avoid: run.avoided(now),
+        avoid: run.avoidedMachines(now),
         ...slack,
-        workS: this.workOf(run),
-        waitedS: run.startedAt === null ? (this.held.deps.runtime.wall() - run.countsFrom) / 1000 : 0,
+        workS: this.remainingWorkS(run),
+        waitedS: run.startedAt === null ? (this.held.deps.runtime.wall() - run.objectivesFrom) / 1000 : 0,
         suspect: run.failsEverywhere,
       });
     }
@@ -185,16 +199,16 @@
       const view = this.viewOf(machine, now);
       if (view?.usable === true) views.push(view);
     }
-    const reserve = this.reserve();
+    const reserve = this.largestReserve();
     const plan = planPlacement({ machines: views, pending, teams, maxStarts: 200, reserve });
-    this.tell(plan, pending, now);
+    this.recordPlan(plan, pending, now);
     for (const stop of plan.stops) {
       const run = this.held.jobs.get(stop.job);
       const active = run?.active.get(stop.index);
       if (!run || !active || active.stopping) continue;
       this.held.deps.log.info(
         { job: stop.job, index: stop.index, machine: stop.machine, for: stop.forJob },
-        'preempting a task',
+        'preempting task',
       );
       this.held.stop(run, active, 'preempted', stop.atOnce ? 0 : run.graceS);
     }
@@ -202,11 +216,11 @@
     for (const start of plan.starts) {
       const run = this.held.jobs.get(start.job);
       const key = taskKey(start.job, start.index);
-      if (!run || this.possiblyAnywhere(key)) continue;
+      if (!run || this.mayBeOnAnyMachine(key)) continue;
       let number = run.spec.kind === 'gang' ? gangAttempts.get(start.job) : undefined;
       if (number === undefined) {
         this.attempts += 1;
-        // Grows across holders without a write: the claim's revision is part of it.
+        // Attempt numbers contain the claim's revision, so they grow from holder to holder without a write.
         number = attempt(this.held.claimedAt * 2 ** 20 + this.attempts);
         gangAttempts.set(start.job, number);
       }
@@ -231,10 +245,11 @@
     this.noteDemand(plan.unplaced, now);
   }
 
-  private tell({ starts, stops, unplaced }: Plan, pending: readonly PendingJob[], now: Millis): void {
+  /** Records a summary of the plan in the trail, at most every `PLAN_EVENT_INTERVAL_MS`. */
+  private recordPlan({ starts, stops, unplaced }: Plan, pending: readonly PendingJob[], now: Millis): void {
     const { trail } = this.held.deps;
-    if (!trail || (this.planToldAt !== null && now - this.planToldAt < PLAN_TOLD_EVERY_MS)) return;
-    this.planToldAt = now;
+    if (!trail || (this.lastPlanEventAt !== null && now - this.lastPlanEventAt < PLAN_EVENT_INTERVAL_MS)) return;
+    this.lastPlanEventAt = now;
     trail.note({
       kind: 'plan',
       shard: this.held.shard,
@@ -245,15 +260,15 @@
     });
   }
 
-  /** A task may be started only if it is possibly nowhere. */
-  private possiblyAnywhere(key: TaskKey): boolean {
+  /** Whether a task may be on a machine of the shard. A task may be started only if it is not. */
+  private mayBeOnAnyMachine(key: TaskKey): boolean {
     for (const id of this.held.taskIndex.machinesOf(key))
       if (this.held.machines.get(id)?.belief.possibly(key)) return true;
     return false;
   }
 
-  /** Where a job's tasks are, as far as its kind of job asks for it. */
-  private useOf(run: JobRun): { zoneUse: Map<string, number>; machineUse: Map<MachineId, number> } {
+  /** Counts of a job's tasks by zone and machine; empty for jobs whose placement does not depend on them. */
+  private placementUse(run: JobRun): { zoneUse: Map<string, number>; machineUse: Map<MachineId, number> } {
     const zoneUse = new Map<string, number>();
     const machineUse = new Map<MachineId, number>();
     if (!run.spec.oneZone && !run.spec.spread && run.spec.kind !== 'service') return { zoneUse, machineUse };
@@ -265,25 +280,26 @@
     return { zoneUse, machineUse };
   }
 
+  /** Updates the demand from the tasks that found no capacity, and moves waiting jobs to other shards. */
   private noteDemand(unplaced: readonly { readonly job: JobId; readonly count: number }[], now: Millis): void {
-    let looks = 0;
+    let moveAttempts = 0;
     const waiting = new Set(unplaced.map((u) => u.job));
     for (const run of this.held.jobs.values()) {
       if (waiting.has(run.id)) continue;
       run.unplacedSince = null;
-      run.waitTold = false;
+      run.waitEventRecorded = false;
     }
     this.demand = [];
     for (const { job, count } of unplaced) {
       const run = this.held.jobs.get(job);
-      // Nothing is rented and nothing is moved for a job that fails wherever it is tried.
+      // No machine is rented for a job that fails on every machine, and it is not moved.
       if (!run || run.failsEverywhere) continue;
       run.unplacedSince ??= now;
-      // A moment's wait is a command on its way, not a lack of machines.
+      // A short wait is due to a command in flight, not to a lack of machines.
       if (now - run.unplacedSince < 150) continue;
       const missing = run.spec.kind === 'gang' ? count : Math.max(count, run.missing);
-      if (!run.waitTold && now - run.unplacedSince >= WAIT_TOLD_MS) {
-        run.waitTold = true;
+      if (!run.waitEventRecorded && now - run.unplacedSince >= WAIT_EVENT_AFTER_MS) {
+        run.waitEventRecorded = true;
         this.held.deps.trail?.note({ kind: 'waits', job, missing });
       }
       this.demand.push({
@@ -296,12 +312,12 @@
         cpus: run.spec.cpus,
         gpus: run.spec.gpus,
       });
-      if (now - run.unplacedSince <= MOVE_AFTER_MS || looks >= LOOK_ELSEWHERE_AT_ONCE) continue;
-      // Room elsewhere is found by the others' summaries, which are no newer than this either.
-      if (run.lookedAt !== null && now - run.lookedAt < LOOK_ELSEWHERE_EVERY_MS) continue;
-      run.lookedAt = now;
-      looks += 1;
-      this.moves.moveSoon(run, now, count);
+      if (now - run.unplacedSince <= JOB_MOVE_AFTER_MS || moveAttempts >= MAX_JOB_MOVES_PER_ROUND) continue;
+      // Capacity elsewhere is known from the summaries of other shards, which are not updated more often than this.
+      if (run.lastMoveAttemptAt !== null && now - run.lastMoveAttemptAt < JOB_MOVE_RETRY_MS) continue;
+      run.lastMoveAttemptAt = now;
+      moveAttempts += 1;
+      this.moves.moveJobIfDue(run, now, count);
     }
   }
 }
--- a/src/holder/store.ts
+++ b/src/holder/store.ts
@@ -5,14 +5,19 @@
 import { Urgency, jobKey, reread } from '../state/index.js';
 import type { JobRun } from './run.js';
 
-const PROGRESS_EVERY_MS = 1500;
-/** So many jobs' progress at a time: the rest waits here, where the next write holds all of it. */
-const PROGRESS_AT_ONCE = 2;
-const FINISH_AGAIN_MS = 400;
+/** Minimum time between progress writes of one job. */
+const PROGRESS_WRITE_INTERVAL_MS = 1500;
+/**
+ * Jobs whose progress is written at a time. Others wait here rather than in a queue, so their next write has their
+ * latest progress.
+ */
+const MAX_CONCURRENT_PROGRESS_WRITES = 2;
+/** Delay before a failed write of a completion is retried. */
+const FINISH_RETRY_MS = 400;
 
-/** Writes what has been done to the state service: completions at once, progress as far as changes are left. */
+/** Writes completions and progress of a shard's jobs to the state service. */
 export class RecordStore {
-  private storingProgress = 0;
+  private progressWrites = 0;
   readonly grouped: GroupedProgress;
 
   constructor(private readonly held: HeldShard) {
@@ -20,36 +25,37 @@
   }
 
   /**
-   * Completions at once; progress as far as changes a second are left, the longest unsaved first.
-   * Progress that is lost costs little, so nobody else's write ever waits for it.
+   * Writes completions at once, and progress with the remaining write rate, the longest unsaved job first. Losing
+   * progress costs little, so no other write ever waits for it.
    */
   store(now: Millis): void {
     const own = this.grouped.store(now);
     const unsaved: JobRun[] = [];
     for (const run of this.held.jobs.values()) {
-      if (run.ended || run.storing || run.moving) continue;
+      if (run.ended || run.storeInProgress || run.moving) continue;
       if (run.complete) {
-        if (now >= run.finishNotBefore) void this.storing(run, () => this.finish(run));
-      } else if (own(run) && now - run.lastStoredAt >= PROGRESS_EVERY_MS) unsaved.push(run);
+        if (now >= run.finishNotBefore) void this.trackStore(run, () => this.finish(run));
+      } else if (own(run) && now - run.lastStoredAt >= PROGRESS_WRITE_INTERVAL_MS) unsaved.push(run);
     }
-    if (unsaved.length === 0 || this.storingProgress >= PROGRESS_AT_ONCE) return;
+    if (unsaved.length === 0 || this.progressWrites >= MAX_CONCURRENT_PROGRESS_WRITES) return;
     unsaved.sort((a, b) => a.lastStoredAt - b.lastStoredAt);
-    for (const run of unsaved.slice(0, PROGRESS_AT_ONCE - this.storingProgress)) {
-      this.storingProgress += 1;
-      void this.storing(run, () => this.storeProgress(run)).finally(() => {
-        this.storingProgress -= 1;
+    for (const run of unsaved.slice(0, MAX_CONCURRENT_PROGRESS_WRITES - this.progressWrites)) {
+      this.progressWrites += 1;
+      void this.trackStore(run, () => this.storeProgress(run)).finally(() => {
+        this.progressWrites -= 1;
         this.held.deps.nudge();
       });
     }
   }
 
-  async storing(run: JobRun, write: () => Promise<void>): Promise<void> {
-    run.storing = true;
+  /** Runs a write of a job's record, during which `storeInProgress` is set. */
+  async trackStore(run: JobRun, write: () => Promise<void>): Promise<void> {
+    run.storeInProgress = true;
     try {
       await write();
     } finally {
       run.lastStoredAt = this.held.deps.runtime.now();
-      run.storing = false;
+      run.storeInProgress = false;
     }
   }
 
@@ -65,7 +71,7 @@
       this.held.deps.log.info({ job: run.id }, 'job done');
       return;
     }
-    run.finishNotBefore = millis(this.held.deps.runtime.now() + FINISH_AGAIN_MS);
+    run.finishNotBefore = millis(this.held.deps.runtime.now() + FINISH_RETRY_MS);
     if (result === 'conflict') await this.reread(run);
   }
 
@@ -87,7 +93,7 @@
     } else if (result.kind === 'conflict' || result.kind === 'unknown') await this.reread(run);
   }
 
-  /** Somebody else wrote, or a write of unknown outcome was applied: what is stored decides. */
+  /** Reads the record again after a conflict or a write of unknown outcome: the stored record is authoritative. */
   async reread(run: JobRun): Promise<void> {
     const key = jobKey(run.id);
     const read = await reread(this.held.deps.state, this.held.deps.mirror, key);
--- a/src/holder/teamneeds.ts
+++ b/src/holder/teamneeds.ts
@@ -3,22 +3,23 @@
 import { NO_NEED, plus, times, type Amount, type TeamNeed } from '../quota/index.js';
 import type { TeamUse } from '../placement/index.js';
 
-/** A job that has tasks to be started. */
+/** A job with tasks that wait to be started. */
 export interface WaitingJob {
   readonly spec: JobSpec;
-  /** Tasks that are neither done nor possibly on a machine. */
+  /** Number of tasks that are neither done nor possibly on a machine. */
   readonly missing: number;
   readonly waitedMs: Millis;
 }
 
-const unitOf = ({ spec }: WaitingJob): Amount => times(spec, spec.kind === 'gang' ? spec.tasks : 1);
+/** The smallest amount that lets the job start something: one task, or a whole gang. */
+const startUnit = ({ spec }: WaitingJob): Amount => times(spec, spec.kind === 'gang' ? spec.tasks : 1);
 
-/** Does `a` go before `b`? */
+/** Whether `a` is served before `b`: by priority, then by waiting time. */
 const before = (a: WaitingJob, b: Pick<TeamNeed, 'priority' | 'waitedMs'>): boolean =>
   a.spec.priority > b.priority || (a.spec.priority === b.priority && a.waitedMs > b.waitedMs);
 
-/** What limited teams use and wait for in a shard. Pure. */
-export function teamNeeds(
+/** Computes what teams with a limit use and wait for in a shard. Pure. */
+export function computeTeamNeeds(
   use: ReadonlyMap<string, TeamUse>,
   waiting: Iterable<WaitingJob>,
 ): ReadonlyMap<string, TeamNeed> {
@@ -34,7 +35,7 @@
       use: known.use,
       waiting: plus(known.waiting, times(job.spec, job.missing)),
       ...(first
-        ? { unit: unitOf(job), priority, waitedMs: job.waitedMs }
+        ? { unit: startUnit(job), priority, waitedMs: job.waitedMs }
         : { unit: known.unit, priority: known.priority, waitedMs: known.waitedMs }),
     });
   }
--- a/src/holder/teamuse.ts
+++ b/src/holder/teamuse.ts
@@ -4,30 +4,31 @@
 import type { TeamUse } from '../placement/index.js';
 import type { MachineBelief } from '../workers/index.js';
 
-/** What may be on a machine, and what its holder has put there. */
+/** Tasks that may be on a machine, and those that its holder has started or adopted there. */
 export interface MachineTasks {
   readonly belief: Pick<MachineBelief, 'tasks' | 'pendingStarts'>;
   readonly active: ReadonlyMap<TaskKey, unknown>;
 }
 
-export interface TeamAccount {
-  /** Only teams with a limit; everything possibly there counts. */
+/** Possible resource use of teams with a limit. */
+export interface LimitedTeamUse {
+  /** Use by team, for teams with a limit only. Every task that may be on a machine counts. */
   readonly use: ReadonlyMap<string, TeamUse>;
-  /** Tasks that may be at work and whose job nobody here knows any more. */
+  /** Number of tasks that may be running and whose job is unknown here. */
   readonly unknown: number;
 }
 
 /**
- * What teams with a limit may be using. A task whose job isn't known may be any team's and of any size: until it is gone,
- * teams with a limit use all of it. After a claim, jobs that were cancelled before it are unknown to the new holder while
- * their tasks are listed, on machines that hang or are cut off before the stop is executed: they counted for nothing,
- * and the next start of a team at its limit went beyond it. Pure.
+ * Computes what teams with a limit may be using. A task of an unknown job may belong to any team and be of any size, so
+ * while there is one, every team with a limit counts as using all of it. Such tasks occur after a claim: jobs cancelled
+ * before it are unknown to the new holder, but machines that hang or are cut off before the stop is executed still list
+ * their tasks. When these did not count, the next start of a team at its limit exceeded the limit. Pure.
  */
-export function teamUse(
+export function computeTeamUse(
   teams: ReadonlyMap<string, TeamFacts>,
   machines: Iterable<MachineTasks>,
   specOf: (id: JobId) => JobSpec | null,
-): TeamAccount {
+): LimitedTeamUse {
   const use = new Map<string, { cpus: number; gpus: number; cpusMax: number; gpusMax: number }>();
   for (const [name, { cpusMax, gpusMax }] of teams)
     if (cpusMax > 0 || gpusMax > 0) use.set(name, { cpus: 0, gpus: 0, cpusMax, gpusMax });
@@ -35,8 +36,8 @@
   let unknown = 0;
   for (const { belief, active } of machines) {
     const keys = new Set<TaskKey>(belief.pendingStarts.keys());
-    // Planned a moment ago, and its command is about to be sent. Found by the region: shares were looked at in between,
-    // and one was given away that such a start was already using.
+    // These include tasks that are planned but whose command is not sent yet. Without them, a share that such a start
+    // was already using was given away (found by the region simulator, which evaluates shares in between).
     for (const key of active.keys()) keys.add(key);
     for (const [key, listed] of belief.tasks) if (listed.state !== 'exited') keys.add(key);
     for (const key of keys) {
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { decodeSettings, encodeSettings, mark, SettingsStore } from '../src/admin/index.js';
-import { JobRun, planGroup } from '../src/holder/index.js';
+import { JobRun, planGroupedProgress } from '../src/holder/index.js';
 import {
   decodeFinal,
   decodeRecord,
@@ -133,7 +133,7 @@
         run.ended = ended;
         return run;
       });
-      const { jobs: grouped, own } = planGroup(runs, room);
+      const { jobs: grouped, own } = planGroupedProgress(runs, room);
       const stored = asStored(encodeGrouped({ by: incarnation('a'), jobs: grouped }));
       assert.ok(Buffer.byteLength(JSON.stringify(stored['jobs'])) <= room + 2);
       for (const run of runs) {
--- a/test/suspects.test.ts
+++ b/test/suspects.test.ts
@@ -70,14 +70,14 @@
   );
   for (let i = 0; i < 3; i++) machine.noteFailure(jobId('j-bad'), millis(1));
   assert.ok(machine.faulty(millis(1)));
-  machine.absolve(jobId('j-bad'));
+  machine.clearFailuresOf(jobId('j-bad'));
   assert.equal(machine.faulty(millis(1)), false);
   machine.noteFailure(jobId('j-1'), millis(1));
   machine.noteFailure(jobId('j-2'), millis(1));
   assert.ok(machine.faulty(millis(1)));
-  machine.absolve(jobId('j-1'));
-  machine.absolve(jobId('j-2'));
-  machine.condemn(millis(5));
+  machine.clearFailuresOf(jobId('j-1'));
+  machine.clearFailuresOf(jobId('j-2'));
+  machine.markFaulty(millis(5));
   assert.ok(machine.faulty(millis(5)));
   assert.equal(machine.faulty(millis(400_000)), false);
 });
--- a/test/teamuse.test.ts
+++ b/test/teamuse.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { teamUse } from '../src/holder/index.js';
+import { computeTeamUse } from '../src/holder/index.js';
 import {
   attempt,
   jobId,
@@ -48,14 +48,14 @@
   const belief = listing(['j-tight', 0, 'running']);
   const key = taskKey(jobId('j-tight'), 1);
   const machine = { belief, active: new Map([[key, 'planned']]) };
-  assert.equal(teamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
+  assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
   belief.noteStart(key, attempt(2));
-  assert.equal(teamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
+  assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
 });
 
 /** How many tasks of the team at its limit a plan starts, with room for all of them. */
 function startsWith(...beliefs: MachineBelief[]): number {
-  const { use } = teamUse(TEAMS, beliefs.map(onMachine), specOf);
+  const { use } = computeTeamUse(TEAMS, beliefs.map(onMachine), specOf);
   const of = KNOWN.get(jobId('j-tight'));
   assert.ok(of);
   const machine = {
@@ -80,7 +80,7 @@
 test('what is possibly there counts for a team with a limit; what has exited and other teams do not', () => {
   const belief = listing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
   belief.noteStart(taskKey(jobId('j-tight'), 2), attempt(2));
-  const { use, unknown } = teamUse(TEAMS, [onMachine(belief)], specOf);
+  const { use, unknown } = computeTeamUse(TEAMS, [onMachine(belief)], specOf);
   assert.deepEqual([...use], [['tight', { cpus: 2, gpus: 0, cpusMax: 4, gpusMax: 0 }]]);
   assert.equal(unknown, 0);
   assert.equal(startsWith(belief), 2);
