--- a/src/holder/accounts.ts
+++ b/src/holder/accounts.ts
@@ -44,6 +44,7 @@
     return use;
   }
 
+  /** Records how many tasks of unknown jobs there are, and logs when that starts or ceases to block teams. */
   private noteUnknownTasks(unknown: number, teams: readonly string[]): void {
     if (unknown > 0 !== this.blockingUnknownTasks > 0)
       this.held.deps.log.info(
@@ -55,9 +56,7 @@
     this.blockingUnknownTasks = unknown;
   }
 
-  /**
-   * What teams with a limit use and wait for here. `shareBound`: what the last plan would start given a larger share.
-   */
+  /** What teams with a limit use and wait for. `shareBound`: what the last plan would start given a larger share. */
   needs(shareBound: readonly { readonly job: JobId; readonly count: number }[]): ReadonlyMap<string, TeamNeed> {
     const wall = this.held.deps.runtime.wall();
     const waiting: WaitingJob[] = [];
@@ -82,10 +81,7 @@
     return limitOf(settings.teams.get(team)) !== null && quotas.account(team) !== this.held.shard;
   }
 
-  /**
-   * Once limits are no longer shared, stops the work of teams whose limit is assigned elsewhere and moves the jobs
-   * there.
-   */
+  /** Stops the work of teams whose limit is assigned elsewhere, once limits are not shared, and moves it there. */
   relocateForeignWork(move: (run: JobRun) => void): void {
     for (const run of this.held.jobs.values()) {
       if (run.ended || run.complete || !this.isAccountedElsewhere(run.spec.team)) continue;
--- a/src/holder/booking.ts
+++ b/src/holder/booking.ts
@@ -7,10 +7,7 @@
 
 /** Resources of a machine that its possible tasks occupy. Cached until something on the machine changes. */
 export interface Booking {
-  /**
-   * `generation`, `type` and `at` are the inputs: the booking is out of date when the first two differ or it is too
-   * old.
-   */
+  /** `generation`, `type` and `at` are inputs. The booking is out of date once `generation` or `type` differ. */
   readonly generation: number;
   readonly type: MachineType;
   readonly at: Millis;
@@ -26,21 +23,16 @@
   /** Resources of array tasks below production priority: arrays share them, and yield them to services. */
   readonly yieldCpus: number;
   readonly yieldMemoryGb: number;
-  /**
-   * False when the machine is idle. One with accelerators is idle while none is used and only arrays occupy its CPUs.
-   */
+  /** False when idle. A machine with accelerators is idle while none is used and only arrays occupy its CPUs. */
   readonly inUse: boolean;
 }
 
 /**
- * Whether a job keeps a machine with accelerators from being returned. Services do, as replicas are not stopped for
- * that.
+ * Whether a job keeps a machine with accelerators from being returned. Services do: replicas are not stopped for it.
  */
 export const keepsGpuMachineInUse = (spec: JobSpec): boolean => spec.gpus > 0 || spec.kind === 'service';
 
-/**
- * Run time that stopping a task now would lose, in seconds: on average half a checkpoint interval if it checkpoints.
- */
+/** Run time that a stop would lose, in seconds: half a checkpoint interval on average for a task that checkpoints. */
 function preemptionLossS(spec: JobSpec, active: ActiveTask | undefined, now: Millis): number {
   const ranS = active?.runningAt == null ? 0 : (now - active.runningAt) / 1000;
   return spec.checkpointS > 0 ? Math.min(ranS, spec.checkpointS / 2) : ranS;
--- a/src/holder/departures.ts
+++ b/src/holder/departures.ts
@@ -37,6 +37,7 @@
     }
   }
 
+  /** Whether a task must be stopped on a machine that is reclaimed in `leftS` seconds. */
   private mustStop(run: JobRun, active: ActiveTask, leftS: number, now: Millis): boolean {
     const expectedLeftS = run.expectedRunS - (now - (active.runningAt ?? now)) / 1000;
     return mustLeave(run.spec, active.state === 'running', expectedLeftS, leftS);
--- a/src/holder/deps.ts
+++ b/src/holder/deps.ts
@@ -44,12 +44,12 @@
   readonly trail: Trail | null;
   /** Known machine types, by name. */
   types(): ReadonlyMap<string, MachineType>;
+  /** Current operator settings. */
   operator(): OperatorView;
   /** Earliest time at which another node can have claimed this node's shards. */
   heldUntil(): Millis;
   /**
-   * True while no other node can have claimed this node's shards, including by a claim that the watch has not delivered
-   * yet.
+   * True while no other node can have claimed this node's shards, not even by a claim that the watch has yet to show.
    */
   certain(): boolean;
   /** State of jobs that depend on other jobs. */
--- a/src/holder/exits.ts
+++ b/src/holder/exits.ts
@@ -34,8 +34,8 @@
     // minute after a restart there were stragglers everywhere, and healthy machines were marked faulty and returned.
     if (active?.runningAt != null && !active.adopted && spec.kind === 'array') {
       const ranS = (now - active.runningAt) / 1000;
-      const typical = run.medianRunS;
-      if (typical !== null && typical > 1 && run.finishedRunsS.length >= 3) machine.noteRun(ranS / typical);
+      const medianRunS = run.medianRunS;
+      if (medianRunS !== null && medianRunS > 1 && run.finishedRunsS.length >= 3) machine.noteRun(ranS / medianRunS);
       run.noteRun(ranS);
     }
     held.soon();
@@ -46,9 +46,7 @@
   if (active) held.release(machine, run, active, listed.why ?? 'exited');
 }
 
-/**
- * Attributes a failure to the machine or to the job. A job that fails on several machines does not count against any.
- */
+/** Attributes a failure to the machine or the job. A job that fails on several machines counts against none of them. */
 function recordFailure(held: ExitContext, machine: HeldMachine, run: JobRun, index: number, now: Millis): void {
   const { log, runtime, trail } = held.deps;
   const before = run.failsEverywhere;
--- a/src/holder/forgetting.ts
+++ b/src/holder/forgetting.ts
@@ -3,6 +3,7 @@
 import type { HeldMachine } from './machine.js';
 import type { JobRun } from './run.js';
 
+/** Forget orders that are sent together while the machine is in use. */
 const MIN_FORGET_BATCH = 6;
 
 /**
--- a/src/holder/grouping.ts
+++ b/src/holder/grouping.ts
@@ -5,10 +5,7 @@
 import { applyGroupedProgress } from './recall.js';
 import type { JobRun } from './run.js';
 
-/**
- * Writing the group is one change however many jobs it holds. At 1000 ms it took more changes than 30 jobs' own
- * records.
- */
+/** A write of the group is one change for any number of jobs. At 1000 ms it took more changes than 30 jobs' records. */
 const GROUP_WRITE_INTERVAL_MS = 2000;
 /** Larger jobs keep their progress in their own records, as each write of the group contains all of it. */
 const MAX_TASKS_PER_GROUPED_JOB = 4000;
@@ -96,9 +93,11 @@
     return false;
   }
 
+  /** Jobs that did not fit into the last planned group. */
   private own: ReadonlySet<JobRun> = new Set();
   private readonly needsOwnWrite = (run: JobRun): boolean => this.own.has(run) && run.done.count > run.stored.count;
 
+  /** Writes the group and marks its tasks as stored. */
   private async write(jobs: ReadonlyMap<JobId, Bits>): Promise<void> {
     const { deps } = this.held;
     const value = encodeGrouped({ by: deps.incarnation, jobs });
@@ -117,6 +116,7 @@
     void this.put([{ remove: this.key }], undefined);
   }
 
+  /** Writes or removes the group under a guard on its known version. Returns whether that succeeded. */
   private async put(
     ops: readonly [{ readonly put: string; readonly value: unknown } | { readonly remove: string }],
     value: unknown,
--- a/src/holder/held.ts
+++ b/src/holder/held.ts
@@ -35,9 +35,7 @@
 export class HeldShard {
   readonly members: BlockMembers;
   readonly jobs = new Map<JobId, JobRun>();
-  /**
-   * Machines by task and by job. An index, because scanning a block means hundreds of machines and thousands of tasks.
-   */
+  /** Machines by task and job: scanning a block instead would mean hundreds of machines and thousands of tasks. */
   readonly taskIndex = new TaskIndex();
   /** Ended jobs whose tasks may still be on a machine. */
   readonly endedRuns = new Set<JobRun>();
@@ -52,10 +50,7 @@
   readonly machinesWithStops = new Set<HeldMachine>();
   /** Whether something that the placement plan depends on has changed since the last plan. */
   replan = true;
-  /**
-   * Machines of the block at the claim that have not acknowledged this holder's token: they may run tasks unknown to
-   * it.
-   */
+  /** Machines of the block at the claim that have not acknowledged this holder's token: they may run unknown tasks. */
   readonly unfencedMachines = new Set<MachineId>();
   /** When all earlier holders were known to have stopped sending commands; null while one may still send them. */
   predecessorsStoppedAt: Millis | null;
@@ -247,6 +242,7 @@
     this.stopAllTasks(run.id);
   }
 
+  /** Marks the machines that list tasks of an ended job, so that the next round stops these tasks. */
   private stopAllTasks(id: JobId): void {
     for (const name of this.taskIndex.machinesOfJob(id)) {
       const machine = this.machines.get(name);
@@ -267,7 +263,7 @@
 
   /**
    * Handles that a job has ended. Ended jobs never reopen, so the record is not read again: a read that failed while
-   * the state service refused only this node would lose the peer's message for good (found by the scenario `gap`).
+   * the state service refused only this node would lose the peer's message for good (found by the region test `gap`).
    */
   onOver(id: JobId): void {
     const run = this.jobs.get(id);
@@ -275,9 +271,7 @@
     else if (this.waiting.delete(id)) this.stopAllTasks(id);
   }
 
-  /**
-   * Handles a worker that has a higher token than this holder's: reads whether the shard was claimed by another node.
-   */
+  /** Handles a worker with a higher token than this holder's: reads whether another node has claimed the shard. */
   private superseded(machine: HeldMachine): void {
     this.deps.log.info(
       { shard: this.shard, machine: machine.id },
@@ -291,6 +285,7 @@
     const machine = this.members.present(message.machine);
     const now = this.deps.runtime.now();
     if (!machine || this.dropped) return { status: 421, body: encodeRedirect(null) };
+    // The next holder counts the worker's lease from the write that hands the shard or the machine over.
     if (this.frozen || (machine.leaving?.since ?? 0) < 0)
       return { status: 503, body: { error: 'the shard changes hands' } };
     // Another node may hold the shard by now, so this worker's lease must not be renewed.
@@ -396,6 +391,7 @@
     return this.bookingOf(machine, this.deps.runtime.now())?.inUse ?? !machine.belief.empty;
   }
 
+  /** Updates a tracked attempt from what its worker lists. */
   private onTaskState(machine: HeldMachine, run: JobRun, active: ActiveTask, listed: ListedTask, now: Millis): void {
     if (active.state !== listed.state) {
       active.state = listed.state;
@@ -420,8 +416,7 @@
     this.deps.trail?.note({ kind: 'left', job: run.id, index, attempt, machine: machine.id, why, ran });
     this.deps.log.debug({ job: run.id, index: active.index, machine: machine.id, why }, 'task left its machine');
     if (run.spec.kind === 'gang' && !run.done.has(active.index)) {
-      // A gang's attempt fails as a whole: running tasks exit by themselves and the others are stopped. Then all start
-      // again.
+      // A gang's attempt fails as a whole: running tasks exit by themselves, the others are stopped, then all restart.
       for (const other of run.active.values()) if (other.state !== 'running') this.stop(run, other, 'regroup');
     }
     this.soon();
@@ -462,7 +457,10 @@
     return stored ? decodeSpec(stored.value) : this.specOf(id);
   };
 
-  /** Grace period, in seconds, with which a listed task has to be stopped; null when it may stay. */
+  /**
+   * Grace period, in seconds, with which a listed task has to be stopped; null when it may stay. The grace period is
+   * dropped once the stop has taken longer than it, the wait for other gang members and 5 s.
+   */
   stopGraceS(machine: HeldMachine, listed: ListedTask, now: Millis): number | null {
     const run = this.jobs.get(listed.job);
     if (this.isUnmanaged(listed.job)) return null;
--- a/src/holder/holder.ts
+++ b/src/holder/holder.ts
@@ -1,7 +1,7 @@
 import { TeamQuotaTracker } from './accounts.js';
 import { TaskEvictor } from './departures.js';
 import { HeldShard } from './held.js';
-import { missingLeaseExpiresAt } from './members.js';
+import { missingMachineEmptyAt } from './members.js';
 import { Moves } from './moves.js';
 import { TaskPlacer } from './starts.js';
 import { RecordStore } from './store.js';
@@ -23,13 +23,12 @@
 
 /** Interval of the checks that depend on time alone, such as lease expiry, regardless of the reports in between. */
 const SWEEP_INTERVAL_MS = 250;
-/**
- * After a claim, fewer than one unfenced machine in this many may be given up before the workers' lease time is over.
- */
+/** After a claim, unfenced machines may be given up early when they are fewer than one in this many machines. */
 const MIN_MACHINES_PER_SILENT = 10;
 /** Failed commands, and time since the claim, after which such a machine is given up. */
 const SILENT_AFTER_FAILED_COMMANDS = 3;
 const SILENT_AFTER_MS = 3000;
+/** A stop order is repeated at this interval until the worker lists the task as saving or exited. */
 const STOP_RESEND_INTERVAL_MS = 2500;
 
 /**
@@ -56,10 +55,7 @@
     this.starts = new TaskPlacer(this, this.moves, this.teamQuotas);
   }
 
-  /**
-   * Starts to move a machine to another shard, or to return it (`to` is null), as the leader asks. It leaves once
-   * empty.
-   */
+  /** Starts to move a machine to another shard, or to return it if `to` is null; see `Moves.transfer`. */
   transfer(id: MachineId, to: ShardName | null): void {
     this.moves.transfer(id, to);
   }
@@ -121,7 +117,7 @@
       if (machine.lost) continue;
       if (this.unfencedMachines.has(machine.id) && this.predecessorsStoppedAt === null) continue;
       const at = machine.missing
-        ? missingLeaseExpiresAt(machine, leaseMs, reportMs)
+        ? missingMachineEmptyAt(machine, leaseMs, reportMs)
         : machine.belief.expiresAt(leaseMs);
       // Only this holder's answers can have renewed the worker's lease if no other node can have claimed the shard
       // until `at`.
@@ -252,15 +248,13 @@
     for (const machine of present) {
       const booking = this.bookingOf(machine, now);
       const silentMs = now - machine.belief.lastHeardAt;
-      // It has not acknowledged the token since the claim: it may run cancelled tasks, and jobs from before the claim
-      // wait for it.
+      // It has not acknowledged the token since the claim: it may run cancelled tasks, and earlier jobs wait for it.
       const unknown = this.unfencedMachines.has(machine.id) && this.isGivenUp(machine, now);
       // It neither reports nor answers commands. As most other machines of the block do, this node's own network is not
       // the cause.
       const unreachable =
         machine.commandSender.failures >= 2 && silentMs > 2 * reportMs + 1500 && heardLately * 2 > present.length;
-      // It answers commands but its reports reach no controller, while those of most other machines do: its leases
-      // always expire.
+      // It answers commands but its reports reach no controller, while most other machines' do: its leases expire.
       const unreportedMs = now - machine.belief.lastReportAt;
       const answers = silentMs < 2.5 * reportMs;
       const unreporting = answers && unreportedMs > leaseMs + 2 * reportMs && reportedLately * 2 > present.length;
@@ -285,8 +279,7 @@
         yieldMemoryGb: booking?.yieldMemoryGb ?? 0,
         idleMs: this.inUse(machine) ? 0 : now - machine.emptySince,
         empty: machine.belief.empty,
-        // Peers move jobs and machines based on this. A machine that is reported usable but is not makes jobs move in
-        // circles.
+        // Peers move jobs and machines based on this. If it were true of unusable machines, jobs would move in circles.
         usable: booking?.known === true && this.starts.acceptsTasks(machine, now),
         lost,
         faulty: machine.faulty(now),
--- a/src/holder/machine.ts
+++ b/src/holder/machine.ts
@@ -30,7 +30,9 @@
   readonly stopSentAt = new Map<TaskKey, Millis>();
   private images: string[] = [];
   private failures: Failure[] = [];
+  /** Moving average of task run times relative to the median of their job. */
   private slowness = 1;
+  /** Number of run times in `slowness`. */
   private runs = 0;
   /** When the cloud provider reclaims the machine, if it has given notice. */
   noticeUntil: Millis | null = null;
@@ -44,6 +46,7 @@
   lost = false;
   /** Since when it has listed tasks of ended jobs; null when it lists none. */
   leftoversSince: Millis | null = null;
+  /** Whether the warning about such tasks has been logged. */
   leftoversLogged = false;
   /** When it was last reported as lost, which makes the leader delete it. */
   givenUpAt: Millis | null = null;
@@ -100,9 +103,7 @@
     this.failures = this.failures.filter((failure) => failure.job !== job);
   }
 
-  /**
-   * Takes over the previous holder's verdict that the machine is faulty. It expires like failures seen by this holder.
-   */
+  /** Takes over the previous holder's verdict that the machine is faulty; it expires like other failures. */
   markFaulty(now: Millis): void {
     for (const n of ['1', '2', '3']) this.failures.push({ job: `earlier-${n}` as JobId, at: now });
   }
--- a/src/holder/members.ts
+++ b/src/holder/members.ts
@@ -5,10 +5,7 @@
 
 /** Time within which a machine that this holder has given up is deleted and removed from the block. */
 const GIVEN_UP_VALID_MS = 30_000;
-/**
- * Report intervals after which the current holder of a missing machine has stopped the tasks there that it doesn't
- * know.
- */
+/** Report intervals after which the new holder of a missing machine has stopped the tasks that it does not know. */
 const REPORTS_UNTIL_STOPPED = 2;
 /** Maximum number of machines named in a log line. */
 const MAX_MACHINES_LOGGED = 20;
@@ -27,13 +24,13 @@
 }
 
 /**
- * When no task of this shard can run on a missing machine any more: its lease has expired, or its current holder has
+ * When no task of this shard can run on a missing machine any more: its lease has expired, or its new holder has
  * stopped the tasks that it does not know.
  */
-export const missingLeaseExpiresAt = (machine: HeldMachine, leaseMs: number, reportMs: number): Millis =>
+export const missingMachineEmptyAt = (machine: HeldMachine, leaseMs: number, reportMs: number): Millis =>
   millis(machine.belief.expiresAt(leaseMs) + REPORTS_UNTIL_STOPPED * reportMs);
 
-/** Key and revision of the change in the state service that adds or removes machines. */
+/** Key and revision of a change in the state service that adds or removes machines. */
 export interface BlockSource {
   readonly key: string;
   readonly revision: Revision;
@@ -128,12 +125,14 @@
     return machine;
   }
 
+  /** Takes back a machine that was missing, with tokens above all that other holders used for it in between. */
   private rejoin(machine: HeldMachine, revision: Revision): HeldMachine {
     machine.missing = false;
     machine.belief.rebase(revision);
     return machine;
   }
 
+  /** Removes machines that are no longer in the block, or marks them as missing if tasks may still run there. */
   private removeMachines(wanted: ReadonlySet<MachineId>): {
     readonly left: ReadonlyMap<DepartureProof, MachineTaskCount[]>;
     readonly gone: MachineTaskCount[];
@@ -159,7 +158,7 @@
     return { left, gone };
   }
 
-  /** Removes a missing machine whose lease has expired: no task can run there any more. */
+  /** Removes a missing machine after its lease: no task of this shard can run there any more. */
   expire(machine: HeldMachine): void {
     this.deps.log.info({ shard: this.shard, machine: machine.id }, 'lease of a missing machine has expired');
     this.drop(machine, 'lease over');
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -63,7 +63,7 @@
         if (result.kind === 'ok') {
           this.held.deps.log.info(
             { job: run.id, from: this.held.shard, to },
-            'moving a waiting job to a shard with capacity',
+            'moved a waiting job to a shard with capacity',
           );
           this.held.deps.mirror.apply({ key, value, removed: false, version: result.revision });
           return;
@@ -134,6 +134,7 @@
     });
   }
 
+  /** Writes the transfer of machines to another shard, or their return. */
   private async moveMachines(machines: readonly HeldMachine[], to: ShardName | null): Promise<void> {
     const { mirror, state, log, directory } = this.held.deps;
     const own = directory.all.get(this.held.shard);
--- a/src/holder/run.ts
+++ b/src/holder/run.ts
@@ -22,11 +22,15 @@
   readonly index: number;
   readonly machine: MachineId;
   readonly attempt: Attempt;
+  /** When the start was planned, or the task was adopted. */
   readonly orderedAt: Millis;
   /** Whether an earlier holder started it. Its start time and so its run time are unknown. */
   readonly adopted: boolean;
+  /** State that its worker last listed; 'ordered' until then. */
   state: TaskState | 'ordered';
+  /** When it was first seen running. */
   runningAt: Millis | null;
+  /** Set once it is to be stopped. */
   stopping: { readonly reason: StopReason; readonly since: Millis; readonly graceS: number } | null;
 }
 
@@ -39,7 +43,7 @@
 /** Retry backoff of a job that fails on every machine. */
 const INITIAL_BACKOFF_MS = 2000;
 const MAX_BACKOFF_MS = 60_000;
-/** Number of recent run times that the median is taken of. */
+/** Number of recent run times from which the median is computed. */
 const MAX_RECORDED_RUNS = 100;
 const NO_MACHINES: ReadonlySet<MachineId> = new Set();
 const NO_PIPELINES = { inherited: (): null => null, readyAt: (): null => null };
@@ -54,11 +58,15 @@
   stored: Bits;
   /** The job is done or cancelled: any task that is still on a machine is stopped. */
   ended = false;
+  /** A write of the job's record is in flight. */
   storeInProgress = false;
+  /** When the last write of the job's record ended. */
   lastStoredAt: Millis;
+  /** When a task was first seen running. */
   startedAt: Millis | null = null;
   /** Machines on which a task of the job has failed. */
   readonly errorMachines = new Set<MachineId>();
+  /** No task is started before this time. */
   notBefore: Millis;
   /** Number of failed retries in a row since the job was first considered at fault. */
   private failedRetries = 0;
@@ -96,7 +104,9 @@
   constructor(
     public record: JobRecord,
     public version: Revision,
+    /** Revision at which the job was created; rewrites and moves of the record keep it. */
     readonly born: Revision,
+    /** When this holder learned of the job. */
     readonly seenAt: Millis,
     private readonly pipelines: Pick<Pipelines, 'inherited' | 'readyAt'> = NO_PIPELINES,
   ) {
@@ -111,9 +121,7 @@
     return this.record.spec.id;
   }
 
-  /**
-   * The submitted spec, with the priority and deadline inherited from dependent jobs where these are higher or earlier.
-   */
+  /** The submitted spec, with the priority and deadline of dependent jobs where these are higher or earlier. */
   get spec(): JobSpec {
     const inherited = this.pipelines.inherited(this.id);
     if (!inherited) return this.record.spec;
@@ -165,6 +173,7 @@
     return this.spec.kind !== 'service' && this.done.count >= this.spec.tasks;
   }
 
+  /** Number of tasks that are running. */
   get runningCount(): number {
     let running = 0;
     for (const task of this.active.values()) if (task.state === 'running') running += 1;
@@ -195,9 +204,7 @@
     this.notBefore = millis(now + backoffMs * (0.75 + jitter / 2));
   }
 
-  /**
-   * Avoids a machine after a failure or a restart there: one that fails every task at once always has free capacity.
-   */
+  /** Avoids a machine after a failure or restart there: one that fails tasks at once always has free capacity. */
   avoidMachine(machine: MachineId, now: Millis): void {
     this.avoid.set(machine, millis(now + AVOID_MACHINE_MS));
   }
--- a/src/holder/starts.ts
+++ b/src/holder/starts.ts
@@ -35,9 +35,10 @@
 const MAX_READY_TASKS = 100;
 /** A job takes on its dependents' full priority once its deadline leaves less time than this beyond its own run. */
 const INHERIT_PRIORITY_SLACK_S = 40;
-/** Limits on moving waiting jobs to other shards; see `Moves.moveJob`. */
+/** Limits on moving waiting jobs to other shards: minimum time between attempts for a job, and attempts per round. */
 const JOB_MOVE_RETRY_MS = 1500;
 const MAX_JOB_MOVES_PER_ROUND = 2;
+/** A job has to wait this long before it is moved. */
 const JOB_MOVE_AFTER_MS = 1200;
 /** The trail records waits that last this long, and a plan at this interval. */
 const WAIT_EVENT_AFTER_MS = 1000;
@@ -51,6 +52,7 @@
   demand: DemandSummary[] = [];
   /** Tasks that the last plan would start if their team had a larger share of its limit here. */
   shareBound: readonly Unplaced[] = [];
+  /** Largest task with accelerators seen so far, by resource. */
   private largestGpuTask: Reserve | null = null;
   private lastPlanEventAt: Millis | null = null;
 
@@ -158,8 +160,8 @@
     const pending: PendingJob[] = [];
     for (const run of this.held.jobs.values()) {
       if (run.missing <= 0 || run.ended || run.moving || run.complete || now < run.notBefore) continue;
-      // After a claim, tasks that the earlier holder may have started are not started again before all machines are
-      // fenced.
+      // After a claim, tasks that the earlier holder may have started are not started before all machines are fenced.
+      // Teams with a limit wait as well, because their use is not known until then.
       if (this.held.unfencedMachines.size > 0 && (run.born <= this.held.claimedAt || teams.has(run.spec.team)))
         continue;
       // This node accepted the job, possibly after another node's claim that the watch has not delivered yet: the
--- a/src/holder/store.ts
+++ b/src/holder/store.ts
@@ -7,10 +7,7 @@
 
 /** Minimum time between progress writes of one job. */
 const PROGRESS_WRITE_INTERVAL_MS = 1500;
-/**
- * Jobs whose progress is written at a time. Others wait here rather than in a queue, so their next write has their
- * latest progress.
- */
+/** Jobs whose progress is written at a time. The others wait, so that their next write has their latest progress. */
 const MAX_CONCURRENT_PROGRESS_WRITES = 2;
 /** Delay before a failed write of a completion is retried. */
 const FINISH_RETRY_MS = 400;
@@ -18,6 +15,7 @@
 /** Writes completions and progress of a shard's jobs to the state service. */
 export class RecordStore {
   private progressWrites = 0;
+  /** Progress that is stored for all jobs of the shard in one record. */
   readonly grouped: GroupedProgress;
 
   constructor(private readonly held: HeldShard) {
@@ -59,6 +57,7 @@
     }
   }
 
+  /** Writes the completion of a job. */
   private async finish(run: JobRun): Promise<void> {
     const result = await this.held.deps.registry.end(
       run.id,
@@ -75,6 +74,7 @@
     if (result === 'conflict') await this.reread(run);
   }
 
+  /** Writes the done tasks of a job to its own record. */
   private async storeProgress(run: JobRun): Promise<void> {
     const done = run.done.copy();
     const record = { ...run.record, done };
--- a/src/holder/teamuse.ts
+++ b/src/holder/teamuse.ts
@@ -37,7 +37,7 @@
   for (const { belief, active } of machines) {
     const keys = new Set<TaskKey>(belief.pendingStarts.keys());
     // These include tasks that are planned but whose command is not sent yet. Without them, a share that such a start
-    // was already using was given away (found by the region simulator, which evaluates shares in between).
+    // was already using was given away (found by the region simulation, when shares were evaluated in between).
     for (const key of active.keys()) keys.add(key);
     for (const [key, listed] of belief.tasks) if (listed.state !== 'exited') keys.add(key);
     for (const key of keys) {
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -35,14 +35,14 @@
 });
 const runOf = (tasks: number, id = 'j-1'): JobRun => new JobRun(record(tasks, id), revision(1), revision(1), millis(0));
 
-/** What a later release may have put there, under names that this one doesn't use. */
+/** Fields that a later release may have added, under names that this release doesn't use. */
 const added = fc.dictionary(
   fc.string({ minLength: 1, maxLength: 6 }).map((name) => `x${name}`),
   fc.jsonValue({ maxDepth: 2 }),
   { maxKeys: 4 },
 );
 
-test('records of every kind keep the fields that this release does not know', () => {
+test('records of every kind keep fields that this release does not know', () => {
   fc.assert(
     fc.property(added, (later) => {
       const kinds: [unknown, (value: unknown) => unknown][] = [
@@ -54,32 +54,32 @@
         ],
       ];
       for (const [stored, rewrite] of kinds) {
-        const grown = asStored({ ...(stored as object), ...later });
-        assert.deepEqual(asStored(rewrite(grown)), grown);
+        const extended = asStored({ ...(stored as object), ...later });
+        assert.deepEqual(asStored(rewrite(extended)), extended);
       }
     }),
     { seed: 3, numRuns: 200 },
   );
 });
 
-test('a record of a later version is not read, whatever else it says; what says no version is of the first', () => {
+test('a record of a later format version is not decoded; a record without a version has the first', () => {
   assert.deepEqual([undefined, {}, { v: 'x' }, { v: 0 }, { v: 1.5 }, { v: 3 }].map(formatOf), [1, 1, 1, 1, 1, 3]);
   assert.equal(decodeShard({ ...asStored(encodeShard(shard)), v: 3 }), null);
   assert.ok(decodeShard({ ...asStored(encodeShard(shard)), v: 1 }));
   assert.equal(decodeRecord({ ...asStored(encodeRecord(record(3))), v: 3 }), null);
   assert.equal(writerOf({ v: 2, by: 'a', jobs: {} }), null);
   assert.equal(groupedOf({ v: 2, by: 'a', jobs: { 'j-1': '/w==' } }, jobId('j-1'), 8), null);
-  // Finals are for ever.
+  // Final records are kept forever, so every release decodes them whatever their version.
   assert.deepEqual(decodeFinal({ v: 9, phase: 'done', done: 3, more: 1 }), { phase: 'done', done: 3, at: null });
 });
 
-test('a tunable of a later release costs none of the others', () => {
+test('an unknown tunable of a later release is kept, and the known ones are still decoded', () => {
   const settings = decodeSettings({ tunables: { alpha: 0.125, gamma: 7 }, cordoned: ['m-1'] });
   assert.equal(settings.tunables.alpha, 0.125);
   assert.deepEqual((asStored(encodeSettings(settings))['tunables'] as { gamma?: number }).gamma, 7);
 });
 
-test('settings of a later release are not written over, and what was known of them last goes on', async () => {
+test('settings of a later release are not overwritten, and the last known settings stay in force', async () => {
   const lab = new Lab();
   const { model, at } = lab.state();
   const runtime = lab.process('10.0.0.1');
@@ -98,7 +98,7 @@
   assert.deepEqual(model.get(SETTINGS), later);
 });
 
-test('sets of task numbers: members and unions as a plain set has them', () => {
+test('bit sets of task numbers have the same members and unions as plain sets', () => {
   const numbers = fc.array(fc.integer({ min: 0, max: 69 }));
   const bitsOf = (list: readonly number[]): Bits => {
     const bits = Bits.empty(70);
@@ -116,7 +116,7 @@
   );
 });
 
-test('model: a group holds the oldest jobs that fit, all of what they have done, and never more than its room', () => {
+test('model: a progress group holds all done tasks of the oldest jobs that fit, and stays within its limit', () => {
   const jobs = fc.array(
     fc.record({
       tasks: fc.integer({ min: 1, max: 6000 }),
--- a/test/standins/jobs.ts
+++ b/test/standins/jobs.ts
@@ -1,7 +1,7 @@
 import { jobId } from '../../src/kernel/index.js';
 import { Priority, type JobSpec } from '../../src/jobs/index.js';
 
-/** A small array unless said otherwise. */
+/** Builds a job spec: by default a small array job with one task. */
 export function spec(over: Partial<Omit<JobSpec, 'id'>> & { id: string }): JobSpec {
   return {
     jobClass: 'c',
--- a/test/suspects.test.ts
+++ b/test/suspects.test.ts
@@ -27,7 +27,7 @@
 };
 const m = (n: number): ReturnType<typeof machineId> => machineId(`m-${n}`);
 
-test('a job that fails wherever it is tried pauses longer each time, counted once for all that fail together', () => {
+test('a job that fails on every machine is retried with exponential backoff; simultaneous failures count once', () => {
   const job = run({ id: 'j-1', tasks: 60 });
   const pauses: number[] = [];
   let now = 0;
@@ -38,24 +38,25 @@
   }
   assert.ok(job.failsEverywhere);
   assert.deepEqual(pauses, [2000, 4000, 8000, 16_000, 32_000, 60_000, 60_000, 60_000]);
-  // After early bad luck it still finishes, and is like any other from then on.
+  // One completed task shows that the job itself is not at fault.
   job.markDone(0);
   assert.equal(job.failsEverywhere, false);
 });
 
-test('bad machines make no suspect of a job whose tasks have run for a while', () => {
-  // A service on its third faulty machine must keep its place: it never finishes a task.
+test('a job with a task that has run for a while is not considered at fault when faulty machines fail it', () => {
+  // A service never completes a task, so only its run time shows that it works. It must not be placed last because of
+  // its third faulty machine.
   const job = run({ id: 'j-1', kind: 'service', tasks: 2 });
   const task = { index: 0, machine: m(9), attempt: 1, orderedAt: millis(0), state: 'running', stopping: null } as const;
   job.active.set(0, { ...task, runningAt: millis(0) } as never);
   for (let i = 0; i < 3; i++) job.noteError(m(i), millis(11_000), 0.5);
   assert.equal(job.failsEverywhere, false);
-  const young = run({ id: 'j-2', kind: 'service', tasks: 2 });
-  for (let i = 0; i < 3; i++) young.noteError(m(i), millis(11_000), 0.5);
-  assert.ok(young.failsEverywhere);
+  const newJob = run({ id: 'j-2', kind: 'service', tasks: 2 });
+  for (let i = 0; i < 3; i++) newJob.noteError(m(i), millis(11_000), 0.5);
+  assert.ok(newJob.failsEverywhere);
 });
 
-test('a machine is condemned by several jobs, absolved when the job was at fault, and handed on as faulty', () => {
+test('a machine is faulty if several jobs fail there or its previous holder says so, but not if the job was at fault', () => {
   const clock = { now: () => millis(0), wall: () => wallMillis(0) };
   const info = { id: m(1), type: 't', zone: 'z', spot: false, address: '' };
   const hooks = { heard: (): void => undefined, superseded: (): void => undefined };
@@ -82,7 +83,7 @@
   assert.equal(machine.faulty(millis(400_000)), false);
 });
 
-test('nothing gives way to a job that fails wherever it is tried, and it comes after all others', () => {
+test('a job that fails on every machine preempts nothing and is placed after all other jobs', () => {
   const view: MachineView = {
     id: m(1),
     type: 'small',
--- a/test/teamuse.test.ts
+++ b/test/teamuse.test.ts
@@ -21,14 +21,14 @@
   ['tight', { cpus: 0, cpusMax: 4, gpus: 0, gpusMax: 0 }],
   ['free', { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }],
 ]);
-const KNOWN = new Map([
+const SPECS = new Map([
   [jobId('j-tight'), spec({ id: 'j-tight', team: 'tight', cpus: 1, tasks: 8 })],
   [jobId('j-free'), spec({ id: 'j-free', team: 'free', cpus: 1 })],
 ]);
-const specOf = (id: JobId) => KNOWN.get(id) ?? null;
+const specOf = (id: JobId) => SPECS.get(id) ?? null;
 
-/** A machine whose worker has acknowledged the present holder and lists these tasks. */
-function listing(...tasks: readonly [string, number, ListedTask['state']][]): MachineBelief {
+/** The belief about a machine whose worker has acknowledged the current holder's token and lists these tasks. */
+function beliefListing(...tasks: readonly [string, number, ListedTask['state']][]): MachineBelief {
   const belief = new MachineBelief(revision(7), millis(0));
   const message = {
     ...{ machine: machineId('m'), type: 's', zone: 'z', spot: false, address: '', noticeS: null },
@@ -44,8 +44,8 @@
 
 const onMachine = (belief: MachineBelief) => ({ belief, active: new Map<TaskKey, unknown>() });
 
-test('a task that is planned counts before its command is sent, and once only after that', () => {
-  const belief = listing(['j-tight', 0, 'running']);
+test('a planned task counts before its command is sent, and is not counted twice afterwards', () => {
+  const belief = beliefListing(['j-tight', 0, 'running']);
   const key = taskKey(jobId('j-tight'), 1);
   const machine = { belief, active: new Map([[key, 'planned']]) };
   assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
@@ -53,10 +53,10 @@
   assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
 });
 
-/** How many tasks of the team at its limit a plan starts, with room for all of them. */
-function startsWith(...beliefs: MachineBelief[]): number {
+/** How many of eight tasks of the limited team a plan starts on a machine that has capacity for all of them. */
+function countStarts(...beliefs: MachineBelief[]): number {
   const { use } = computeTeamUse(TEAMS, beliefs.map(onMachine), specOf);
-  const of = KNOWN.get(jobId('j-tight'));
+  const of = SPECS.get(jobId('j-tight'));
   assert.ok(of);
   const machine = {
     ...{ id: machineId('room'), type: 's', zone: 'z', spot: false, cpus: 16, gpus: 0, memoryGb: 64 },
@@ -77,26 +77,26 @@
   return planPlacement(input).starts.length;
 }
 
-test('what is possibly there counts for a team with a limit; what has exited and other teams do not', () => {
-  const belief = listing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
+test('tasks that may be on a machine count against a team limit; exited tasks and other teams do not', () => {
+  const belief = beliefListing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
   belief.noteStart(taskKey(jobId('j-tight'), 2), attempt(2));
   const { use, unknown } = computeTeamUse(TEAMS, [onMachine(belief)], specOf);
   assert.deepEqual([...use], [['tight', { cpus: 2, gpus: 0, cpusMax: 4, gpusMax: 0 }]]);
   assert.equal(unknown, 0);
-  assert.equal(startsWith(belief), 2);
-  assert.equal(startsWith(listing()), 4);
+  assert.equal(countStarts(belief), 2);
+  assert.equal(countStarts(beliefListing()), 4);
 });
 
-test('a task of a job that nobody knows any more may be of any team and size: those with a limit start nothing', () => {
-  // Cancelled before the claim: acknowledged, and its machine hangs before the stop is executed.
-  const stuck = listing(['j-cancelled', 0, 'running']);
-  assert.equal(startsWith(stuck), 0);
-  assert.equal(startsWith(listing(), stuck), 0);
-  const pending = listing();
+test('teams with a limit start nothing while a task of an unknown job, of any team and size, may be running', () => {
+  // The job was cancelled before the claim. The worker acknowledged the new token but hung before executing the stop.
+  const stuck = beliefListing(['j-cancelled', 0, 'running']);
+  assert.equal(countStarts(stuck), 0);
+  assert.equal(countStarts(beliefListing(), stuck), 0);
+  const pending = beliefListing();
   pending.noteStart(taskKey(jobId('j-cancelled'), 0), attempt(3));
-  assert.equal(startsWith(pending), 0);
-  assert.equal(startsWith(listing(['j-cancelled', 0, 'exited'])), 4);
-  // Its lease is over: nothing is there.
+  assert.equal(countStarts(pending), 0);
+  assert.equal(countStarts(beliefListing(['j-cancelled', 0, 'exited'])), 4);
+  // Its lease has expired, so no task is on the machine.
   stuck.expire();
-  assert.equal(startsWith(stuck), 4);
+  assert.equal(countStarts(stuck), 4);
 });
