--- a/test/suspects.test.ts
+++ b/test/suspects.test.ts
@@ -56,7 +56,7 @@
   assert.ok(newJob.failsEverywhere);
 });
 
-test('a machine is faulty if several jobs fail there or its previous holder says so, but not if the job was at fault', () => {
+test('a machine is faulty if several jobs fail there or its last holder says so; a job at fault does not count', () => {
   const clock = { now: () => millis(0), wall: () => wallMillis(0) };
   const info = { id: m(1), type: 't', zone: 'z', spot: false, address: '' };
   const hooks = { heard: (): void => undefined, superseded: (): void => undefined };
