--- a/src/holder/booking.ts
+++ b/src/holder/booking.ts
@@ -5,7 +5,7 @@
 import type { ListedTask, MachineBelief } from '../workers/index.js';
 import type { ActiveTask, JobRun } from './run.js';
 
-/** Resources of a machine that its possible tasks occupy. Cached until something on the machine changes. */
+/** Free and used resources of a machine, given the tasks that may be on it. Cached until these change. */
 export interface Booking {
   /** `generation`, `type` and `at` are inputs. The booking is out of date once `generation` or `type` differ. */
   readonly generation: number;
--- a/src/holder/exits.ts
+++ b/src/holder/exits.ts
@@ -30,8 +30,8 @@
   const { index } = listed;
   if (listed.why === 'done' && run.markDone(index)) {
     machine.noteImage(spec.image);
-    // The run time of an adopted task is measured too short. Counted, it would make every later task look slow: half a
-    // minute after a restart there were stragglers everywhere, and healthy machines were marked faulty and returned.
+    // The run time of an adopted task is measured too short and would make all later tasks look slow: half a minute
+    // after a restart, there were stragglers everywhere, and healthy machines were marked faulty and returned.
     if (active?.runningAt != null && !active.adopted && spec.kind === 'array') {
       const ranS = (now - active.runningAt) / 1000;
       const medianRunS = run.medianRunS;
--- a/src/holder/index.ts
+++ b/src/holder/index.ts
@@ -1,3 +1,4 @@
+/** The holder of a shard: runs the shard's jobs on its block of machines. */
 export type { HolderDeps, OperatorView, ReportReply } from './deps.js';
 export * from './holder.js';
 export { HeldMachine } from './machine.js';
