--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -38,6 +38,7 @@
 import type { WorkerMessage } from '../workers/index.js';
 import { inCalls, kindKey, LEASE_POLICY, planLeases, type LooseMachine, type RentWish } from './plan.js';
 
+/** What the leader needs from the rest of the node. */
 export interface LeaderDeps {
   readonly self: NodeName;
   readonly state: StateClient;
@@ -45,73 +46,97 @@
   readonly cloud: CloudClient;
   readonly runtime: Runtime;
   readonly log: Logger;
-  /** null: nobody records. */
+  /** Event log of this node; null when events are not recorded. */
   readonly trail: Trail | null;
+  /** How far the cloud's list of machines may lag behind its actual state, in milliseconds. */
   readonly listLagMs: number;
   readonly shards: ShardDirectory;
+  /** Returns this node's term (the revision of the leader key), or null while it is not the leader. */
   leading(): Revision | null;
+  /** Returns the latest summary that each shard's holder has sent. */
   summaries(): readonly ShardSummary[];
-  /** Jobs that will be ready soon. */
+  /** Returns jobs whose prerequisites are expected to finish soon. */
   coming(): readonly Coming[];
+  /** Returns the machine types that the cloud offers, by name. */
   types(): ReadonlyMap<string, MachineType>;
+  /** Sends a message to another node, or handles it locally if the holder is this node. */
   tell(holder: NodeName, message: PeerMessage): void;
+  /** Requests another round of the leader soon. */
   nudge(): void;
 }
 
-interface Known {
+/** A machine that the cloud has listed or rented out, or whose worker has reported, during this term. */
+interface KnownMachine {
   readonly id: MachineId;
   type: string;
   zone: string;
   spot: boolean;
   rentedAt: Millis;
-  /** When its worker last reported without being in a block. */
+  /** When its worker last reported while the machine was in no block; null: never. */
   reportedAt: Millis | null;
+  /** Address of its worker; empty until the worker has reported. */
   address: string;
+  /** When the cloud's list last contained it; null: never. */
   listedAt: Millis | null;
   phase: Rental['phase'];
+  /** Its deletion has been requested, so it must not be leased. */
   doomed: boolean;
 }
 
-const LIST_EVERY_MS = 2500;
-const REFUSED_MS = 15_000;
-const TRANSFER_PAUSE_MS = 3000;
-/** How long the watch may take before a round is left out. */
-const SETTLED_WITHIN_MS = 1500;
-/** Pages written in one transaction. */
-const PAGES_AT_ONCE = 4;
-/** Of no epoch that any head names. */
+const LIST_INTERVAL_MS = 2500;
+/** How long a kind of machine is not requested again after the cloud had too few of it. */
+const REFUSED_KIND_BACKOFF_MS = 15_000;
+/** Minimum time between two transfer requests for the same machine. */
+const TRANSFER_RETRY_MS = 3000;
+/** How long a round waits for the watch to catch up before the round is skipped. */
+const CATCH_UP_TIMEOUT_MS = 1500;
+const MAX_PAGES_PER_TXN = 4;
+/** Written in place of a page that does not exist yet. Its epoch 0 is one that no head record refers to. */
 const EMPTY_PAGE = encodePage(0, []);
 
-/** The leader's duties: machine blocks, fleet size, price. Losing the leader costs only these. */
+/**
+ * The leader's tasks: leasing machines to the shards' blocks, and renting and returning machines to control the size
+ * and price of the fleet. A block is the set of machines that are leased to one shard. While there is no leader, only
+ * these tasks stop.
+ */
 export class Leader {
-  private readonly known = new Map<MachineId, Known>();
+  /** Machines known in this term, whether in a block or not. */
+  private readonly known = new Map<MachineId, KnownMachine>();
+  /** Kinds of machine that the cloud could not supply, with the time of the refusal. */
   private readonly refused = new Map<string, Millis>();
+  /** When a transfer or release of a machine was last requested from its holder, or a lost machine was deleted. */
   private readonly asked = new Map<MachineId, Millis>();
-  private readonly releasing = new Map<MachineId, Millis>();
-  /** Deleted for certain. Lists lag: what they still show of these is past. */
+  /** When the holder was asked to release an idle machine that is to be returned to the cloud. */
+  private readonly releaseAskedAt = new Map<MachineId, Millis>();
+  /**
+   * Machines that are certainly deleted. The cloud's lists lag and may still contain them; such entries are ignored.
+   */
   private readonly gone = new Set<MachineId>();
   private term: Revision | null = null;
-  private listAt = millis(-1e9);
+  private lastListAt = millis(-1e9);
+  /** Number of rent calls made by this process. */
   private requests = 0;
+  /** When the current term was first seen here. */
   private startedAt: Millis;
-  private listing = false;
-  private renting = false;
+  private listInFlight = false;
+  private rentInFlight = false;
 
   constructor(private readonly deps: LeaderDeps) {
     this.startedAt = deps.runtime.now();
   }
 
-  /** A worker that is in no block reports: it is up and may be leased. */
+  /** Records the report of a worker whose machine is in no block: the machine is up and may be leased. */
   noteUp(message: WorkerMessage): void {
     const now = this.deps.runtime.now();
     const isNew = !this.known.get(message.machine)?.reportedAt;
-    const known = this.learn(message.machine, message.type, message.zone, message.spot, now);
+    const known = this.getOrAddMachine(message.machine, message.type, message.zone, message.spot, now);
     if (isNew) this.deps.nudge();
     known.reportedAt = now;
     known.address = message.address;
   }
 
-  private learn(id: MachineId, type: string, zone: string, spot: boolean, rentedAt: Millis): Known {
+  /** Returns the entry of a machine, adding a booting one if it is unknown. */
+  private getOrAddMachine(id: MachineId, type: string, zone: string, spot: boolean, rentedAt: Millis): KnownMachine {
     let known = this.known.get(id);
     if (!known) {
       known = {
@@ -131,19 +156,21 @@
     return known;
   }
 
-  private bury(id: MachineId): void {
+  /** Moves a machine to the deleted ones, of which the latest 2000 are remembered. */
+  private markDeleted(id: MachineId): void {
     this.known.delete(id);
     this.gone.add(id);
     if (this.gone.size > 2000) this.gone.delete([...this.gone][0] ?? id);
   }
 
+  /** Runs one reconciliation of machines, leases and rentals; does nothing while this node is not the leader. */
   async round(): Promise<void> {
     const term = this.deps.leading();
     if (term === null) {
       this.term = null;
       return;
     }
-    // Its machines are in no block that is known here, and would be taken for loose ones.
+    // Machines in a record that this release cannot read are in no known block and would be mistaken for unleased ones.
     if (this.deps.shards.unreadable.size > 0) return;
     const now = this.deps.runtime.now();
     if (term !== this.term) {
@@ -151,50 +178,53 @@
       this.deps.trail?.note({ kind: 'leads' });
       this.known.clear();
       this.startedAt = now;
-      this.listAt = millis(-1e9);
+      this.lastListAt = millis(-1e9);
     }
-    if (now - this.listAt > LIST_EVERY_MS && !this.listing && this.deps.cloud.mayCall()) void this.list(now);
+    if (now - this.lastListAt > LIST_INTERVAL_MS && !this.listInFlight && this.deps.cloud.mayCall())
+      void this.list(now);
     const shards = this.deps.shards.all;
     const summaries = this.deps.summaries().filter((s) => shards.get(s.shard)?.value.holder === s.holder);
-    await this.removeLost(summaries, now);
-    if (!(await this.settled(term))) return;
-    await this.returnLoose(now);
-    if (this.deps.types().size === 0 || !(await this.settled(term))) return;
+    await this.returnLost(summaries, now);
+    if (!(await this.blocksAreConsistent(term))) return;
+    await this.returnUnleased(now);
+    if (this.deps.types().size === 0 || !(await this.blocksAreConsistent(term))) return;
 
-    const loose: LooseMachine[] = [];
+    const unleased: LooseMachine[] = [];
     for (const known of this.known.values()) {
-      if (this.placed(known.id) || known.doomed || known.phase === 'failed' || this.releasing.has(known.id)) continue;
+      if (this.isLeased(known.id) || known.doomed || known.phase === 'failed' || this.releaseAskedAt.has(known.id))
+        continue;
       const up = known.reportedAt !== null && now - known.reportedAt < 10_000;
-      loose.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
+      unleased.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
     }
-    for (const [key, at] of this.refused) if (now - at > REFUSED_MS) this.refused.delete(key);
+    for (const [key, at] of this.refused) if (now - at > REFUSED_KIND_BACKOFF_MS) this.refused.delete(key);
     const plan = planLeases({
       shards: summaries,
-      loose,
+      loose: unleased,
       types: this.deps.types(),
       specOf: this.specOf,
       refused: new Set(this.refused.keys()),
-      headroom: this.headroom(),
-      coming: this.deps.coming(),
+      headroom: this.serviceHeadroom(),
+      upcoming: this.deps.coming(),
       ...LEASE_POLICY,
       ageOf: (id) => {
         const known = this.known.get(id);
         return known ? (now - known.rentedAt) / 1000 : 0;
       },
     });
-    await this.grant(plan.grants, term);
+    await this.grantMachines(plan.grants, term);
     for (const { machine, from, to } of plan.transfers) this.ask(machine, from, to, shards, now);
     for (const { machine, from } of plan.releases) {
-      this.deps.log.info({ machine, from }, 'giving an idle machine back');
-      this.releasing.set(machine, now);
+      this.deps.log.info({ machine, from }, 'asking the holder to release an idle machine');
+      this.releaseAskedAt.set(machine, now);
       this.ask(machine, from, null, shards, now);
     }
-    // A new leader first lists what there is: renting twice costs money.
-    const settled = [...this.known.values()].some((k) => k.listedAt !== null) || now - this.startedAt > 10_000;
-    if (settled && plan.rents.length > 0) void this.rent(plan.rents, term);
+    // A new leader waits up to 10 s for the cloud's list before it rents: renting the same capacity twice costs money.
+    const rentalsKnown = [...this.known.values()].some((k) => k.listedAt !== null) || now - this.startedAt > 10_000;
+    if (rentalsKnown && plan.rents.length > 0) void this.rentMachines(plan.rents, term);
   }
 
-  private placed(id: MachineId): boolean {
+  /** Returns whether the machine is in a block. */
+  private isLeased(id: MachineId): boolean {
     return this.deps.shards.shardOf(id) !== null;
   }
 
@@ -203,8 +233,10 @@
     return entry ? decodeSpec(entry.value) : null;
   };
 
-  /** Of each class of services, its largest open job: as much must find room at once. */
-  private headroom(): JobSpec[] {
+  /**
+   * Returns the largest open job of each service class. Capacity for one more such job must be available at any time.
+   */
+  private serviceHeadroom(): JobSpec[] {
     const largest = new Map<string, JobSpec>();
     for (const entry of this.deps.mirror.under(JOBS)) {
       const spec = decodeSpec(entry.value);
@@ -215,6 +247,7 @@
     return [...largest.values()];
   }
 
+  /** Asks a machine's holder to lease it to another shard, or to release it when `to` is null. */
   private ask(
     machine: MachineId,
     from: ShardName,
@@ -222,15 +255,16 @@
     shards: ReadonlyMap<ShardName, KnownShard>,
     now: Millis,
   ): void {
-    if (now - (this.asked.get(machine) ?? -1e9) < TRANSFER_PAUSE_MS) return;
+    if (now - (this.asked.get(machine) ?? -1e9) < TRANSFER_RETRY_MS) return;
     this.asked.set(machine, now);
     const holder = shards.get(from)?.value.holder;
     if (holder !== undefined) this.deps.tell(holder, { kind: 'transfer', machine, to });
   }
 
+  /** Updates the known machines from the cloud's list. */
   private async list(now: Millis): Promise<void> {
-    this.listing = true;
-    this.listAt = now;
+    this.listInFlight = true;
+    this.lastListAt = now;
     try {
       const rentals = await this.deps.cloud.list();
       if (!rentals) return;
@@ -239,35 +273,38 @@
       for (const r of rentals) {
         listed.add(r.id);
         if (this.gone.has(r.id)) continue;
-        const known = this.learn(r.id, r.type, r.zone, r.spot, millis(at - r.ageS * 1000));
+        const known = this.getOrAddMachine(r.id, r.type, r.zone, r.spot, millis(at - r.ageS * 1000));
         known.rentedAt = millis(Math.min(known.rentedAt, at - r.ageS * 1000));
         known.listedAt = at;
         known.phase = r.phase;
       }
-      // Lists lag and can go back: absence means something only after twice the lag.
+      // Lists lag and can go back in time, so a machine's absence is conclusive only after twice the lag. The check
+      // below waits for three times the lag plus 5 s.
       for (const [id, known] of this.known) {
         const seen = Math.max(known.listedAt ?? known.rentedAt, known.reportedAt ?? -1e9);
         if (!listed.has(id) && at - seen > 3 * this.deps.listLagMs + 5000) this.known.delete(id);
       }
     } finally {
-      this.listing = false;
+      this.listInFlight = false;
     }
   }
 
   /**
-   * True once all blocks are known as they stood at one moment of this term. Only this leader puts machines that are in
-   * no block into one; so what is in none then is in none until it says so. Before that, a machine that has just moved
-   * from page to page may seem to be nowhere, and would be leased a second time, or given back with all that runs on it.
+   * Returns true once all blocks are known as of one revision of this term. Only this leader adds unleased machines to
+   * blocks, so a machine that is in no block at that revision stays unleased until this leader leases it. Before that,
+   * a machine that has just moved from one page to another may appear to be in no block. It would then be leased a
+   * second time, or returned to the cloud together with everything that runs on it.
    */
-  private async settled(term: Revision): Promise<boolean> {
+  private async blocksAreConsistent(term: Revision): Promise<boolean> {
     const { mirror, shards } = this.deps;
     const upTo = Math.max(shards.newest, term) as Revision;
     return (
-      mirror.seenUpTo >= upTo || ((await mirror.reach(upTo, SETTLED_WITHIN_MS)) && mirror.seenUpTo >= shards.newest)
+      mirror.seenUpTo >= upTo || ((await mirror.reach(upTo, CATCH_UP_TIMEOUT_MS)) && mirror.seenUpTo >= shards.newest)
     );
   }
 
-  private async grant(
+  /** Leases unleased machines to shards. */
+  private async grantMachines(
     grants: readonly { readonly machine: MachineId; readonly to: ShardName }[],
     term: Revision,
   ): Promise<void> {
@@ -275,17 +312,21 @@
     for (const { machine, to } of grants) byShard.set(to, [...(byShard.get(to) ?? []), machine]);
     for (const [to, machines] of byShard) {
       for (let left: readonly MachineId[] = machines; left.length > 0;) {
-        const given = await this.grantSome(to, left, term);
-        // What was read to settle a write may be ahead of the watch: nothing more is known as of one moment.
-        if (given === 'unknown') return;
-        if (given.length === 0) break;
-        left = left.filter((id) => !given.includes(id));
+        const granted = await this.grantBatch(to, left, term);
+        // Resolving a write of unknown outcome reads keys ahead of the watch, so the blocks are no longer known as of
+        // one revision.
+        if (granted === 'unknown') return;
+        if (granted.length === 0) break;
+        left = left.filter((id) => !granted.includes(id));
       }
     }
   }
 
-  /** As many as one page or record takes; which they were. */
-  private async grantSome(
+  /**
+   * Leases as many of the machines to a shard as fit into one page or record. Returns those leased, an empty list if
+   * the write was refused or the term has ended, or 'unknown' after a write of unknown outcome.
+   */
+  private async grantBatch(
     to: ShardName,
     machines: readonly MachineId[],
     term: Revision,
@@ -294,20 +335,21 @@
     const shards = this.deps.shards.all;
     const target = shards.get(to);
     if (!target || this.deps.leading() !== term) return [];
-    const infos: BlockMachine[] = [];
+    const candidates: BlockMachine[] = [];
     for (const id of machines) {
       const known = this.known.get(id);
-      if (known && !this.placed(id))
-        infos.push({ id, type: known.type, zone: known.zone, spot: known.spot, address: known.address });
+      if (known && !this.isLeased(id))
+        candidates.push({ id, type: known.type, zone: known.zone, spot: known.spot, address: known.address });
     }
     const { limits } = state;
-    const { taken, change } = enter(to, target, infos, {
+    const { taken, change } = enter(to, target, candidates, {
       recordMost: blockLimit(limits.presentValueKb),
       pageBytes: limits.valueBytes,
     });
     if (taken.length === 0) return [];
-    // Guarded by every shard: a machine must never be in two blocks, however late our view is. Of blocks in pages that
-    // holds for their heads alone, and `settled` for the rest.
+    // The transaction is guarded by the record version of every shard: a machine must never be in two blocks, however
+    // stale this node's view is. For blocks stored in pages, the guards cover only their head records, and
+    // `blocksAreConsistent` covers the pages.
     const guards = new Map(
       [...shards].map(([name, { version }]) => [shardKey(name), { key: shardKey(name), version }]),
     );
@@ -321,24 +363,28 @@
       return ids;
     }
     if (result.kind === 'unknown') {
-      // It may still be applied, for as long as this term lasts, whatever we know of our lease meanwhile.
-      const lasts = (): boolean => mirror.get(LEADER)?.version === term;
+      // The write may still be applied for as long as this term lasts, regardless of what this node meanwhile knows
+      // about its own lease.
+      const termLasts = (): boolean => mirror.get(LEADER)?.version === term;
       for (const op of change.ops)
         if ('put' in op) {
           const absent = op.put.startsWith(PAGES) ? EMPTY_PAGE : undefined;
-          await settleKey(op.put, state, mirror, runtime, lasts, (value) => value, absent);
+          await settleKey(op.put, state, mirror, runtime, termLasts, (value) => value, absent);
         }
       return 'unknown';
     }
     return [];
   }
 
-  /** Machines that their holder has given up for lost: deleted first, then taken out of the block. */
-  private async removeLost(summaries: readonly ShardSummary[], now: Millis): Promise<void> {
+  /**
+   * Returns to the cloud machines that their holder reports as lost, or as faulty and empty, and machines that the
+   * cloud reports as failed. They are deleted first and then removed from their blocks.
+   */
+  private async returnLost(summaries: readonly ShardSummary[], now: Millis): Promise<void> {
     const lost = new Set<MachineId>();
     for (const s of summaries) {
       for (const m of s.machines) {
-        if (!this.placed(m.id)) continue;
+        if (!this.isLeased(m.id)) continue;
         const known = this.known.get(m.id);
         if (m.lost || (m.faulty && m.empty) || known?.phase === 'failed') lost.add(m.id);
       }
@@ -348,25 +394,26 @@
     if (!(await this.deps.cloud.giveBack(ids))) return;
     this.deps.log.info({ machines: ids, term: this.term }, 'gave back machines that were lost or faulty');
     for (const id of ids) {
-      this.bury(id);
+      this.markDeleted(id);
       this.deps.trail?.note({ kind: 'returned', machine: id, why: 'lost or faulty' });
       this.asked.set(id, now);
     }
-    await this.takeOut(new Set(ids));
+    await this.removeFromBlocks(new Set(ids));
   }
 
-  private async takeOut(ids: ReadonlySet<MachineId>): Promise<void> {
+  /** Removes machines from all blocks, in up to three attempts. */
+  private async removeFromBlocks(ids: ReadonlySet<MachineId>): Promise<void> {
     const { state, mirror, shards } = this.deps;
     for (let tries = 0; tries < 3; tries++) {
       const changes = [...shards.all].flatMap(([name, known]) => leave(name, known, ids).map(({ change }) => change));
       if (changes.length === 0) return;
-      // Whole records go one by one: several of them may be more than a transaction takes.
+      // Whole records are written one per transaction: several of them may exceed the transaction's size limit.
       const whole = changes.some(({ ops }) => ops.some((op) => 'put' in op && !op.put.startsWith(PAGES)));
-      const atOnce = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, PAGES_AT_ONCE));
-      for (let at = 0; at < changes.length; at += atOnce) {
+      const changesPerTxn = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, MAX_PAGES_PER_TXN));
+      for (let at = 0; at < changes.length; at += changesPerTxn) {
         const term = this.deps.leading();
         if (term === null) return;
-        const batch = changes.slice(at, at + atOnce);
+        const batch = changes.slice(at, at + changesPerTxn);
         const guards = [...batch.flatMap((change) => change.guards), { key: LEADER, version: term as number }];
         const ops = batch.flatMap((change) => change.ops);
         const result = await state.txn(Urgency.shard, guards, ops);
@@ -379,54 +426,59 @@
     }
   }
 
-  /** Machines in no block that are to go: let go by their holder, never up, silent or failed. */
-  private async returnLoose(now: Millis): Promise<void> {
+  /**
+   * Returns to the cloud machines in no block that their holder has released, that never came up, that have gone silent
+   * or that failed, and those whose deletion was requested before.
+   */
+  private async returnUnleased(now: Millis): Promise<void> {
     const ids: MachineId[] = [];
     for (const known of this.known.values()) {
-      if (this.placed(known.id)) continue;
+      if (this.isLeased(known.id)) continue;
       const bootS = this.deps.types().get(known.type)?.bootS ?? 60;
       const ageS = (now - known.rentedAt) / 1000;
       const silentS = (now - Math.max(known.reportedAt ?? -1e9, this.startedAt)) / 1000;
-      const letGo = now - (this.releasing.get(known.id) ?? -1e9) < 60_000;
+      const releaseAsked = now - (this.releaseAskedAt.get(known.id) ?? -1e9) < 60_000;
       const neverUp = known.phase === 'booting' && known.reportedAt === null && ageS > bootS * 3.5 + 10;
       const silent = known.phase === 'running' && silentS > 25;
-      if (letGo || neverUp || silent || known.phase === 'failed' || known.doomed) ids.push(known.id);
+      if (releaseAsked || neverUp || silent || known.phase === 'failed' || known.doomed) ids.push(known.id);
     }
-    for (const [id, at] of this.releasing) if (now - at > 60_000) this.releasing.delete(id);
+    for (const [id, at] of this.releaseAskedAt) if (now - at > 60_000) this.releaseAskedAt.delete(id);
     if (ids.length === 0 || !this.deps.cloud.mayCall()) return;
     const batch = ids.slice(0, 50);
-    // From the moment we ask, they may be gone: they are not leased any more.
+    // The machines may be deleted from the moment of the request, so they are not leased any more.
     for (const id of batch) {
       const known = this.known.get(id);
       if (known) known.doomed = true;
     }
     if (!(await this.deps.cloud.giveBack(batch))) return;
-    this.deps.log.info({ machines: batch, term: this.term }, 'gave machines back');
+    this.deps.log.info({ machines: batch, term: this.term }, 'returned unleased machines to the cloud');
     for (const id of batch) {
-      const why = this.releasing.has(id) ? 'idle' : 'in no block';
-      this.bury(id);
+      const why = this.releaseAskedAt.has(id) ? 'idle' : 'in no block';
+      this.markDeleted(id);
       this.deps.trail?.note({ kind: 'returned', machine: id, why });
-      this.releasing.delete(id);
+      this.releaseAskedAt.delete(id);
     }
   }
 
-  private async rent(wishes: readonly RentWish[], term: Revision): Promise<void> {
-    if (this.renting) return;
-    this.renting = true;
+  /** Rents machines from the cloud as planned, within its call rate and as long as the term lasts. */
+  private async rentMachines(wishes: readonly RentWish[], term: Revision): Promise<void> {
+    if (this.rentInFlight) return;
+    this.rentInFlight = true;
     try {
-      // A wish for more than a call may ask for takes several; kinds take turns when calls are scarce.
+      // A request above the limit of one call is split into several calls. The kinds take turns, so that each gets some
+      // calls when the call rate is limited.
       for (const wish of inCalls(wishes)) {
         if (this.refused.has(kindKey(wish.type, wish.zone, wish.spot))) continue;
         if (!this.deps.cloud.mayCall() || this.deps.leading() !== term) return;
         this.requests += 1;
-        // The term is a revision and the number grows: no name is ever used twice.
+        // The term is a revision and the counter only grows, so a name is never used twice.
         const name = `w${term}-${this.requests}`;
         const result = await this.deps.cloud.rent({ ...wish, name });
         const now = this.deps.runtime.now();
         if (result.kind === 'rented') {
           const { type, zone, spot } = wish;
           for (const id of result.ids) {
-            this.learn(id, type, zone, spot, now);
+            this.getOrAddMachine(id, type, zone, spot, now);
             this.deps.trail?.note({ kind: 'rented', machine: id, type, zone, spot });
           }
           this.deps.log.info({ ...wish, got: result.ids.length }, 'rented machines');
@@ -439,7 +491,7 @@
         }
       }
     } finally {
-      this.renting = false;
+      this.rentInFlight = false;
     }
   }
 }
--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -6,53 +6,64 @@
 import type { MachineSummary, ShardSummary } from '../peers/index.js';
 
 const EPSILON = 1e-6;
-/** Lent machines are called in only for a gang that will soon be late: each call stops a machine full of work. */
-const CALL_IN_MS = 3000;
-const CALL_IN_SLACK_S = 40;
-/** A kind is dear for a job when a cpu costs this many times as much as on the cheapest that it may use. */
-const DEAR = 2.5;
-/** Of the machines that are long idle, so many go at a time. */
-const RELEASE_SHARE = 0.1;
-/** Whether services still find room is worked out anew for each: bounded, as a fleet is large. */
-const RELEASE_LOOKS = 20;
-
-/** How long a machine stands idle before it goes back, and what share of the time left arrays may take. */
+/**
+ * Cpus of accelerator machines that are lent to work without accelerators are reclaimed only for a gang that will soon
+ * be late, because reclaiming stops all work on the machine. The accelerators must have been idle for this long.
+ */
+const RECLAIM_IDLE_MS = 3000;
+/** A gang is about to be late when it has less slack than this. */
+const RECLAIM_GANG_SLACK_S = 40;
+/** A kind of machine is expensive for a job if its price per cpu exceeds this multiple of the job's cheapest kind. */
+const MAX_CPU_PRICE_RATIO = 2.5;
+/** Share of the machines past the idle time that is released in one round (but at least two machines). */
+const RELEASE_SHARE_PER_ROUND = 0.1;
+/** Each check of the service headroom recomputes the free capacity of the whole fleet, so their number is bounded. */
+const MAX_HEADROOM_CHECKS = 20;
+
+/** The parameters that the leader and the replay of recorded days plan with. */
 export const LEASE_POLICY = {
   idleReturnS: 20,
-  // The rest is left for boots, fetches and stragglers.
-  patience: 0.55,
+  // The remaining time allows for machine boots, image fetches and stragglers.
+  backlogTimeShare: 0.55,
 } as const;
 
-/** A machine that is rented but in no block yet. */
+/** A machine that is rented but not leased to a shard: it is in no block yet. */
 export interface LooseMachine {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Its worker has reported. */
+  /** Its worker has reported recently. */
   readonly up: boolean;
-  /** Seconds since the rental. */
+  /** Seconds since it was rented. */
   readonly ageS: number;
 }
 
+/** What a plan is computed from: one snapshot of the fleet and its demand. */
 export interface LeaseInput {
   readonly shards: readonly ShardSummary[];
+  /** Machines that are rented but in no block. */
   readonly loose: readonly LooseMachine[];
   readonly types: ReadonlyMap<string, MachineType>;
+  /** Returns a job's specification, or null if the job is unknown. */
   readonly specOf: (id: JobId) => JobSpec | null;
-  /** Kinds that the cloud has just refused, as `type/zone/spot`. */
+  /** Kinds of machine that the cloud recently could not supply, as `type/zone/spot` or `type/zone/own`. */
   readonly refused: ReadonlySet<string>;
-  /** Room for services that must be there at any time, largest first. */
+  /** Service jobs for which free capacity is kept at any time. */
   readonly headroom: readonly JobSpec[];
-  /** Jobs that will be ready soon: nothing is leased for them yet, but what they will lack is rented in time. */
-  readonly coming?: readonly Coming[];
+  /**
+   * Jobs that will be ready soon. Nothing is leased for them yet, but the machines they will lack are rented in time.
+   */
+  readonly upcoming?: readonly Coming[];
+  /** Seconds that a machine is idle before it is returned to the cloud. */
   readonly idleReturnS: number;
-  /** Share of the time that is left in which arrays are to be through. */
-  readonly patience: number;
-  /** Machines in any block, with their age. */
+  /** Share of the time left to their objectives within which arrays are planned to finish. */
+  readonly backlogTimeShare: number;
+  /** Returns the seconds since a machine in a block was rented. */
   readonly ageOf: (id: MachineId) => number;
 }
 
+/** A number of machines of one kind to rent. */
 export interface RentWish {
   readonly type: string;
   readonly zone: string;
@@ -60,25 +71,34 @@
   readonly count: number;
 }
 
+/** The changes that the leader is to make in one round. */
 export interface LeasePlan {
+  /** Unleased machines to lease to a shard. */
   readonly grants: readonly { readonly machine: MachineId; readonly to: ShardName }[];
+  /** Machines that their holder should lease to another shard. */
   readonly transfers: readonly { readonly machine: MachineId; readonly from: ShardName; readonly to: ShardName }[];
   readonly rents: readonly RentWish[];
-  /** Empty machines that their holder should let go, to be given back. */
+  /** Empty machines that their holder should release, to be returned to the cloud. */
   readonly releases: readonly { readonly machine: MachineId; readonly from: ShardName }[];
 }
 
-interface Want {
+/** Tasks of one job that need a machine. */
+interface JobDemand {
   readonly spec: JobSpec;
+  /** Shard that holds the job; null if none does yet. */
   readonly shard: ShardName | null;
+  /** Number of tasks that still lack a slot; lowered as capacity is allocated. */
   slots: number;
+  /** Estimated run time of one task, in seconds. */
   readonly runS: number;
+  /** Seconds until the job has to start to meet its objective; negative if it is late. */
   readonly slackS: number;
-  /** It can start no earlier. */
-  readonly inS?: number;
+  /** Seconds until the job can start at the earliest. */
+  readonly readyInS?: number;
 }
 
-interface Supply {
+/** Free resources of one machine. */
+interface FreeCapacity {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
@@ -87,21 +107,23 @@
   memoryGb: number;
 }
 
+/** Returns the key of a kind of machine, which consists of its type, its zone and whether it is a spot machine. */
 export const kindKey = (type: string, zone: string, spot: boolean): string =>
   `${type}/${zone}/${spot ? 'spot' : 'own'}`;
 
-/** Work of arrays that waits, and what it has to be through by. */
+/** Waiting work of one array. */
 export interface ArrayBacklog {
   readonly cpuSeconds: number;
+  /** Seconds from now within which the work has to finish. */
   readonly withinS: number;
-  /** How long a machine rented for it now takes before it works. */
+  /** Seconds until a machine that is rented for it now starts to work on it. */
   readonly leadS: number;
 }
 
 /**
- * How many cpus are missing so that every array is through in time, if all arrays share what runs
- * them now, earliest first: a fluid view, since slots that get free serve the next job. What is
- * rented now works only once it is up: the shorter the time, the more of it is lost to booting.
+ * Returns how many more cpus are needed for every array to finish in time, if all arrays share the cpus that run arrays
+ * now, earliest deadline first. The model is fluid, since slots that become free serve the next job. A machine that is
+ * rented now contributes only once it is up: the shorter the time, the larger the part of it that is lost to booting.
  */
 export function missingCpus(backlog: readonly ArrayBacklog[], runningCpus: number, runningCpuSeconds: number): number {
   let work = runningCpuSeconds;
@@ -113,33 +135,38 @@
   return missing;
 }
 
-function slotsIn(spec: JobSpec, s: Pick<Supply, 'cpus' | 'gpus' | 'memoryGb'>): number {
+/** Returns how many tasks of a job fit; 1 for a job that requires no resources. */
+function slotsThatFit(spec: JobSpec, s: Pick<FreeCapacity, 'cpus' | 'gpus' | 'memoryGb'>): number {
   const by = (need: number, free: number): number => (need <= 0 ? Infinity : Math.floor((free + EPSILON) / need));
   const slots = Math.min(by(spec.cpus, s.cpus), by(spec.gpus, s.gpus), by(spec.memoryGb, s.memoryGb));
   return Number.isFinite(slots) ? Math.max(0, slots) : 1;
 }
 
-function take(want: Want, s: Supply): number {
-  if (!allowedKind(want.spec, { type: s.type.name, zone: s.zone, spot: s.spot })) return 0;
-  // Accelerators are kept for work that needs them.
-  if (want.spec.gpus <= 0 && s.gpus > EPSILON && !mayBorrow(want.spec)) return 0;
-  const slots = Math.min(want.slots, slotsIn(want.spec, s));
-  s.cpus -= slots * want.spec.cpus;
-  s.gpus -= slots * want.spec.gpus;
-  s.memoryGb -= slots * want.spec.memoryGb;
-  want.slots -= slots;
+/** Allocates free capacity to as many tasks as fit and returns their number. */
+function allocateSlots(demand: JobDemand, s: FreeCapacity): number {
+  if (!allowedKind(demand.spec, { type: s.type.name, zone: s.zone, spot: s.spot })) return 0;
+  // Machines with free accelerators are reserved for jobs that need accelerators, or that may borrow their cpus.
+  if (demand.spec.gpus <= 0 && s.gpus > EPSILON && !mayBorrow(demand.spec)) return 0;
+  const slots = Math.min(demand.slots, slotsThatFit(demand.spec, s));
+  s.cpus -= slots * demand.spec.cpus;
+  s.gpus -= slots * demand.spec.gpus;
+  s.memoryGb -= slots * demand.spec.memoryGb;
+  demand.slots -= slots;
   return slots;
 }
 
-/** The leader's decision, pure: which block each machine belongs to, what to rent and what to give back. */
+/**
+ * Decides which block each machine belongs to, what to rent and what to return to the cloud. A pure function of its
+ * input.
+ */
 export function planLeases(input: LeaseInput): LeasePlan {
-  const wants: Want[] = [];
+  const demands: JobDemand[] = [];
   for (const shard of input.shards) {
     for (const d of shard.demand) {
       const spec = input.specOf(d.job);
       if (!spec) continue;
-      wants.push({
-        // What a job takes over from those that need it, its holder knows.
+      demands.push({
+        // The holder knows the priority that a job inherits from the jobs that depend on it.
         spec: d.priority > spec.priority ? { ...spec, priority: d.priority as Priority } : spec,
         shard: shard.shard,
         slots: d.missing,
@@ -148,12 +175,12 @@
       });
     }
   }
-  wants.sort((a, b) => b.spec.priority - a.spec.priority || a.slackS - b.slackS);
+  demands.sort((a, b) => b.spec.priority - a.spec.priority || a.slackS - b.slackS);
 
   const grants: { machine: MachineId; to: ShardName }[] = [];
   const transfers: { machine: MachineId; from: ShardName; to: ShardName }[] = [];
   const releases: { machine: MachineId; from: ShardName }[] = [];
-  const supplyOf = (type: MachineType, zone: string, spot: boolean): Supply => ({
+  const wholeCapacity = (type: MachineType, zone: string, spot: boolean): FreeCapacity => ({
     type,
     zone,
     spot,
@@ -162,21 +189,26 @@
     memoryGb: type.memoryGb,
   });
 
-  // A machine that has come up goes to the shard that needs it most, else to the one with least.
-  const blockSize = new Map(input.shards.map((s) => [s.shard, s.machines.reduce((sum, m) => sum + m.freeCpus + 1, 0)]));
+  // A machine that has come up goes to the shard whose demand is most urgent, or else to the one with the least free
+  // capacity.
+  const freeCpusByShard = new Map(
+    input.shards.map((s) => [s.shard, s.machines.reduce((sum, m) => sum + m.freeCpus + 1, 0)]),
+  );
   for (const machine of input.loose) {
     if (!machine.up || input.shards.length === 0) continue;
     const type = input.types.get(machine.type);
     if (!type) continue;
-    const supply = supplyOf(type, machine.zone, machine.spot);
-    const to = bestShard(wants, supply) ?? [...blockSize].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
+    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const to =
+      shardToServe(demands, capacity) ??
+      [...freeCpusByShard].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
     if (to === undefined) continue;
-    serve(wants, supply, to);
+    serve(demands, capacity, to);
     grants.push({ machine: machine.id, to });
-    blockSize.set(to, (blockSize.get(to) ?? 0) + type.cpus);
+    freeCpusByShard.set(to, (freeCpusByShard.get(to) ?? 0) + type.cpus);
   }
 
-  // Idle machines follow the demand.
+  // Idle machines are moved to the shard whose demand they can serve.
   const idle: { machine: MachineSummary; shard: ShardSummary }[] = [];
   for (const shard of input.shards) {
     for (const machine of shard.machines)
@@ -186,150 +218,172 @@
   for (const entry of idle) {
     const type = input.types.get(entry.machine.type);
     if (!type) continue;
-    const supply = supplyOf(type, entry.machine.zone, entry.machine.spot);
+    const capacity = wholeCapacity(type, entry.machine.zone, entry.machine.spot);
     if (entry.machine.idleMs < 300 || !entry.machine.empty) {
       if (!entry.machine.empty) stillIdle.push(entry);
-      serve(wants, supply, entry.shard.shard);
+      serve(demands, capacity, entry.shard.shard);
       continue;
     }
-    const to = bestShard(wants, supply);
+    const to = shardToServe(demands, capacity);
     if (to !== null && to !== entry.shard.shard) {
-      serve(wants, supply, to);
+      serve(demands, capacity, to);
       transfers.push({ machine: entry.machine.id, from: entry.shard.shard, to });
-    } else if (to !== null) serve(wants, supply, to);
+    } else if (to !== null) serve(demands, capacity, to);
     else stillIdle.push(entry);
   }
 
-  const coming = comingWants(input);
-  const kept = new Set<MachineId>();
-  // What stands idle now will serve them, once it isn't asked for by others.
+  const upcoming = upcomingDemand(input);
+  const keptForUpcoming = new Set<MachineId>();
+  // Idle machines that no other demand needs are kept for the jobs that will be ready soon.
   for (const { machine } of stillIdle) {
     const type = input.types.get(machine.type);
     if (!type || !machine.empty) continue;
-    const supply = supplyOf(type, machine.zone, machine.spot);
-    for (const want of coming) if (want.slots > 0 && take(want, supply) > 0) kept.add(machine.id);
+    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    for (const demand of upcoming)
+      if (demand.slots > 0 && allocateSlots(demand, capacity) > 0) keptForUpcoming.add(machine.id);
   }
-  const uncut = wants.map((want) => ({ ...want }));
-  holdBack([...wants, ...coming], input, input.patience);
-  // What is there serves gangs whether or not anything is rented for them.
-  const gangs = uncut.filter((want) => want.spec.kind === 'gang').map((want) => ({ ...want }));
-  awaitFree(wants, input);
-
-  // Idle accelerators whose cpus are lent out follow work that needs accelerators: the loan is called in.
+  const uncapped = demands.map((demand) => ({ ...demand }));
+  capArrayDemand([...demands, ...upcoming], input, input.backlogTimeShare);
+  // Existing machines serve gangs whether or not anything is rented for them, so this copy is not capped.
+  const gangs = uncapped.filter((demand) => demand.spec.kind === 'gang').map((demand) => ({ ...demand }));
+  capGangDemand(demands, input);
+
+  // Machines whose accelerators are idle while their cpus are lent to other work are moved to the shard with an urgent
+  // gang that needs accelerators; the lent cpus are reclaimed.
   for (const { machine, shard } of stillIdle) {
     const type = input.types.get(machine.type);
-    if (machine.empty || !type || type.gpus <= 0 || machine.idleMs < CALL_IN_MS) continue;
-    const needy = gangs.filter((want) => want.spec.gpus > 0 && want.slackS < CALL_IN_SLACK_S);
-    const supply = supplyOf(type, machine.zone, machine.spot);
-    const to = bestShard(needy, supply);
+    if (machine.empty || !type || type.gpus <= 0 || machine.idleMs < RECLAIM_IDLE_MS) continue;
+    const urgentGangs = gangs.filter((demand) => demand.spec.gpus > 0 && demand.slackS < RECLAIM_GANG_SLACK_S);
+    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const to = shardToServe(urgentGangs, capacity);
     if (to === null) continue;
-    serve(needy, supply, to);
+    serve(urgentGangs, capacity, to);
     if (to !== shard.shard) transfers.push({ machine: machine.id, from: shard.shard, to });
   }
 
-  // Machines on their way will serve what is left; those that take too long do not count.
+  // Booting machines will serve the remaining demand; those that take too long to boot are not counted.
   for (const machine of input.loose) {
     if (machine.up) continue;
     const type = input.types.get(machine.type);
     if (!type || machine.ageS > type.bootS * 1.8 + 5) continue;
-    const supply = supplyOf(type, machine.zone, machine.spot);
-    const again = { ...supply };
-    for (const want of [...wants, ...coming]) if (want.slots > 0) take(want, supply);
-    for (const want of uncut) if (want.slots > 0) take(want, again);
+    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const uncappedCapacity = { ...capacity };
+    for (const demand of [...demands, ...upcoming]) if (demand.slots > 0) allocateSlots(demand, capacity);
+    for (const demand of uncapped) if (demand.slots > 0) allocateSlots(demand, uncappedCapacity);
   }
 
-  // Room for services: what is free anywhere counts, partly used machines first.
-  const room = (without: ReadonlySet<MachineId>): Supply[] => {
-    const supplies: Supply[] = [];
+  // Free capacity for services: capacity on any machine counts, with partly used machines first.
+  const capacityForServices = (excluded: ReadonlySet<MachineId>): FreeCapacity[] => {
+    const capacities: FreeCapacity[] = [];
     for (const shard of input.shards) {
       for (const m of shard.machines) {
         const type = input.types.get(m.type);
-        if (!type || !m.usable || m.faulty || m.lost || without.has(m.id)) continue;
-        // Work that gives way to services at once is as good as free.
-        const given = type.gpus > 0 ? 0 : 1;
-        const [cpus, memoryGb] = [m.freeCpus + given * m.yieldCpus, m.freeMemoryGb + given * m.yieldMemoryGb];
-        supplies.push({ type, zone: m.zone, spot: m.spot, cpus, gpus: m.freeGpus, memoryGb });
+        if (!type || !m.usable || m.faulty || m.lost || excluded.has(m.id)) continue;
+        // Capacity of work that services preempt at once counts as free, except on accelerator machines.
+        const yieldFactor = type.gpus > 0 ? 0 : 1;
+        const [cpus, memoryGb] = [
+          m.freeCpus + yieldFactor * m.yieldCpus,
+          m.freeMemoryGb + yieldFactor * m.yieldMemoryGb,
+        ];
+        capacities.push({ type, zone: m.zone, spot: m.spot, cpus, gpus: m.freeGpus, memoryGb });
       }
     }
     for (const m of input.loose) {
       const type = input.types.get(m.type);
-      if (type && m.ageS <= type.bootS * 1.8 + 5) supplies.push(supplyOf(type, m.zone, m.spot));
+      if (type && m.ageS <= type.bootS * 1.8 + 5) capacities.push(wholeCapacity(type, m.zone, m.spot));
     }
-    return supplies;
+    return capacities;
   };
-  const lacking = (supplies: Supply[]): Want[] => {
-    const needs = input.headroom.map((spec): Want => ({ spec, shard: null, slots: spec.tasks, runS: 1, slackS: 0 }));
-    for (const need of needs) for (const supply of supplies) if (need.slots > 0) take(need, supply);
+  const unmetHeadroom = (capacities: FreeCapacity[]): JobDemand[] => {
+    const needs = input.headroom.map((spec): JobDemand => ({
+      spec,
+      shard: null,
+      slots: spec.tasks,
+      runS: 1,
+      slackS: 0,
+    }));
+    for (const demand of needs)
+      for (const capacity of capacities) if (demand.slots > 0) allocateSlots(demand, capacity);
     return needs.filter((need) => need.slots > 0);
   };
 
-  const waiting = [...wants, ...gangs, ...coming].filter((want) => want.slots > 0);
+  const waiting = [...demands, ...gangs, ...upcoming].filter((demand) => demand.slots > 0);
   const released = new Set<MachineId>();
-  let looks = 0;
+  let headroomChecks = 0;
   const longIdle = stillIdle
     .filter(({ machine }) => machine.idleMs > input.idleReturnS * 1000 && input.ageOf(machine.id) > 50)
-    .sort((a, b) => hourly(input, b.machine) - hourly(input, a.machine));
+    .sort((a, b) => hourlyPrice(input, b.machine) - hourlyPrice(input, a.machine));
   for (const { machine, shard } of longIdle) {
-    // By and by: what is idle now may be asked for in a moment, and it all went up together.
-    if (released.size >= Math.max(2, longIdle.length * RELEASE_SHARE) || looks >= RELEASE_LOOKS) break;
-    const supply = input.types.get(machine.type);
-    if (!supply || kept.has(machine.id)) continue;
+    // Machines are released gradually: idle machines may be needed again shortly, and they were all rented together.
+    if (
+      released.size >= Math.max(2, longIdle.length * RELEASE_SHARE_PER_ROUND) ||
+      headroomChecks >= MAX_HEADROOM_CHECKS
+    )
+      break;
+    const type = input.types.get(machine.type);
+    if (!type || keptForUpcoming.has(machine.id)) continue;
     if (waiting.some((w) => allowedKind(w.spec, machine) && (w.spec.gpus > 0 || machine.freeGpus < EPSILON))) continue;
     if (machine.freeGpus < EPSILON && !machine.spot) {
-      looks += 1;
-      if (lacking(room(new Set([...released, machine.id]))).length > 0) continue;
+      headroomChecks += 1;
+      if (unmetHeadroom(capacityForServices(new Set([...released, machine.id]))).length > 0) continue;
     }
     releases.push({ machine: machine.id, from: shard.shard });
     released.add(machine.id);
   }
 
-  const rents = new Map<string, RentWish>();
-  const needs = [...wants, ...coming, ...lacking(room(new Set()))];
-  for (const want of needs) rentFor(want, input, rents, want.spec.kind === 'array' ? DEAR : Infinity);
-  // Kinds that are dear for the job are rented only for what is late even by a generous measure.
-  holdBack(uncut, input, input.patience * 1.5);
-  for (const want of uncut) {
-    const left = wants.find((w) => w.spec === want.spec);
-    want.slots = want.spec.kind === 'array' ? Math.min(want.slots, left?.slots ?? 0) : 0;
-    rentFor(want, input, rents, Infinity);
+  const rentsByKind = new Map<string, RentWish>();
+  const needs = [...demands, ...upcoming, ...unmetHeadroom(capacityForServices(new Set()))];
+  for (const demand of needs)
+    addRents(demand, input, rentsByKind, demand.spec.kind === 'array' ? MAX_CPU_PRICE_RATIO : Infinity);
+  // Kinds that are too expensive for a job are rented only for arrays that would be late even with 1.5 times the share
+  // of the time.
+  capArrayDemand(uncapped, input, input.backlogTimeShare * 1.5);
+  for (const demand of uncapped) {
+    const left = demands.find((w) => w.spec === demand.spec);
+    demand.slots = demand.spec.kind === 'array' ? Math.min(demand.slots, left?.slots ?? 0) : 0;
+    addRents(demand, input, rentsByKind, Infinity);
   }
-  return { grants, transfers, rents: [...rents.values()], releases };
+  return { grants, transfers, rents: [...rentsByKind.values()], releases };
 }
 
-/** The cloud rents at most so many machines in one call. */
-const MOST_A_CALL = 50;
+/** The cloud's limit of machines per rent call. */
+const MAX_MACHINES_PER_CALL = 50;
 
 /**
- * Wishes as calls to the cloud. Seen when a day began with a backlog: a wish for three hundred was asked
- * as one call of fifty, and as fifty came, the kind was taken for sold out.
+ * Splits planned rents into calls within the cloud's limit per call, with the kinds taking turns. Without the split, a
+ * plan for 300 machines at the start of a day with a backlog was sent as one call for 50; as 50 came, fewer than
+ * planned, the kind was treated as sold out.
  */
 export function inCalls(wishes: readonly RentWish[]): RentWish[] {
   const calls: RentWish[] = [];
   const most = Math.max(0, ...wishes.map((wish) => wish.count));
-  for (let done = 0; done < most; done += MOST_A_CALL) {
+  for (let done = 0; done < most; done += MAX_MACHINES_PER_CALL) {
     for (const wish of wishes) {
-      const count = Math.min(MOST_A_CALL, wish.count - done);
+      const count = Math.min(MAX_MACHINES_PER_CALL, wish.count - done);
       if (count > 0) calls.push({ ...wish, count });
     }
   }
   return calls;
 }
 
-/** How much earlier than needed a machine may be rented for a job that isn't ready: estimates are often wrong. */
-const AHEAD_S = 5;
+/** How much earlier than needed a machine is rented for a job that is not ready yet, as estimates are often wrong. */
+const RENT_AHEAD_S = 5;
 
-/** Those for which a machine that is rented now would be up about when they are ready. */
-function comingWants(input: LeaseInput): Want[] {
-  const wants: Want[] = [];
-  for (const { spec, inS, slackS } of input.coming ?? []) {
-    if (spec.kind !== 'array' || inS > leadOf(spec, input) + AHEAD_S) continue;
-    wants.push({ spec, shard: null, slots: spec.tasks, runS: Math.max(1, spec.estimateS), slackS, inS });
+/** Returns the demand of arrays that will be ready about when a machine that is rented now would be up. */
+function upcomingDemand(input: LeaseInput): JobDemand[] {
+  const demands: JobDemand[] = [];
+  for (const { spec, inS, slackS } of input.upcoming ?? []) {
+    if (spec.kind !== 'array' || inS > leadTimeS(spec, input) + RENT_AHEAD_S) continue;
+    demands.push({ spec, shard: null, slots: spec.tasks, runS: Math.max(1, spec.estimateS), slackS, readyInS: inS });
   }
-  return wants;
+  return demands;
 }
 
-/** Machines that stand idle follow any demand; new ones are rented only for what would be late. */
-function holdBack(wants: readonly Want[], input: LeaseInput, patience: number): void {
+/**
+ * Lowers the demand of arrays to the cpus that they lack to finish in time, as new machines are rented only for arrays
+ * that would be late. Idle machines serve any demand.
+ */
+function capArrayDemand(demands: readonly JobDemand[], input: LeaseInput, timeShare: number): void {
   let runningCpus = 0;
   let runningCpuSeconds = 0;
   for (const shard of input.shards) {
@@ -340,47 +394,50 @@
       runningCpuSeconds += (r.running * spec.cpus * spec.estimateS) / 2;
     }
   }
-  const arrays = wants.filter((want) => want.spec.kind === 'array' && want.slots > 0);
-  const backlog = arrays.map((want) => {
-    const leadS = leadOf(want.spec, input);
-    // What is late already should be on its way soon after the next machine is up.
-    const soonest = Math.max(leadS + want.runS / 2, (want.inS ?? 0) + want.runS);
-    const withinS = Math.max(soonest, (want.slackS + want.runS) * patience);
-    return { cpuSeconds: want.slots * want.spec.cpus * want.runS, withinS, leadS };
+  const arrays = demands.filter((demand) => demand.spec.kind === 'array' && demand.slots > 0);
+  const backlog = arrays.map((demand) => {
+    const leadS = leadTimeS(demand.spec, input);
+    // Work that is late already should be under way soon after the next machine is up.
+    const earliestS = Math.max(leadS + demand.runS / 2, (demand.readyInS ?? 0) + demand.runS);
+    const withinS = Math.max(earliestS, (demand.slackS + demand.runS) * timeShare);
+    return { cpuSeconds: demand.slots * demand.spec.cpus * demand.runS, withinS, leadS };
   });
   let missing = missingCpus(backlog, runningCpus, runningCpuSeconds);
-  for (const want of arrays) {
-    const slots = Math.min(want.slots, Math.ceil(missing / Math.max(0.01, want.spec.cpus)));
-    missing = Math.max(0, missing - slots * want.spec.cpus);
-    want.slots = slots;
+  for (const demand of arrays) {
+    const slots = Math.min(demand.slots, Math.ceil(missing / Math.max(0.01, demand.spec.cpus)));
+    missing = Math.max(0, missing - slots * demand.spec.cpus);
+    demand.slots = slots;
   }
 }
 
-/** Of what gangs leave behind in a time, so much can be counted on: it comes by and by and not all in one block. */
-const COUNTED_ON = 0.7;
-/** A gang that has missed its aims is worth renting for only beyond what comes free in this time. */
-const LATE_GANG_S = 30;
+/**
+ * Share of the slots freed by finishing gangs that is counted on: they become free gradually and not all in one block.
+ */
+const GANG_TURNOVER_SHARE = 0.7;
+/** For a gang that has missed its objectives, machines are rented only beyond what becomes free within this time. */
+const LATE_GANG_WINDOW_S = 30;
 
 /**
- * Gangs come and go: the machines of those that end serve the next ones. How many tasks of gangs wait
- * beyond what comes free until their aims, earliest aim first; only for those something is rented.
+ * Returns how many waiting gang tasks exceed the slots that finishing gangs free by the tasks' objectives, earliest
+ * objective first. The machines of gangs that end serve the next ones, so machines are rented only for this excess.
  */
-export function beyondFlow(
+export function gangTasksBeyondTurnover(
   gangs: readonly { readonly tasks: number; readonly slackS: number }[],
   tasksPerS: number,
 ): number {
-  let ahead = 0;
-  let beyond = 0;
+  let queuedTasks = 0;
+  let shortfall = 0;
   for (const gang of [...gangs].sort((a, b) => a.slackS - b.slackS)) {
-    ahead += gang.tasks;
-    const withinS = gang.slackS < 0 ? LATE_GANG_S : gang.slackS;
-    beyond = Math.max(beyond, ahead - tasksPerS * withinS * COUNTED_ON);
+    queuedTasks += gang.tasks;
+    const withinS = gang.slackS < 0 ? LATE_GANG_WINDOW_S : gang.slackS;
+    shortfall = Math.max(shortfall, queuedTasks - tasksPerS * withinS * GANG_TURNOVER_SHARE);
   }
-  return Math.max(0, Math.ceil(beyond));
+  return Math.max(0, Math.ceil(shortfall));
 }
 
-function awaitFree(wants: readonly Want[], input: LeaseInput): void {
-  const gangs = wants.filter((want) => want.spec.kind === 'gang' && want.slots > 0);
+/** Lowers the demand of gangs to the tasks that need machines beyond those that finishing gangs free. */
+function capGangDemand(demands: readonly JobDemand[], input: LeaseInput): void {
+  const gangs = demands.filter((demand) => demand.spec.kind === 'gang' && demand.slots > 0);
   if (gangs.length === 0) return;
   let tasksPerS = 0;
   for (const shard of input.shards) {
@@ -389,35 +446,39 @@
       if (spec?.kind === 'gang' && spec.gpus > 0) tasksPerS += r.running / Math.max(10, spec.estimateS);
     }
   }
-  // Gangs without accelerators share their machines with everything else: they are not counted on.
-  const flowing = gangs.filter((want) => want.spec.gpus > 0);
-  let beyond = beyondFlow(
-    flowing.map((want) => ({ tasks: want.slots, slackS: want.slackS })),
+  // Gangs without accelerators share their machines with all other work, so the turnover of those machines is not
+  // counted on.
+  const acceleratorGangs = gangs.filter((demand) => demand.spec.gpus > 0);
+  let shortfall = gangTasksBeyondTurnover(
+    acceleratorGangs.map((demand) => ({ tasks: demand.slots, slackS: demand.slackS })),
     tasksPerS,
   );
-  // Those with the nearest aims wait for what comes free; what is rented now is up for the others.
-  for (const want of flowing.sort((a, b) => b.slackS - a.slackS)) {
-    const slots = Math.min(want.slots, beyond);
-    beyond -= slots;
-    want.slots = slots;
+  // The gangs with the nearest objectives wait for slots that become free; machines rented now are up in time for the
+  // others.
+  for (const demand of acceleratorGangs.sort((a, b) => b.slackS - a.slackS)) {
+    const slots = Math.min(demand.slots, shortfall);
+    shortfall -= slots;
+    demand.slots = slots;
   }
 }
 
-/** Boot and image on the kind that works soonest. */
-function leadOf(spec: JobSpec, input: LeaseInput): number {
-  let lead = Infinity;
+/**
+ * Returns the seconds to boot a machine and fetch the job's image on the fastest suitable type; 0 if none is suitable.
+ */
+function leadTimeS(spec: JobSpec, input: LeaseInput): number {
+  let shortestS = Infinity;
   for (const type of input.types.values()) {
-    if (slotsIn(spec, type) > 0 && (spec.types === null || spec.types.includes(type.name)))
-      lead = Math.min(lead, type.bootS + spec.imageGb / type.fetchGbPerS);
+    if (slotsThatFit(spec, type) > 0 && (spec.types === null || spec.types.includes(type.name)))
+      shortestS = Math.min(shortestS, type.bootS + spec.imageGb / type.fetchGbPerS);
   }
-  return Number.isFinite(lead) ? lead : 0;
+  return Number.isFinite(shortestS) ? shortestS : 0;
 }
 
-/** The lowest price of a cpu among the kinds that a job may use. */
-function cheapestCpu(spec: JobSpec, input: LeaseInput): number {
+/** Returns the lowest price per cpu among the kinds that a job may use. */
+function lowestCpuPrice(spec: JobSpec, input: LeaseInput): number {
   let lowest = Infinity;
   for (const type of input.types.values()) {
-    if (slotsIn(spec, type) <= 0) continue;
+    if (slotsThatFit(spec, type) <= 0) continue;
     for (const zone of type.zones) {
       for (const spot of [true, false]) {
         if (!allowedKind(spec, { type: type.name, zone, spot })) continue;
@@ -428,43 +489,49 @@
   return lowest;
 }
 
-function hourly(input: LeaseInput, m: MachineSummary): number {
+/** Returns the price of a machine per hour; 0 for an unknown type. */
+function hourlyPrice(input: LeaseInput, m: MachineSummary): number {
   const type = input.types.get(m.type);
   return type ? (m.spot ? type.spotPrice : type.price) : 0;
 }
 
-function bestShard(wants: readonly Want[], supply: Supply): ShardName | null {
-  for (const want of wants) {
-    if (want.slots <= 0 || want.shard === null) continue;
-    if (!allowedKind(want.spec, { type: supply.type.name, zone: supply.zone, spot: supply.spot })) continue;
-    if (want.spec.gpus <= 0 && supply.gpus > EPSILON && !mayBorrow(want.spec)) continue;
-    if (slotsIn(want.spec, supply) > 0) return want.shard;
+/** Returns the shard of the first demand that the capacity can serve, or null. */
+function shardToServe(demands: readonly JobDemand[], capacity: FreeCapacity): ShardName | null {
+  for (const demand of demands) {
+    if (demand.slots <= 0 || demand.shard === null) continue;
+    if (!allowedKind(demand.spec, { type: capacity.type.name, zone: capacity.zone, spot: capacity.spot })) continue;
+    if (demand.spec.gpus <= 0 && capacity.gpus > EPSILON && !mayBorrow(demand.spec)) continue;
+    if (slotsThatFit(demand.spec, capacity) > 0) return demand.shard;
   }
   return null;
 }
 
-function serve(wants: readonly Want[], supply: Supply, shard: ShardName): void {
-  for (const want of wants) if (want.slots > 0 && want.shard === shard) take(want, supply);
+/** Allocates capacity to the demand of one shard. */
+function serve(demands: readonly JobDemand[], capacity: FreeCapacity, shard: ShardName): void {
+  for (const demand of demands) if (demand.slots > 0 && demand.shard === shard) allocateSlots(demand, capacity);
 }
 
-/** The cheapest kind for what is left of a want: cost of a machine over the slots that are really used. */
-function rentFor(want: Want, input: LeaseInput, rents: Map<string, RentWish>, dear: number): void {
-  const mostPerCpu = dear === Infinity ? Infinity : cheapestCpu(want.spec, input) * dear;
-  for (let tries = 0; tries < 40 && want.slots > 0; tries++) {
+/**
+ * Plans rents of the cheapest kinds for the demand that is left. The cost is the price of a machine divided by the
+ * slots that are actually used, and grows slightly with the number already planned of the kind.
+ */
+function addRents(demand: JobDemand, input: LeaseInput, rents: Map<string, RentWish>, maxPriceRatio: number): void {
+  const maxCpuPrice = maxPriceRatio === Infinity ? Infinity : lowestCpuPrice(demand.spec, input) * maxPriceRatio;
+  for (let tries = 0; tries < 40 && demand.slots > 0; tries++) {
     let best: { type: MachineType; zone: string; spot: boolean; slots: number } | null = null;
     let bestCost = Infinity;
     for (const type of input.types.values()) {
-      const slots = slotsIn(want.spec, type);
-      if (slots <= 0 || (want.spec.gpus <= 0 && type.gpus > 0)) continue;
+      const slots = slotsThatFit(demand.spec, type);
+      if (slots <= 0 || (demand.spec.gpus <= 0 && type.gpus > 0)) continue;
       for (const zone of type.zones) {
         for (const spot of [true, false]) {
-          if (!allowedKind(want.spec, { type: type.name, zone, spot })) continue;
+          if (!allowedKind(demand.spec, { type: type.name, zone, spot })) continue;
           const key = kindKey(type.name, zone, spot);
           if (input.refused.has(key)) continue;
           const price = spot ? type.spotPrice : type.price;
-          if (price / type.cpus > mostPerCpu) continue;
-          const already = rents.get(key)?.count ?? 0;
-          const cost = price / Math.min(slots, want.slots) + already * 1e-6 * price;
+          if (price / type.cpus > maxCpuPrice) continue;
+          const alreadyPlanned = rents.get(key)?.count ?? 0;
+          const cost = price / Math.min(slots, demand.slots) + alreadyPlanned * 1e-6 * price;
           if (cost < bestCost) {
             best = { type, zone, spot, slots };
             bestCost = cost;
@@ -475,6 +542,6 @@
     if (!best) return;
     const key = kindKey(best.type.name, best.zone, best.spot);
     rents.set(key, { type: best.type.name, zone: best.zone, spot: best.spot, count: (rents.get(key)?.count ?? 0) + 1 });
-    want.slots -= best.slots;
+    demand.slots -= best.slots;
   }
 }
--- a/src/leasing/routing.ts
+++ b/src/leasing/routing.ts
@@ -5,36 +5,39 @@
 import type { ShardSummary } from '../peers/index.js';
 
 const EPSILON = 1e-6;
-const FEW_TASKS = 2;
+/** An array of at most this many tasks is small and stays in the shard of the node that accepts it if it has room. */
+const MAX_SMALL_ARRAY_TASKS = 2;
 
-export interface ShardRoom {
+/** How well a job fits into a shard, estimated from the shard's latest summary. */
+export interface ShardFit {
   readonly shard: ShardName;
-  /** Tasks that could start now. */
+  /** Number of tasks that could start now. */
   readonly slots: number;
-  /** How many of those would find the image in place. */
-  readonly warm: number;
-  /** Free cpus of machines that the job may use. */
+  /** How many of those find the image in place or, unless the job is a service, can fetch it within 3 s. */
+  readonly warmSlots: number;
+  /** Free cpus on the machines that have slots for the job. */
   readonly freeCpus: number;
-  /** How long the shard's queue is, in seconds. */
+  /** Estimated time to work off the shard's queue ahead of the job, in seconds. */
   readonly waiting: number;
-  /** The same for a service, once arrays have given way. */
-  readonly afterStops: number;
-  /** Machines of a kind that the job may use and that have what it needs, busy or not. */
+  /** Number of tasks of a service that could start after preempting arrays; 0 for other jobs. */
+  readonly slotsAfterPreemption: number;
+  /** Number of machines, busy or not, whose kind the job may use and whose size suffices for a task. */
   readonly machines: number;
 }
 
-export function roomFor(spec: JobSpec, summary: ShardSummary, types: ReadonlyMap<string, MachineType>): ShardRoom {
+/** Estimates how well a job fits into a shard. */
+export function fitInShard(spec: JobSpec, summary: ShardSummary, types: ReadonlyMap<string, MachineType>): ShardFit {
   let slots = 0;
-  let warm = 0;
+  let warmSlots = 0;
   let freeCpus = 0;
   let machines = 0;
   let capacity = 0;
-  let afterStops = 0;
+  let slotsAfterPreemption = 0;
   for (const m of summary.machines) {
     if (!m.usable || m.faulty || m.lost || !allowedKind(spec, m)) continue;
     const type = types.get(m.type);
     if (spec.gpus > 0) capacity += type?.gpus ?? 0;
-    // Only what arrays share counts: a machine full of replicas or gangs works no queue off.
+    // Only the capacity that arrays share counts: a machine full of replicas or gangs does not drain the queue.
     else if (type && (type.gpus <= 0 || mayBorrow(spec))) capacity += m.freeCpus + m.yieldCpus;
     if (spec.gpus <= 0 && m.freeGpus > EPSILON && !mayBorrow(spec)) continue;
     if (type && type.gpus >= spec.gpus && type.cpus >= spec.cpus && type.memoryGb >= spec.memoryGb) machines += 1;
@@ -43,14 +46,14 @@
       Math.min(by(spec.cpus, cpus), by(spec.gpus, m.freeGpus), by(spec.memoryGb, memoryGb), spec.tasks);
     const here = slotsWith(m.freeCpus, m.freeMemoryGb);
     if (spec.kind === 'service' && (type?.gpus ?? 0) <= 0)
-      afterStops += slotsWith(m.freeCpus + m.yieldCpus, m.freeMemoryGb + m.yieldMemoryGb);
+      slotsAfterPreemption += slotsWith(m.freeCpus + m.yieldCpus, m.freeMemoryGb + m.yieldMemoryGb);
     if (here <= 0) continue;
     slots += here;
     freeCpus += m.freeCpus;
     const slowFetch = spec.imageGb / (types.get(m.type)?.fetchGbPerS ?? 1) > 3;
-    if (m.images.includes(spec.image) || (!slowFetch && spec.kind !== 'service')) warm += here;
+    if (m.images.includes(spec.image) || (!slowFetch && spec.kind !== 'service')) warmSlots += here;
   }
-  // Work that goes before it or shares with it, for each unit of the resource that the job may use.
+  // Queued work of the same or a higher priority, per unit of the resource that the job uses.
   let waiting = 0;
   let queued = 0;
   for (const d of summary.demand) {
@@ -60,67 +63,73 @@
     waiting += amount * Math.max(1, d.estimateS);
   }
   waiting /= capacity + 1;
-  // What is free while others wait for it is free for a moment only.
+  // Capacity that other jobs wait for is free only for a moment.
   if (spec.kind === 'array' && spec.cpus > 0) slots = Math.max(0, slots - Math.ceil(queued / spec.cpus));
   return {
     shard: summary.shard,
     slots: Math.min(slots, spec.tasks),
-    warm: Math.min(warm, slots, spec.tasks),
+    warmSlots: Math.min(warmSlots, slots, spec.tasks),
     freeCpus,
     waiting,
     machines,
-    afterStops: Math.min(afterStops, spec.tasks),
+    slotsAfterPreemption: Math.min(slotsAfterPreemption, spec.tasks),
   };
 }
 
-/** Where a job can start soonest: most room for it, images in place, most left over; without room the shortest queue. */
+/**
+ * Returns the shard in which a job can start soonest: the one with the most slots for it, then with images in place,
+ * then with the most free cpus; if none has slots, the one with the shortest queue.
+ */
 export function chooseShard(
   spec: JobSpec,
   summaries: readonly ShardSummary[],
   types: ReadonlyMap<string, MachineType>,
   own: ShardName | null,
-  /** How many of its tasks a shard may start before it has a larger share of the team's limit. */
-  allowedIn?: (shard: ShardName) => number,
+  /** Returns how many of the job's tasks a shard may start with its current share of the team's quota. */
+  startableIn?: (shard: ShardName) => number,
 ): ShardName | null {
-  const rooms = summaries.map((s) => roomFor(spec, s, types));
+  const fits = summaries.map((s) => fitInShard(spec, s, types));
   const startable = new Map<ShardName, number>();
-  for (const { shard, slots, afterStops } of allowedIn ? rooms : [])
-    startable.set(shard, Math.min(Math.max(slots, afterStops), allowedIn?.(shard) ?? 0));
-  // Small jobs cost their holder as many changes as large ones, and a swarm of them all that it may make. The nodes that
-  // accept them have about as many each: where they find room at once, they stay.
-  const here = rooms.find(({ shard }) => shard === own);
+  for (const { shard, slots, slotsAfterPreemption } of startableIn ? fits : [])
+    startable.set(shard, Math.min(Math.max(slots, slotsAfterPreemption), startableIn?.(shard) ?? 0));
+  // A small job costs its holder as many state changes as a large one, and a burst of small jobs can take up all
+  // changes that the holder may make. The nodes that accept jobs receive about equally many, so small jobs stay there
+  // if they find room at once.
+  const here = fits.find(({ shard }) => shard === own);
   if (
     here &&
     spec.kind === 'array' &&
-    spec.tasks <= FEW_TASKS &&
-    here.warm >= spec.tasks &&
-    (allowedIn?.(here.shard) ?? spec.tasks) >= spec.tasks
+    spec.tasks <= MAX_SMALL_ARRAY_TASKS &&
+    here.warmSlots >= spec.tasks &&
+    (startableIn?.(here.shard) ?? spec.tasks) >= spec.tasks
   )
     return here.shard;
-  rooms.sort(
+  fits.sort(
     (a, b) =>
-      // Where its team has a share, nothing has to be moved first.
+      // In a shard with enough of the team's quota, no quota has to be moved first.
       (startable.get(b.shard) ?? 0) - (startable.get(a.shard) ?? 0) ||
-      // Arrays give way to a service at once: all of it in one block counts more than what is free already.
-      b.afterStops - a.afterStops ||
+      // Services preempt arrays at once, so fitting all of a service into one block counts more than capacity that is
+      // already free.
+      b.slotsAfterPreemption - a.slotsAfterPreemption ||
       b.slots - a.slots ||
-      // A gang that finds no room waits where most of its kind of machine is: scattered, they never suffice.
+      // A gang without room waits in the shard with the most suitable machines: machines scattered over several shards
+      // would never suffice.
       (spec.kind === 'gang' && a.slots < spec.tasks ? b.machines - a.machines : 0) ||
-      b.warm - a.warm ||
+      b.warmSlots - a.warmSlots ||
       (a.slots === 0 ? a.waiting - b.waiting : 0) ||
       b.freeCpus - a.freeCpus ||
       Number(b.shard === own) - Number(a.shard === own) ||
       (a.shard < b.shard ? -1 : 1),
   );
-  return rooms[0]?.shard ?? own;
+  return fits[0]?.shard ?? own;
 }
 
-/** How much shorter another shard's queue must be before an array that waits changes over, in seconds. */
-const SHORTER_BY_S = 20;
+/** A waiting array moves to another shard only if the queue there is shorter by more than this. */
+const MIN_QUEUE_REDUCTION_S = 20;
 
 /**
- * Where an array that waits without a task anywhere would be through sooner: all of it finds room, or the
- * queue is shorter by so much that it isn't moved back the next moment. Null: it stays.
+ * Returns the shard to which a waiting job without running tasks should move, or null if it should stay. An array moves
+ * to a shard that has room for all of it, or whose queue is shorter by enough that the array is not moved back at once.
  */
 export function betterShard(
   spec: JobSpec,
@@ -129,21 +138,24 @@
   others: readonly ShardSummary[],
   types: ReadonlyMap<string, MachineType>,
 ): ShardName | null {
-  const rooms = others.map((summary) => roomFor(spec, summary, types));
-  const roomy = rooms.filter((room) => room.slots >= Math.min(count, spec.tasks)).sort((a, b) => b.slots - a.slots)[0];
-  if (roomy && roomy.slots > 0) return roomy.shard;
+  const fits = others.map((summary) => fitInShard(spec, summary, types));
+  const widest = fits.filter((fit) => fit.slots >= Math.min(count, spec.tasks)).sort((a, b) => b.slots - a.slots)[0];
+  if (widest && widest.slots > 0) return widest.shard;
   if (!here || spec.kind === 'service') return null;
-  const { waiting: own, machines } = roomFor(spec, here, types);
+  const { waiting: own, machines } = fitInShard(spec, here, types);
   if (spec.kind === 'gang') {
-    // Where there are too few machines of its kind, it would wait for ever: it goes where enough are.
-    const most = rooms.sort((a, b) => b.machines - a.machines)[0];
+    // With too few suitable machines in its shard, a gang would wait forever, so it moves to a shard that has enough.
+    const most = fits.sort((a, b) => b.machines - a.machines)[0];
     return machines < spec.tasks && most && most.machines >= spec.tasks ? most.shard : null;
   }
-  const shortest = rooms.filter((room) => room.machines > 0).sort((a, b) => a.waiting - b.waiting)[0];
-  return shortest && shortest.waiting + SHORTER_BY_S < own ? shortest.shard : null;
+  const shortest = fits.filter((fit) => fit.machines > 0).sort((a, b) => a.waiting - b.waiting)[0];
+  return shortest && shortest.waiting + MIN_QUEUE_REDUCTION_S < own ? shortest.shard : null;
 }
 
-/** Until the next summary, room that a job was sent to is taken, and what finds none there waits there. */
+/**
+ * Returns the summary as it is expected to look after a job was routed to the shard: its tasks take free capacity, and
+ * array tasks that find none are added to the demand. Used until the shard sends its next summary.
+ */
 export function bookRoom(spec: JobSpec, summary: ShardSummary): ShardSummary {
   let left = spec.tasks;
   const machines = summary.machines.map((m) => {
--- a/test/leasing.test.ts
+++ b/test/leasing.test.ts
@@ -5,7 +5,7 @@
 import { Priority, type JobSpec } from '../src/jobs/index.js';
 import { jobId, machineId, nodeName, shardName } from '../src/kernel/index.js';
 import {
-  beyondFlow,
+  gangTasksBeyondTurnover,
   betterShard,
   bookRoom,
   chooseShard,
@@ -80,13 +80,13 @@
     refused: new Set(),
     headroom: [],
     idleReturnS: 20,
-    patience: 0.75,
+    backlogTimeShare: 0.75,
     ageOf: () => 100,
     ...over,
   };
 }
 
-test('missing cpus are those of a slow model that plays the backlog second by second', () => {
+test('missingCpus agrees with a reference model that simulates the backlog second by second', () => {
   const backlog = fc.array(
     fc.record({ cpuSeconds: fc.integer({ min: 1, max: 400 }), withinS: fc.integer({ min: 12, max: 60 }) }),
     { minLength: 1, maxLength: 5 },
@@ -120,7 +120,7 @@
   );
 });
 
-test('idle machines follow the demand before anything is rented', () => {
+test('idle machines are transferred to the shard with demand before anything is rented', () => {
   const waiting = spec({ id: 'j-1', tasks: 4 });
   const plan = planLeases(input([waiting], [shard('n-0', [machine('m-1')]), shard('n-1', [], [demand('j-1', 4)])]));
   assert.deepEqual(plan.transfers, [{ machine: 'm-1', from: 'n-0', to: 'n-1' }]);
@@ -128,7 +128,7 @@
   assert.deepEqual(plan.releases, []);
 });
 
-test('a machine that has come up is leased once, to the shard that waits', () => {
+test('a machine that has come up is leased once, to the shard with waiting tasks', () => {
   const loose: LooseMachine = { id: machineId('m-9'), type: 'small', zone: 'a', spot: false, up: true, ageS: 20 };
   const shards = [shard('n-0', []), shard('n-1', [], [demand('j-1', 4)])];
   const plan = planLeases(input([spec({ id: 'j-1', tasks: 4 })], shards, { loose: [loose] }));
@@ -136,7 +136,7 @@
   assert.deepEqual(plan.rents, []);
 });
 
-test('spot machines are rented only for jobs that allow them, dear ones only for what is really late', () => {
+test('spot machines are rented only for jobs that allow them, expensive ones only for late jobs', () => {
   const spotJob = spec({ id: 'j-1', tasks: 4, spot: true });
   const ownJob = spec({ id: 'j-2', tasks: 4 });
   const rents = (job: JobSpec, slackS: number, refused: string[] = []): string[] =>
@@ -146,25 +146,28 @@
   assert.deepEqual(rents(spotJob, 5), ['small/spot']);
   assert.deepEqual(rents(ownJob, 5), ['small/own']);
   assert.deepEqual(rents(spotJob, 5, ['small/a/spot']), ['small/own']);
-  // With time enough and something that runs the queue down, nobody rents five times as dear.
-  const patient = {
+  // With enough time left and capacity that drains the queue, no machine at five times the price is rented.
+  const drainingShard = {
     ...shard('n-0', [], [demand('j-1', 2, 60)]),
     running: [{ job: jobId('j-3'), running: 1, done: 0 }],
   };
   const running = spec({ id: 'j-3', tasks: 2, estimateS: 4 });
-  assert.deepEqual(planLeases(input([spotJob, running], [patient], { refused: new Set(['small/a/spot']) })).rents, []);
+  assert.deepEqual(
+    planLeases(input([spotJob, running], [drainingShard], { refused: new Set(['small/a/spot']) })).rents,
+    [],
+  );
 });
 
-test('room that arrays give up at once is room for services; without it some is rented', () => {
+test('capacity that services can preempt from arrays counts as headroom; without it a machine is rented', () => {
   const service = spec({ id: 'j-s', kind: 'service', priority: Priority.production, cpus: 2 });
   const full = machine('m-1', { freeCpus: 0, freeMemoryGb: 0, empty: false, idleMs: 0 });
-  const wants = (m: MachineSummary): number =>
+  const rentCount = (m: MachineSummary): number =>
     planLeases(input([], [shard('n-0', [m])], { headroom: [service] })).rents.length;
-  assert.equal(wants(full), 1);
-  assert.equal(wants({ ...full, yieldCpus: 2, yieldMemoryGb: 4 }), 0);
+  assert.equal(rentCount(full), 1);
+  assert.equal(rentCount({ ...full, yieldCpus: 2, yieldMemoryGb: 4 }), 0);
 });
 
-test('what idles long is given back, the room for services is kept', () => {
+test('a machine that is idle for long is released unless services need it as headroom', () => {
   const idle = machine('m-1', { idleMs: 30_000 });
   const releases = (headroom: JobSpec[]): number =>
     planLeases(input([], [shard('n-0', [idle])], { headroom })).releases.length;
@@ -172,7 +175,7 @@
   assert.equal(releases([spec({ id: 'j-s', kind: 'service', cpus: 2 })]), 0);
 });
 
-test('lent accelerator machines are called in for a gang of another shard, which waits where most of them are', () => {
+test('lent accelerator machines are reclaimed for a gang of another shard, which waits where most of them are', () => {
   const types = new Map([['gpu', type('gpu', 8, 3, { gpus: 2 })]]);
   const gang = spec({ id: 'j-g', kind: 'gang', tasks: 2, gpus: 2, cpus: 3, types: ['gpu'] });
   const lent = machine('m-1', { type: 'gpu', freeGpus: 2, freeCpus: 0, empty: false, idleMs: 5000 });
@@ -184,7 +187,7 @@
   assert.equal(chooseShard(gang, many, types, shardName('n-0')), 'n-1');
 });
 
-test('a queue for accelerators does not keep other work away, and without room the shorter queue is chosen', () => {
+test('a queue for accelerators does not count for other work; without free slots the shorter queue is chosen', () => {
   const types = new Map([['small', type('small', 1, 0.2)]]);
   const busy = machine('m-1', { freeCpus: 0, idleMs: 0, empty: false });
   const job = spec({ id: 'j-1', tasks: 8 });
@@ -193,14 +196,15 @@
     chooseShard(job, [shard('n-0', [busy], a), shard('n-1', [{ ...busy, id: machineId('m-2') }], b)], types, null);
   assert.equal(choose([gpuQueue], [demand('j-2', 1)]), 'n-0');
   assert.equal(choose([demand('j-2', 5)], [demand('j-3', 2)]), 'n-1');
-  // Seen as reminders piling up beside replicas: what others hold doesn't work a queue off.
+  // Capacity held by replicas does not drain a queue. When it was counted, arrays queued up beside replicas.
   const sharing = { ...busy, id: machineId('m-3'), yieldCpus: 4 };
   const equal = [demand('j-2', 3)];
   assert.equal(chooseShard(job, [shard('n-0', [busy], equal), shard('n-1', [sharing], equal)], types, null), 'n-1');
 });
 
-test('room that others wait for is not room; an array changes over only to a queue that is clearly shorter', () => {
-  // Seen with all theatres in one block: a few free slots drew every reminder to where thousands waited.
+test('capacity that others wait for is not free; an array moves only to a queue that is clearly shorter', () => {
+  // Guards against a few free slots attracting every small job to a shard where thousands of tasks wait already. This
+  // happened when one block had all accelerator machines.
   const types = new Map([['small', type('small', 4, 0.2)]]);
   const free = machine('m-1', { freeCpus: 2, yieldCpus: 2, empty: false });
   const full = machine('m-2', { freeCpus: 0, yieldCpus: 4, empty: false });
@@ -208,7 +212,7 @@
   const crowded = shard('n-0', [free], [demand('j-2', 30)]);
   const calm = shard('n-1', [full], [demand('j-3', 2)]);
   assert.equal(chooseShard(job, [crowded, calm], types, null), 'n-1');
-  // What waits at a lower priority gives way.
+  // Waiting work of a lower priority does not count.
   const low = { ...demand('j-2', 30), priority: Priority.low };
   assert.equal(chooseShard(job, [shard('n-0', [free], [low]), calm], types, null), 'n-0');
   const better = (here: number, there: number): string | null =>
@@ -225,19 +229,19 @@
   const two = shard('n-1', [full, { ...full, id: machineId('m-3') }]);
   assert.equal(betterShard(gang, 2, shard('n-0', [full]), [two], types), 'n-1');
   assert.equal(betterShard(gang, 2, two, [shard('n-0', [full])], types), null);
-  // Until the next summary, what was sent there waits there.
+  // Until the next summary, a job that was routed to the shard counts as demand there.
   const booked = bookRoom(job, calm);
   assert.equal(booked.demand.at(-1)?.missing, 8);
 });
 
-test('gangs are rented for only beyond what the running ones leave in time', () => {
-  assert.equal(beyondFlow([], 0), 0);
-  // Nothing runs, nothing comes free.
-  assert.equal(beyondFlow([{ tasks: 8, slackS: 100 }], 0), 8);
-  // Two tasks a second leave 140 in a hundred seconds, of which seven in ten are counted on.
-  assert.equal(beyondFlow([{ tasks: 32, slackS: 100 }], 2), 0);
+test('machines are rented for gangs only beyond the slots that running gangs free in time', () => {
+  assert.equal(gangTasksBeyondTurnover([], 0), 0);
+  // Nothing runs, so no slots become free.
+  assert.equal(gangTasksBeyondTurnover([{ tasks: 8, slackS: 100 }], 0), 8);
+  // Two tasks per second free 200 slots in 100 seconds, of which 0.7 are counted on: 140.
+  assert.equal(gangTasksBeyondTurnover([{ tasks: 32, slackS: 100 }], 2), 0);
   assert.equal(
-    beyondFlow(
+    gangTasksBeyondTurnover(
       [
         { tasks: 150, slackS: 100 },
         { tasks: 10, slackS: 5 },
@@ -246,10 +250,10 @@
     ),
     20,
   );
-  assert.equal(beyondFlow([{ tasks: 32, slackS: -5 }], 0.1), 30);
+  assert.equal(gangTasksBeyondTurnover([{ tasks: 32, slackS: -5 }], 0.1), 30);
 });
 
-test('a wish for more than one call may ask for takes several calls, kind by kind in turn', () => {
+test('a rent above the limit of one call is split into several calls, with the kinds taking turns', () => {
   const wish = (type: string, count: number): RentWish => ({ type, zone: 'a', spot: false, count });
   assert.deepEqual(
     inCalls([wish('small', 120), wish('big', 3)]).map((w) => [w.type, w.count]),
@@ -263,7 +267,7 @@
   assert.deepEqual(inCalls([]), []);
 });
 
-test('small arrays stay with the node that accepts them while it has room at once; larger ones go where most room is', () => {
+test('small arrays stay with the accepting node if it has room; larger ones go to the shard with the most room', () => {
   const types = new Map([['small', type('small', 4, 0.2)]]);
   const own = shardName('n-0');
   const roomy = shard('n-1', [machine('m-2'), machine('m-3'), machine('m-4')]);
--- a/test/threshold.test.ts
+++ b/test/threshold.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  baselineQ,
+  baselineTerm,
   chooseRestarts,
   DEFAULT_TUNABLES,
-  estimateRun,
+  estimateRunS,
   flagTasks,
   resourceR,
   threshold,
@@ -16,18 +16,18 @@
 const near = (actual: number, expected: number, within = 0.006): void =>
   assert.ok(Math.abs(actual - expected) <= within, `${actual} is not ${expected}`);
 
-test("the baseline follows the paper's two deadline examples", () => {
+test("the baseline term reproduces the paper's two deadline examples", () => {
   const estimates = [290, 290, 300, 380, 400];
-  // The paper rounds the mean (332) down to 300; with its mean the quotients are its own.
+  // The paper rounds the mean (332) down to 300. Divided by that mean, the results are the quotients in the paper.
   const mean = estimates.reduce((a, b) => a + b, 0) / estimates.length;
-  near(baselineQ(estimates, 300, 1.5) * mean, 380, 1e-9);
-  near(baselineQ(estimates, 450, 1.5) * mean, 450, 1e-9);
-  near((baselineQ(estimates, 300, 1.5) * mean) / 300, 1.27);
-  near((baselineQ(estimates, 450, 1.5) * mean) / 300, 1.5);
-  assert.equal(baselineQ(estimates, null, 1.5), 1.5);
+  near(baselineTerm(estimates, 300, 1.5) * mean, 380, 1e-9);
+  near(baselineTerm(estimates, 450, 1.5) * mean, 450, 1e-9);
+  near((baselineTerm(estimates, 300, 1.5) * mean) / 300, 1.27);
+  near((baselineTerm(estimates, 450, 1.5) * mean) / 300, 1.5);
+  assert.equal(baselineTerm(estimates, null, 1.5), 1.5);
 });
 
-test("the threshold gives the columns of the paper's first example", () => {
+test("the threshold reproduces the columns of the paper's first example", () => {
   const t = { ...DEFAULT_TUNABLES, floor: 1 };
   const rows = [
     [0.14, 0.15, 1.09],
@@ -46,7 +46,7 @@
   }
 });
 
-test('a busier cluster and later progress raise the threshold; it never falls below its floor', () => {
+test('the threshold rises with progress and never falls below its floor', () => {
   fc.assert(
     fc.property(
       fc.double({ min: 0, max: 1, noNaN: true }),
@@ -61,8 +61,8 @@
   );
 });
 
-/** The rule once more, slowly and in plain steps. */
-function slowFlags(job: JobSnapshot, r: number): number[] {
+/** Reference implementation of flagTasks in plain steps. */
+function referenceFlags(job: JobSnapshot, r: number): number[] {
   const t = DEFAULT_TUNABLES;
   const sorted = [...job.finishedRunsS].sort((a, b) => a - b);
   const mid =
@@ -94,7 +94,7 @@
   return job.running.filter((_, i) => (runs[i] ?? 0) > th * (sumRun / n)).map((task) => task.index);
 }
 
-test('flags are those of the slow plain model', () => {
+test('flagged tasks agree with the reference implementation', () => {
   const task = fc.record({
     index: fc.integer({ min: 0, max: 50 }),
     machine: fc.constantFrom('a', 'b', 'c'),
@@ -116,20 +116,20 @@
     fc.property(job, fc.integer({ min: -6, max: 4 }), (snapshot, tenths) => {
       const flags = flagTasks(snapshot, tenths / 10, DEFAULT_TUNABLES).map((f) => f.index);
       flagged += flags.length;
-      assert.deepEqual(flags, slowFlags(snapshot, tenths / 10));
+      assert.deepEqual(flags, referenceFlags(snapshot, tenths / 10));
     }),
     { seed: 7, numRuns: 500 },
   );
-  assert.ok(flagged > 50, 'the examples reach the rule');
+  assert.ok(flagged > 50, 'enough generated snapshots lead to flagged tasks');
 });
 
-test('a run is estimated from the elapsed time, the siblings, and before any finishes from the job', () => {
-  near(estimateRun(95, null, 30, 0.95), 100);
-  assert.equal(estimateRun(10, 40, 30, 0.95), 40);
-  assert.equal(estimateRun(10, null, 30, 0.95), 30);
+test('a run is estimated from the elapsed time and from finished siblings or, before any has finished, from the job', () => {
+  near(estimateRunS(95, null, 30, 0.95), 100);
+  assert.equal(estimateRunS(10, 40, 30, 0.95), 40);
+  assert.equal(estimateRunS(10, null, 30, 0.95), 30);
 });
 
-test('a flagged task is restarted once, only from a machine that looks faulty, a tenth of its job a round', () => {
+test('a flagged task is restarted once, only from a faulty-looking machine, and at most a tenth of its job per round', () => {
   const flag = (job: string, index: number, machine: string, estimateS: number, restarted = false): Flag => ({
     job,
     index,
