--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -84,7 +84,7 @@
 }
 
 const LIST_INTERVAL_MS = 2500;
-/** How long a kind of machine is not requested again after the cloud had too few of it. */
+/** How long a kind of machine is not rented again after the cloud could not supply all that were requested. */
 const REFUSED_KIND_BACKOFF_MS = 15_000;
 /** Minimum time between two transfer requests for the same machine. */
 const TRANSFER_RETRY_MS = 3000;
@@ -102,7 +102,7 @@
 export class Leader {
   /** Machines known in this term, whether in a block or not. */
   private readonly known = new Map<MachineId, KnownMachine>();
-  /** Kinds of machine that the cloud could not supply, with the time of the refusal. */
+  /** When the cloud last could not supply all requested machines of a kind, by the key of the kind. */
   private readonly refused = new Map<string, Millis>();
   /** When a transfer or release of a machine was last requested from its holder, or a lost machine was deleted. */
   private readonly asked = new Map<MachineId, Millis>();
--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -11,7 +11,7 @@
  * be late, because reclaiming stops all work on the machine. The accelerators must have been idle for this long.
  */
 const RECLAIM_IDLE_MS = 3000;
-/** A gang is about to be late when it has less slack than this. */
+/** A gang with less slack than this is about to be late. */
 const RECLAIM_GANG_SLACK_S = 40;
 /** A kind of machine is expensive for a job if its price per cpu exceeds this multiple of the job's cheapest kind. */
 const MAX_CPU_PRICE_RATIO = 2.5;
@@ -49,7 +49,7 @@
   readonly specOf: (id: JobId) => JobSpec | null;
   /** Kinds of machine that the cloud recently could not supply, as `type/zone/spot` or `type/zone/own`. */
   readonly refused: ReadonlySet<string>;
-  /** Service jobs for which free capacity is kept at any time. */
+  /** Service jobs for which free capacity is kept at any time. They are placed in this order. */
   readonly headroom: readonly JobSpec[];
   /**
    * Jobs that will be ready soon. Nothing is leased for them yet, but the machines they will lack are rented in time.
@@ -77,6 +77,7 @@
   readonly grants: readonly { readonly machine: MachineId; readonly to: ShardName }[];
   /** Machines that their holder should lease to another shard. */
   readonly transfers: readonly { readonly machine: MachineId; readonly from: ShardName; readonly to: ShardName }[];
+  /** Machines to rent from the cloud. */
   readonly rents: readonly RentWish[];
   /** Empty machines that their holder should release, to be returned to the cloud. */
   readonly releases: readonly { readonly machine: MachineId; readonly from: ShardName }[];
@@ -180,7 +181,7 @@
   const grants: { machine: MachineId; to: ShardName }[] = [];
   const transfers: { machine: MachineId; from: ShardName; to: ShardName }[] = [];
   const releases: { machine: MachineId; from: ShardName }[] = [];
-  const wholeCapacity = (type: MachineType, zone: string, spot: boolean): FreeCapacity => ({
+  const totalCapacity = (type: MachineType, zone: string, spot: boolean): FreeCapacity => ({
     type,
     zone,
     spot,
@@ -198,7 +199,7 @@
     if (!machine.up || input.shards.length === 0) continue;
     const type = input.types.get(machine.type);
     if (!type) continue;
-    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const capacity = totalCapacity(type, machine.zone, machine.spot);
     const to =
       shardToServe(demands, capacity) ??
       [...freeCpusByShard].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
@@ -218,7 +219,7 @@
   for (const entry of idle) {
     const type = input.types.get(entry.machine.type);
     if (!type) continue;
-    const capacity = wholeCapacity(type, entry.machine.zone, entry.machine.spot);
+    const capacity = totalCapacity(type, entry.machine.zone, entry.machine.spot);
     if (entry.machine.idleMs < 300 || !entry.machine.empty) {
       if (!entry.machine.empty) stillIdle.push(entry);
       serve(demands, capacity, entry.shard.shard);
@@ -238,7 +239,7 @@
   for (const { machine } of stillIdle) {
     const type = input.types.get(machine.type);
     if (!type || !machine.empty) continue;
-    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const capacity = totalCapacity(type, machine.zone, machine.spot);
     for (const demand of upcoming)
       if (demand.slots > 0 && allocateSlots(demand, capacity) > 0) keptForUpcoming.add(machine.id);
   }
@@ -254,7 +255,7 @@
     const type = input.types.get(machine.type);
     if (machine.empty || !type || type.gpus <= 0 || machine.idleMs < RECLAIM_IDLE_MS) continue;
     const urgentGangs = gangs.filter((demand) => demand.spec.gpus > 0 && demand.slackS < RECLAIM_GANG_SLACK_S);
-    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const capacity = totalCapacity(type, machine.zone, machine.spot);
     const to = shardToServe(urgentGangs, capacity);
     if (to === null) continue;
     serve(urgentGangs, capacity, to);
@@ -266,13 +267,13 @@
     if (machine.up) continue;
     const type = input.types.get(machine.type);
     if (!type || machine.ageS > type.bootS * 1.8 + 5) continue;
-    const capacity = wholeCapacity(type, machine.zone, machine.spot);
+    const capacity = totalCapacity(type, machine.zone, machine.spot);
     const uncappedCapacity = { ...capacity };
     for (const demand of [...demands, ...upcoming]) if (demand.slots > 0) allocateSlots(demand, capacity);
     for (const demand of uncapped) if (demand.slots > 0) allocateSlots(demand, uncappedCapacity);
   }
 
-  // Free capacity for services: capacity on any machine counts, with partly used machines first.
+  // Free capacity for services: capacity on any machine counts, and partly used machines are filled first.
   const capacityForServices = (excluded: ReadonlySet<MachineId>): FreeCapacity[] => {
     const capacities: FreeCapacity[] = [];
     for (const shard of input.shards) {
@@ -290,7 +291,7 @@
     }
     for (const m of input.loose) {
       const type = input.types.get(m.type);
-      if (type && m.ageS <= type.bootS * 1.8 + 5) capacities.push(wholeCapacity(type, m.zone, m.spot));
+      if (type && m.ageS <= type.bootS * 1.8 + 5) capacities.push(totalCapacity(type, m.zone, m.spot));
     }
     return capacities;
   };
@@ -304,7 +305,7 @@
     }));
     for (const demand of needs)
       for (const capacity of capacities) if (demand.slots > 0) allocateSlots(demand, capacity);
-    return needs.filter((need) => need.slots > 0);
+    return needs.filter((demand) => demand.slots > 0);
   };
 
   const waiting = [...demands, ...gangs, ...upcoming].filter((demand) => demand.slots > 0);
@@ -314,7 +315,8 @@
     .filter(({ machine }) => machine.idleMs > input.idleReturnS * 1000 && input.ageOf(machine.id) > 50)
     .sort((a, b) => hourlyPrice(input, b.machine) - hourlyPrice(input, a.machine));
   for (const { machine, shard } of longIdle) {
-    // Machines are released gradually: idle machines may be needed again shortly, and they were all rented together.
+    // Machines are released gradually: those that are idle now may be needed again shortly, and they were all rented
+    // together.
     if (
       released.size >= Math.max(2, longIdle.length * RELEASE_SHARE_PER_ROUND) ||
       headroomChecks >= MAX_HEADROOM_CHECKS
--- a/src/leasing/routing.ts
+++ b/src/leasing/routing.ts
@@ -17,7 +17,7 @@
   readonly warmSlots: number;
   /** Free cpus on the machines that have slots for the job. */
   readonly freeCpus: number;
-  /** Estimated time to work off the shard's queue ahead of the job, in seconds. */
+  /** Estimated time to work off the queue ahead of the job, in seconds. */
   readonly waiting: number;
   /** Number of tasks of a service that could start after preempting arrays; 0 for other jobs. */
   readonly slotsAfterPreemption: number;
@@ -44,14 +44,14 @@
     const by = (need: number, free: number): number => (need <= 0 ? Infinity : Math.floor((free + EPSILON) / need));
     const slotsWith = (cpus: number, memoryGb: number): number =>
       Math.min(by(spec.cpus, cpus), by(spec.gpus, m.freeGpus), by(spec.memoryGb, memoryGb), spec.tasks);
-    const here = slotsWith(m.freeCpus, m.freeMemoryGb);
+    const slotsOnMachine = slotsWith(m.freeCpus, m.freeMemoryGb);
     if (spec.kind === 'service' && (type?.gpus ?? 0) <= 0)
       slotsAfterPreemption += slotsWith(m.freeCpus + m.yieldCpus, m.freeMemoryGb + m.yieldMemoryGb);
-    if (here <= 0) continue;
-    slots += here;
+    if (slotsOnMachine <= 0) continue;
+    slots += slotsOnMachine;
     freeCpus += m.freeCpus;
     const slowFetch = spec.imageGb / (types.get(m.type)?.fetchGbPerS ?? 1) > 3;
-    if (m.images.includes(spec.image) || (!slowFetch && spec.kind !== 'service')) warmSlots += here;
+    if (m.images.includes(spec.image) || (!slowFetch && spec.kind !== 'service')) warmSlots += slotsOnMachine;
   }
   // Queued work of the same or a higher priority, per unit of the resource that the job uses.
   let waiting = 0;
@@ -139,8 +139,8 @@
   types: ReadonlyMap<string, MachineType>,
 ): ShardName | null {
   const fits = others.map((summary) => fitInShard(spec, summary, types));
-  const widest = fits.filter((fit) => fit.slots >= Math.min(count, spec.tasks)).sort((a, b) => b.slots - a.slots)[0];
-  if (widest && widest.slots > 0) return widest.shard;
+  const mostSlots = fits.filter((fit) => fit.slots >= Math.min(count, spec.tasks)).sort((a, b) => b.slots - a.slots)[0];
+  if (mostSlots && mostSlots.slots > 0) return mostSlots.shard;
   if (!here || spec.kind === 'service') return null;
   const { waiting: own, machines } = fitInShard(spec, here, types);
   if (spec.kind === 'gang') {
@@ -148,8 +148,8 @@
     const most = fits.sort((a, b) => b.machines - a.machines)[0];
     return machines < spec.tasks && most && most.machines >= spec.tasks ? most.shard : null;
   }
-  const shortest = fits.filter((fit) => fit.machines > 0).sort((a, b) => a.waiting - b.waiting)[0];
-  return shortest && shortest.waiting + MIN_QUEUE_REDUCTION_S < own ? shortest.shard : null;
+  const shortestQueue = fits.filter((fit) => fit.machines > 0).sort((a, b) => a.waiting - b.waiting)[0];
+  return shortestQueue && shortestQueue.waiting + MIN_QUEUE_REDUCTION_S < own ? shortestQueue.shard : null;
 }
 
 /**
--- a/test/leasing.test.ts
+++ b/test/leasing.test.ts
@@ -209,13 +209,13 @@
   const free = machine('m-1', { freeCpus: 2, yieldCpus: 2, empty: false });
   const full = machine('m-2', { freeCpus: 0, yieldCpus: 4, empty: false });
   const job = spec({ id: 'j-1', tasks: 8 });
-  const crowded = shard('n-0', [free], [demand('j-2', 30)]);
-  const calm = shard('n-1', [full], [demand('j-3', 2)]);
-  assert.equal(chooseShard(job, [crowded, calm], types, null), 'n-1');
-  // Waiting work of a lower priority does not count.
+  const longQueue = shard('n-0', [free], [demand('j-2', 30)]);
+  const shortQueue = shard('n-1', [full], [demand('j-3', 2)]);
+  assert.equal(chooseShard(job, [longQueue, shortQueue], types, null), 'n-1');
+  // Waiting work of a lower priority gives way, so it does not count.
   const low = { ...demand('j-2', 30), priority: Priority.low };
-  assert.equal(chooseShard(job, [shard('n-0', [free], [low]), calm], types, null), 'n-0');
-  const better = (here: number, there: number): string | null =>
+  assert.equal(chooseShard(job, [shard('n-0', [free], [low]), shortQueue], types, null), 'n-0');
+  const moveTarget = (here: number, there: number): string | null =>
     betterShard(
       job,
       8,
@@ -223,14 +223,14 @@
       [shard('n-1', [full], [demand('j-3', there)])],
       types,
     );
-  assert.equal(better(30, 2), 'n-1');
-  assert.equal(better(6, 5), null);
+  assert.equal(moveTarget(30, 2), 'n-1');
+  assert.equal(moveTarget(6, 5), null);
   const gang = spec({ id: 'j-g', kind: 'gang', tasks: 2 });
   const two = shard('n-1', [full, { ...full, id: machineId('m-3') }]);
   assert.equal(betterShard(gang, 2, shard('n-0', [full]), [two], types), 'n-1');
   assert.equal(betterShard(gang, 2, two, [shard('n-0', [full])], types), null);
   // Until the next summary, a job that was routed to the shard counts as demand there.
-  const booked = bookRoom(job, calm);
+  const booked = bookRoom(job, shortQueue);
   assert.equal(booked.demand.at(-1)?.missing, 8);
 });
 
--- a/test/threshold.test.ts
+++ b/test/threshold.test.ts
@@ -53,9 +53,9 @@
       fc.double({ min: 0, max: 1, noNaN: true }),
       (progress, use) => {
         const r = resourceR([{ cpu: use, memory: use / 2 }], DEFAULT_TUNABLES);
-        const th = threshold(1.5, progress, r, DEFAULT_TUNABLES);
-        assert.ok(th >= DEFAULT_TUNABLES.floor);
-        assert.ok(threshold(1.5, Math.min(1, progress + 0.1), r, DEFAULT_TUNABLES) >= th);
+        const ratio = threshold(1.5, progress, r, DEFAULT_TUNABLES);
+        assert.ok(ratio >= DEFAULT_TUNABLES.floor);
+        assert.ok(threshold(1.5, Math.min(1, progress + 0.1), r, DEFAULT_TUNABLES) >= ratio);
       },
     ),
   );
@@ -65,7 +65,7 @@
 function referenceFlags(job: JobSnapshot, r: number): number[] {
   const t = DEFAULT_TUNABLES;
   const sorted = [...job.finishedRunsS].sort((a, b) => a - b);
-  const mid =
+  const siblingMedianS =
     sorted.length === 0
       ? job.estimateS
       : ((sorted[Math.floor((sorted.length - 1) / 2)] ?? 0) + (sorted[Math.ceil((sorted.length - 1) / 2)] ?? 0)) / 2;
@@ -75,7 +75,7 @@
   const runs: number[] = [];
   const ends: number[] = [];
   for (const task of job.running) {
-    const run = Math.max(task.elapsedS / t.progressCap, mid);
+    const run = Math.max(task.elapsedS / t.progressCap, siblingMedianS);
     runs.push(run);
     ends.push(task.startedAfterS + run);
     sumRun += run;
@@ -86,12 +86,12 @@
   if (n === 0 || sumRun <= 0) return [];
   let q = t.baseline;
   if (job.deadlineS !== null && sumEnd > 0) {
-    let first = Infinity;
-    for (const end of ends) if (end > (job.deadlineS ?? 0) && end < first) first = end;
-    q = (first === Infinity ? job.deadlineS : first) / (sumEnd / n);
+    let firstLate = Infinity;
+    for (const end of ends) if (end > (job.deadlineS ?? 0) && end < firstLate) firstLate = end;
+    q = (firstLate === Infinity ? job.deadlineS : firstLate) / (sumEnd / n);
   }
-  const th = Math.max(t.floor, q + t.alpha * (sumProgress / job.tasks - t.mu) + t.beta * r);
-  return job.running.filter((_, i) => (runs[i] ?? 0) > th * (sumRun / n)).map((task) => task.index);
+  const thresholdRatio = Math.max(t.floor, q + t.alpha * (sumProgress / job.tasks - t.mu) + t.beta * r);
+  return job.running.filter((_, i) => (runs[i] ?? 0) > thresholdRatio * (sumRun / n)).map((task) => task.index);
 }
 
 test('flagged tasks agree with the reference implementation', () => {
