--- a/test/threshold.test.ts
+++ b/test/threshold.test.ts
@@ -86,9 +86,9 @@
   if (n === 0 || sumRun <= 0) return [];
   let q = t.baseline;
   if (job.deadlineS !== null && sumEnd > 0) {
-    let firstLate = Infinity;
-    for (const end of ends) if (end > (job.deadlineS ?? 0) && end < firstLate) firstLate = end;
-    q = (firstLate === Infinity ? job.deadlineS : firstLate) / (sumEnd / n);
+    let first = Infinity;
+    for (const end of ends) if (end > (job.deadlineS ?? 0) && end < first) first = end;
+    q = (first === Infinity ? job.deadlineS : first) / (sumEnd / n);
   }
   const thresholdRatio = Math.max(t.floor, q + t.alpha * (sumProgress / job.tasks - t.mu) + t.beta * r);
   return job.running.filter((_, i) => (runs[i] ?? 0) > thresholdRatio * (sumRun / n)).map((task) => task.index);
