--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -189,17 +189,17 @@
     await this.returnUnleased(now);
     if (this.deps.types().size === 0 || !(await this.blocksAreConsistent(term))) return;
 
-    const unleased: LooseMachine[] = [];
+    const unleasedMachines: LooseMachine[] = [];
     for (const known of this.known.values()) {
       if (this.isLeased(known.id) || known.doomed || known.phase === 'failed' || this.releaseAskedAt.has(known.id))
         continue;
       const up = known.reportedAt !== null && now - known.reportedAt < 10_000;
-      unleased.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
+      unleasedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
     }
     for (const [key, at] of this.refused) if (now - at > REFUSED_KIND_BACKOFF_MS) this.refused.delete(key);
     const plan = planLeases({
       shards: summaries,
-      loose: unleased,
+      loose: unleasedMachines,
       types: this.deps.types(),
       specOf: this.specOf,
       refused: new Set(this.refused.keys()),
@@ -377,8 +377,8 @@
   }
 
   /**
-   * Returns to the cloud machines that their holder reports as lost, or as faulty and empty, and machines that the
-   * cloud reports as failed. They are deleted first and then removed from their blocks.
+   * Returns lost machines to the cloud: those that their holder reports as lost, or as faulty and empty, and those that
+   * the cloud reports as failed. They are deleted first and then removed from their blocks.
    */
   private async returnLost(summaries: readonly ShardSummary[], now: Millis): Promise<void> {
     const lost = new Set<MachineId>();
@@ -427,8 +427,8 @@
   }
 
   /**
-   * Returns to the cloud machines in no block that their holder has released, that never came up, that have gone silent
-   * or that failed, and those whose deletion was requested before.
+   * Returns unleased machines to the cloud: those that their holder has released, that never came up, that have gone
+   * silent or that failed, and those whose deletion was requested before.
    */
   private async returnUnleased(now: Millis): Promise<void> {
     const ids: MachineId[] = [];
