--- a/src/placement/begin.ts
+++ b/src/placement/begin.ts
@@ -1,41 +1,44 @@
+// Starts the first task of arrays that have waited long.
+
 import type { JobSpec } from '../jobs/index.js';
 import type { JobId } from '../kernel/index.js';
-import { allowedKind, allowedZone, book, fits, pendingOrder, score } from './fit.js';
-import type { PlanInput, PlannedStart, Room } from './model.js';
+import { allowedKind, allowsZone, allocate, fits, comparePending, score } from './fit.js';
+import type { PlanInput, PlannedStart, PlanMachine } from './model.js';
 
 /**
- * Nothing waits for long beside a machine that has room for it. Seen as an array that waited 90 s while all that was free was
- * kept for work with accelerators: what has waited so long without a task begins with one, there too. The rest of it
- * waits for room of its own.
+ * An array that has waited this long without a single task may start one on any machine with room, including room that
+ * is kept free for GPU tasks; its other tasks keep waiting. Without this rule an array waited 90 s while all free room
+ * was kept for GPU tasks.
  */
-export const BEGINS_S = 60;
+export const FIRST_TASK_AFTER_S = 60;
 
-/** First tasks of arrays that found no room in the plan and have waited long. */
-export function firstTasks(
+/** Plans the first task of each array that the plan starts nothing of and that has waited `FIRST_TASK_AFTER_S`. */
+export function planFirstTasks(
   input: PlanInput,
-  rooms: readonly Room[],
-  begun: ReadonlySet<JobId>,
+  machines: readonly PlanMachine[],
+  startedJobs: ReadonlySet<JobId>,
   withinLimit: (spec: JobSpec, count: number) => boolean,
   charge: (spec: JobSpec) => void,
   most: number,
 ): PlannedStart[] {
   const starts: PlannedStart[] = [];
   const late = input.pending.filter(
-    ({ spec, waitedS = 0, suspect }) => spec.kind === 'array' && waitedS >= BEGINS_S && !suspect && !begun.has(spec.id),
+    ({ spec, waitedS = 0, suspect }) =>
+      spec.kind === 'array' && waitedS >= FIRST_TASK_AFTER_S && !suspect && !startedJobs.has(spec.id),
   );
-  for (const { spec, ready, avoid, zoneUse } of late.sort(pendingOrder)) {
+  for (const { spec, ready, avoid, zoneUse } of late.sort(comparePending)) {
     const [index] = ready;
     if (starts.length >= most) break;
     if (index === undefined || !withinLimit(spec, 1)) continue;
-    let best: Room | undefined;
-    for (const room of rooms) {
-      const { view } = room;
-      if (!fits(spec, room) || !allowedKind(spec, view) || avoid.has(view.id)) continue;
-      if (!allowedZone(spec, view.zone, zoneUse)) continue;
-      if (!best || score(spec, room, 0) < score(spec, best, 0)) best = room;
+    let best: PlanMachine | undefined;
+    for (const machine of machines) {
+      const { view } = machine;
+      if (!fits(spec, machine) || !allowedKind(spec, view) || avoid.has(view.id)) continue;
+      if (!allowsZone(spec, view.zone, zoneUse)) continue;
+      if (!best || score(spec, machine, 0) < score(spec, best, 0)) best = machine;
     }
     if (!best) continue;
-    book(spec, best);
+    allocate(spec, best);
     charge(spec);
     starts.push({ job: spec.id, index, machine: best.view.id });
   }
--- a/src/placement/fit.ts
+++ b/src/placement/fit.ts
@@ -1,33 +1,40 @@
+// The order of pending jobs, the constraints and the score that decide where a task goes, and room held for starved
+// gangs.
+
 import { Priority, zoneLimit, type JobSpec } from '../jobs/index.js';
-import { EPSILON, type MachineView, type PendingJob, type Reserve, type Room } from './model.js';
+import { EPSILON, type MachineView, type PendingJob, type Reserve, type PlanMachine } from './model.js';
 
-/** Closer than this to its last aim, a job goes by its time, whatever its size. */
-export const URGENT_S = 40;
+/**
+ * With less slack than this until its last objective, a job without a deadline is ordered by that slack, whatever its
+ * size.
+ */
+export const URGENT_SLACK_S = 40;
 
 /**
- * Nothing waits for ever behind what keeps coming: what has waited so long without a single task goes first in its
- * priority, and a gang collects what comes free. Seen as gangs of eight that waited 700 s: once its aims were
- * missed, such a gang collected no more.
+ * A job that has waited this long without a single task goes first within its priority, and a gang accumulates
+ * machines, so that a stream of new jobs can't starve it. Gangs of eight waited 700 s without this rule, because a gang
+ * stopped accumulating once its objectives were missed.
  */
-export const STARVED_S = 150;
-const starved = (job: PendingJob): boolean => (job.waitedS ?? 0) >= STARVED_S;
+export const STARVED_AFTER_S = 150;
+const isStarved = (job: PendingJob): boolean => (job.waitedS ?? 0) >= STARVED_AFTER_S;
 
 /**
- * Under too much load, earliest-due-first makes everything late. So jobs with a deadline go by
- * slack, all others by the work that is left: short jobs are through before long ones notice.
- * A long job's turn comes shortly before its last aim; then comes what is late for every aim, and last
- * what nobody has named a time for.
+ * Rank of a job within its priority; the lowest goes first. Under overload, earliest-deadline-first makes every job
+ * late, so only jobs with a deadline are ordered by slack; all others are ordered by remaining work, which lets short
+ * jobs finish with little delay to long ones. A long job moves forward shortly before its last objective. Jobs that
+ * have missed all objectives come after these, and jobs without a deadline or an objective come last. Starved jobs come
+ * before all others.
  */
 export function rank(job: PendingJob): number {
-  if (starved(job)) return -1e9 - (job.waitedS ?? 0);
+  if (isStarved(job)) return -1e9 - (job.waitedS ?? 0);
   if (!job.aimed) return 2e9 + job.workS;
   if (job.lastSlackS < 0) return 1e9 + job.workS;
   if (job.spec.deadlineS !== null) return job.slackS;
-  return job.lastSlackS < URGENT_S ? job.lastSlackS - URGENT_S : job.workS / 16;
+  return job.lastSlackS < URGENT_SLACK_S ? job.lastSlackS - URGENT_SLACK_S : job.workS / 16;
 }
 
-/** Services first, then by priority, then what can still be in time. */
-export function pendingOrder(a: PendingJob, b: PendingJob): number {
+/** Compares pending jobs: suspect jobs last, services first, then by priority, then by rank. */
+export function comparePending(a: PendingJob, b: PendingJob): number {
   if (a.suspect !== b.suspect) return a.suspect ? 1 : -1;
   const service = Number(b.spec.kind === 'service') - Number(a.spec.kind === 'service');
   if (service !== 0) return service;
@@ -37,70 +44,87 @@
   return a.spec.id < b.spec.id ? -1 : 1;
 }
 
-/** Whether the machine's kind is allowed; what the rules call the wrong place is decided here. */
+/**
+ * Whether the job's constraints on type, zone and spot machines allow this machine. This is the only definition of a
+ * wrong placement.
+ */
 export function allowedKind(spec: JobSpec, m: Pick<MachineView, 'type' | 'zone' | 'spot'>): boolean {
   if (spec.types !== null && !spec.types.includes(m.type)) return false;
   if (spec.zone !== null && spec.zone !== m.zone) return false;
   return !m.spot || spec.spot;
 }
 
-export function allowedZone(spec: JobSpec, zone: string, use: ReadonlyMap<string, number>): boolean {
+/**
+ * Whether the one-zone and spread constraints allow another task of the job in this zone, given the tasks it has by
+ * zone.
+ */
+export function allowsZone(spec: JobSpec, zone: string, use: ReadonlyMap<string, number>): boolean {
   if (spec.oneZone) for (const [other, count] of use) if (count > 0 && other !== zone) return false;
   return !spec.spread || (use.get(zone) ?? 0) < zoneLimit(spec);
 }
 
-export function fits(spec: JobSpec, room: Room): boolean {
-  if (spec.cpus > room.cpus + EPSILON) return false;
-  if (spec.gpus > room.gpus + EPSILON) return false;
-  if (spec.memoryGb > room.memoryGb + EPSILON) return false;
+/** Whether one task of the job fits in the machine's free resources. */
+export function fits(spec: JobSpec, machine: PlanMachine): boolean {
+  if (spec.cpus > machine.cpus + EPSILON) return false;
+  if (spec.gpus > machine.gpus + EPSILON) return false;
+  if (spec.memoryGb > machine.memoryGb + EPSILON) return false;
   return true;
 }
 
-/** How many of a job's tasks find room in these. */
-export function slotsIn(rooms: readonly Room[], spec: JobSpec): number {
+/** How many of a job's tasks fit on these machines. */
+export function countSlots(machines: readonly PlanMachine[], spec: JobSpec): number {
   const by = (need: number, there: number): number => (need <= 0 ? Infinity : Math.floor((there + EPSILON) / need));
   let slots = 0;
-  for (const room of rooms) {
-    const here = Math.min(by(spec.cpus, room.cpus), by(spec.gpus, room.gpus), by(spec.memoryGb, room.memoryGb));
+  for (const machine of machines) {
+    const here = Math.min(
+      by(spec.cpus, machine.cpus),
+      by(spec.gpus, machine.gpus),
+      by(spec.memoryGb, machine.memoryGb),
+    );
     slots += Math.min(spec.tasks, Math.max(0, here));
   }
   return slots;
 }
 
-/** Does the task leave a machine with free accelerators enough for a task that needs them? */
+/**
+ * Whether the task leaves a machine with free GPUs enough other resources for a GPU task. Without a known reserve it
+ * doesn't.
+ */
 export function leavesReserve(
   spec: JobSpec,
-  room: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number },
+  free: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number },
   reserve: Reserve | null,
 ): boolean {
-  if (spec.gpus > 0 || room.gpus < EPSILON) return true;
+  if (spec.gpus > 0 || free.gpus < EPSILON) return true;
   if (!reserve) return false;
-  return room.cpus - spec.cpus + EPSILON >= reserve.cpus && room.memoryGb - spec.memoryGb + EPSILON >= reserve.memoryGb;
+  return free.cpus - spec.cpus + EPSILON >= reserve.cpus && free.memoryGb - spec.memoryGb + EPSILON >= reserve.memoryGb;
 }
 
 /**
- * Free accelerators keep their machine's cpus: other work takes what a job with accelerators
- * leaves. Work that gives way and loses little may take more: of low priority, with checkpoints.
+ * Whether the job may use CPUs and memory that are kept free beside free GPUs. Other work gets only what a GPU task
+ * leaves. The exception is low-priority arrays with checkpoints, because they can be preempted and lose little work.
  */
 export const mayBorrow = (spec: JobSpec): boolean =>
   spec.gpus <= 0 && spec.kind === 'array' && spec.priority === Priority.low && spec.checkpointS > 0;
 
-export function book(spec: JobSpec, room: Room): void {
-  room.cpus -= spec.cpus;
-  room.gpus -= spec.gpus;
-  room.memoryGb -= spec.memoryGb;
-  if (!room.view.images.includes(spec.image) && !room.fetching.includes(spec.image)) room.fetching.push(spec.image);
+/** Subtracts one task of the job from the machine's free resources. */
+export function allocate(spec: JobSpec, machine: PlanMachine): void {
+  machine.cpus -= spec.cpus;
+  machine.gpus -= spec.gpus;
+  machine.memoryGb -= spec.memoryGb;
+  if (!machine.view.images.includes(spec.image) && !machine.fetching.includes(spec.image))
+    machine.fetching.push(spec.image);
 }
 
-/** Lower is better. */
-export function score(spec: JobSpec, room: Room, sameJobHere: number): number {
-  const m = room.view;
+/** Cost of placing one task on the machine; lower is better. `sameJobHere`: number of the job's tasks there. */
+export function score(spec: JobSpec, machine: PlanMachine, sameJobHere: number): number {
+  const m = machine.view;
   let s = 0;
   s += m.suspicion * 60;
-  if (!m.images.includes(spec.image) && !room.fetching.includes(spec.image)) {
-    s += (spec.imageGb / m.fetchGbPerS) * (1 + m.fetching + room.fetching.length);
+  if (!m.images.includes(spec.image) && !machine.fetching.includes(spec.image)) {
+    s += (spec.imageGb / m.fetchGbPerS) * (1 + m.fetching + machine.fetching.length);
   }
-  const leftover = (room.cpus - spec.cpus) / Math.max(1, m.cpus);
+  const leftover = (machine.cpus - spec.cpus) / Math.max(1, m.cpus);
   if (spec.kind === 'service') {
     s += sameJobHere * 4;
     s += leftover * 0.5;
@@ -109,18 +133,21 @@
     if (spec.spot && !m.spot) s += 1.5;
   }
   s += m.cpuPrice * 5;
-  if (spec.gpus <= 0 && room.gpus > EPSILON) s += 20;
+  if (spec.gpus <= 0 && machine.gpus > EPSILON) s += 20;
   return s;
 }
 
-/** Jobs of one kind find the same rooms, but for those that one of them avoids. */
-export const kindOf = (spec: JobSpec): string =>
+/**
+ * Key of the job's equivalence class: jobs with the same key can use the same machines, except those that a job avoids.
+ */
+export const equivalenceClassOf = (spec: JobSpec): string =>
   `${spec.types?.join(',') ?? ''}|${spec.zone ?? ''}|${spec.spot ? 1 : 0}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|` +
   `${spec.kind}|${spec.priority}|${mayBorrow(spec) ? 1 : 0}`;
 
 /**
- * Which machines a plan for these jobs needs to see: most of a full block has nothing to offer.
- * An array takes what is free; the others may have something stopped, so every allowed machine counts.
+ * Returns a filter for the machines that a plan for these jobs needs to consider; most machines of a full shard are of
+ * no use to it. An array below high priority takes only free room. All other jobs may preempt tasks, so every machine
+ * that they are allowed on counts.
  */
 export function relevance(
   specs: readonly JobSpec[],
@@ -128,7 +155,7 @@
   m: Pick<MachineView, 'type' | 'zone' | 'spot'>,
   free: Pick<MachineView, 'freeCpus' | 'freeGpus' | 'freeMemoryGb'>,
 ) => boolean {
-  const kinds = [...new Map(specs.map((spec) => [kindOf(spec), spec])).values()];
+  const kinds = [...new Map(specs.map((spec) => [equivalenceClassOf(spec), spec])).values()];
   const allowed = new Map<string, JobSpec[]>();
   return (m, free) => {
     const key = `${m.type}|${m.zone}|${m.spot}`;
@@ -145,18 +172,19 @@
   };
 }
 
-/** The best of many rooms again and again, while only the room that was taken last has changed. */
-export class Choice {
+/** Finds the machine with the lowest score repeatedly, rescoring only the machines that the last placement affected. */
+export class ScoredMachines {
   private readonly scores: Float64Array;
 
   constructor(
-    private readonly rooms: readonly Room[],
-    private readonly scoreOf: (room: Room) => number,
+    private readonly machines: readonly PlanMachine[],
+    private readonly scoreOf: (machine: PlanMachine) => number,
   ) {
-    this.scores = Float64Array.from(rooms, scoreOf);
+    this.scores = Float64Array.from(machines, scoreOf);
   }
 
-  best(): Room | undefined {
+  /** The machine with the lowest finite score; undefined if there is none. */
+  best(): PlanMachine | undefined {
     let at = -1;
     let lowest = Infinity;
     for (let i = 0; i < this.scores.length; i++) {
@@ -166,29 +194,32 @@
         at = i;
       }
     }
-    return this.rooms[at];
+    return this.machines[at];
   }
 
-  /** Rooms that the one just taken can have changed are looked at again. */
-  taken(room: Room, alsoWhere: (room: Room) => boolean): void {
-    for (const [i, other] of this.rooms.entries()) {
-      if (other === room || alsoWhere(other)) this.scores[i] = this.scoreOf(other);
+  /** Rescores the machine that a task was just placed on, and the others that the placement may have affected. */
+  taken(machine: PlanMachine, isAffected: (machine: PlanMachine) => boolean): void {
+    for (const [i, other] of this.machines.entries()) {
+      if (other === machine || isAffected(other)) this.scores[i] = this.scoreOf(other);
     }
   }
 }
 
-/** This close to its next aim, a gang without room collects what comes free. */
-export const COLLECT_S = 40;
+/** With less slack than this until its next objective, a gang without room accumulates machines as they become free. */
+export const ACCUMULATE_SLACK_S = 40;
 
-/** Smaller gangs come and go while a large one never finds enough at once: it must be able to collect. */
-export const collects = (job: PendingJob): boolean =>
+/**
+ * Whether a gang accumulates machines that become free. Otherwise a series of smaller gangs would keep a large one from
+ * ever finding enough room at once.
+ */
+export const accumulates = (job: PendingJob): boolean =>
   !job.suspect &&
   job.spec.kind === 'gang' &&
   !job.spec.spread &&
-  (starved(job) || (job.slackS < COLLECT_S && job.slackS >= 0));
+  (isStarved(job) || (job.slackS < ACCUMULATE_SLACK_S && job.slackS >= 0));
 
-/** Could these machines hold all of a gang, were they empty? Whatever they lack, collecting would only keep them idle. */
-function couldHold({ spec, ready }: PendingJob, candidates: readonly Room[]): boolean {
+/** Whether the gang would fit on these machines if they were empty. If not, accumulating would only keep them idle. */
+function couldEverFit({ spec, ready }: PendingJob, candidates: readonly PlanMachine[]): boolean {
   const slots = new Map<string, number>();
   const by = (need: number, there: number): number => (need <= 0 ? Infinity : Math.floor((there + EPSILON) / need));
   for (const { view: m } of candidates) {
@@ -199,15 +230,23 @@
   return [...slots.values()].some((count) => count >= ready.length);
 }
 
-/** Rooms that a collecting gang could use now, no more than it needs: nothing else of its sort takes them. */
-export function collect(job: PendingJob, candidates: readonly Room[], collected: Set<Room>): void {
-  if (starved(job) && !couldHold(job, candidates)) return;
-  const free = candidates.filter((room) => fits(job.spec, room));
+/**
+ * Adds machines that the gang could use now, no more than it needs, to `accumulated`. Only arrays without
+ * GPUs may use these machines for other jobs meanwhile.
+ */
+export function accumulateFor(
+  job: PendingJob,
+  candidates: readonly PlanMachine[],
+  accumulated: Set<PlanMachine>,
+): void {
+  if (isStarved(job) && !couldEverFit(job, candidates)) return;
+  const free = candidates.filter((machine) => fits(job.spec, machine));
   const inZone = new Map<string, number>();
   for (const { view } of free) inZone.set(view.zone, (inZone.get(view.zone) ?? 0) + 1);
   const most = [...inZone].sort((a, b) => b[1] - a[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
   const here = job.spec.oneZone ? free.filter(({ view }) => view.zone === most) : free;
-  for (const room of here.slice(0, job.ready.length)) collected.add(room);
+  for (const machine of here.slice(0, job.ready.length)) accumulated.add(machine);
 }
 
-export const NOWHERE_ELSE = (): boolean => false;
+/** For {@link ScoredMachines.taken}: the placement affects no other machine. */
+export const noOtherMachine = (): boolean => false;
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,4 +1,6 @@
-export { allowedKind, allowedZone, leavesReserve, mayBorrow, pendingOrder, relevance } from './fit.js';
+// Placement: which task starts on which machine, and which tasks are preempted for it.
+
+export { allowedKind, allowsZone, leavesReserve, mayBorrow, comparePending, relevance } from './fit.js';
 export type {
   MachineView,
   PendingJob,
--- a/src/placement/model.ts
+++ b/src/placement/model.ts
@@ -1,9 +1,12 @@
+// Input and result of a placement plan.
+
 import type { JobId, MachineId } from '../kernel/index.js';
 import { Priority, type JobSpec } from '../jobs/index.js';
 
-/** Sums of decimal amounts are compared with a little slack. */
+/** Tolerance for rounding errors when sums of decimal amounts are compared. */
 export const EPSILON = 1e-6;
 
+/** A machine as the planner sees it. */
 export interface MachineView {
   readonly id: MachineId;
   readonly type: string;
@@ -15,20 +18,21 @@
   readonly freeCpus: number;
   readonly freeGpus: number;
   readonly freeMemoryGb: number;
-  /** New tasks may be put here. */
+  /** Whether new tasks may be placed here. */
   readonly usable: boolean;
   readonly images: readonly string[];
   readonly fetchGbPerS: number;
-  /** Images being fetched now. */
+  /** Number of images being fetched now. */
   readonly fetching: number;
-  /** Price of a cpu, to fill cheap machines first. */
+  /** Price per CPU: cheap machines are filled first. */
   readonly cpuPrice: number;
-  /** 0: healthy; more: tasks there have failed or run slowly. */
+  /** 0: healthy; higher: tasks there have failed or run slowly. */
   readonly suspicion: number;
-  /** What could be stopped to make room. */
+  /** Tasks that could be preempted. */
   readonly running: readonly Stoppable[];
 }
 
+/** A running task that can be preempted. */
 export interface Stoppable {
   readonly job: JobId;
   readonly index: number;
@@ -36,97 +40,111 @@
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Work that is lost when it is stopped, in seconds. */
+  /** Seconds of work that are lost when it is stopped. */
   readonly lossS: number;
+  /** Whether it is being stopped already. */
   readonly stopping: boolean;
 }
 
+/** A job with tasks that are ready to start. */
 export interface PendingJob {
   readonly spec: JobSpec;
-  /** Task numbers that may start now, lowest first; a gang lists all of its tasks or none. */
+  /** Indices of the tasks that may start now, lowest first; a gang lists all of its tasks or none. */
   readonly ready: readonly number[];
-  /** Tasks possibly there now, by zone. */
+  /** Number of the job's tasks that may be running, by zone. */
   readonly zoneUse: ReadonlyMap<string, number>;
+  /** The same by machine. */
   readonly machineUse: ReadonlyMap<MachineId, number>;
-  /** Machines that this job keeps away from. */
+  /** Machines that this job must not be placed on. */
   readonly avoid: ReadonlySet<MachineId>;
-  /** Seconds until it misses its next aim. */
+  /** Seconds until it misses its next objective. */
   readonly slackS: number;
-  /** Seconds until it misses the last of them; below zero it can't be in time any more. */
+  /** Seconds until it misses the last of its objectives; below zero all are missed. */
   readonly lastSlackS: number;
-  /** Somebody has named a time for it: a deadline, or an aim of its class. */
+  /** Whether it has a deadline or its class has an objective. */
   readonly aimed: boolean;
-  /** It has failed wherever it was tried: last of all, and nothing gives way to it. */
+  /** Whether it has failed on every machine it ran on: it is placed last and preempts nothing. */
   readonly suspect: boolean;
-  /** Seconds since it could have begun, while no task of it has; 0 once one has. */
+  /** Seconds since it became ready, while none of its tasks has started; 0 once one has. */
   readonly waitedS?: number;
-  /** Work that is left, in cpu-seconds. */
+  /** Remaining work in CPU-seconds. */
   readonly workS: number;
 }
 
+/** Use and limit of a team; a limit of 0 means none. */
 export interface TeamUse {
+  /** Resources that the team uses. */
   cpus: number;
   gpus: number;
   readonly cpusMax: number;
   readonly gpusMax: number;
   /**
-   * What is left of the team's whole limit, when only a share of it may be used here: what lacks nothing but a share is
-   * told apart from what lacks room. undefined: the limit above is all there is.
+   * What is left of the team's whole limit while only a share of it may be used here. It tells tasks that lack only a
+   * larger share from tasks that lack room on machines. undefined: the limit above is the whole limit.
    */
   readonly wholeLeft?: { readonly cpus: number; readonly gpus: number };
 }
 
+/** What a plan is made from. */
 export interface PlanInput {
   readonly machines: readonly MachineView[];
   readonly pending: readonly PendingJob[];
-  /** Only teams that have a limit. */
+  /** Teams that have a limit. */
   readonly teams: ReadonlyMap<string, TeamUse>;
   readonly maxStarts: number;
-  /** What the largest known task with accelerators takes beside them; null: none is known. */
+  /** What the largest known GPU task needs besides GPUs; null if no GPU task is known. */
   readonly reserve: Reserve | null;
 }
 
+/** CPUs and memory to keep free on machines with free GPUs, so that GPU tasks still fit. */
 export interface Reserve {
   readonly cpus: number;
   readonly memoryGb: number;
 }
 
+/** A task to start. */
 export interface PlannedStart {
   readonly job: JobId;
   readonly index: number;
   readonly machine: MachineId;
 }
 
+/** A task to preempt. */
 export interface PlannedStop {
   readonly job: JobId;
   readonly index: number;
   readonly machine: MachineId;
+  /** The job that the task is preempted for. */
   readonly forJob: JobId;
-  /** Without time to save: a service waits for the room. */
+  /** Whether it is stopped without time to save its state, because a service waits for the room. */
   readonly atOnce: boolean;
 }
 
+/** A number of tasks of a job that the plan doesn't start. */
 export interface Unplaced {
   readonly job: JobId;
   readonly count: number;
 }
 
+/** The starts and stops that a plan decides, and what it could not place. */
 export interface Plan {
   readonly starts: readonly PlannedStart[];
   readonly stops: readonly PlannedStop[];
-  /** What found no room: the leader leases and rents for it. */
+  /** Tasks without room: the leader leases and rents machines for them. */
   readonly unplaced: readonly Unplaced[];
-  /** What has room and waits only for a larger share of its team's limit. */
+  /** Tasks that have room and wait only for a larger share of their team's limit. */
   readonly shareBound: readonly Unplaced[];
 }
 
-export interface Room {
+/** A machine while a plan is being made. */
+export interface PlanMachine {
   readonly view: MachineView;
+  /** Free resources after the starts planned so far. */
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Room that is on its way because tasks there are being stopped. */
-  coming: { cpus: number; gpus: number; memoryGb: number };
-  /** Images that what is planned here will fetch. */
+  /** Resources that become free when the tasks that are being stopped there have ended. */
+  releasing: { cpus: number; gpus: number; memoryGb: number };
+  /** Images that the tasks planned here will fetch. */
   fetching: string[];
 }
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,20 +1,22 @@
+// The placement planner: decides which tasks start where and which are preempted.
+
 import type { JobId } from '../kernel/index.js';
 import type { JobSpec } from '../jobs/index.js';
 import {
-  pendingOrder,
+  comparePending,
   allowedKind,
-  allowedZone,
-  slotsIn,
+  allowsZone,
+  countSlots,
   fits,
   leavesReserve,
   mayBorrow,
-  book,
+  allocate,
   score,
-  kindOf,
-  Choice,
-  collects,
-  collect,
-  NOWHERE_ELSE,
+  equivalenceClassOf,
+  ScoredMachines,
+  accumulates,
+  accumulateFor,
+  noOtherMachine,
 } from './fit.js';
 import {
   EPSILON,
@@ -23,28 +25,39 @@
   type PlannedStop,
   type Unplaced,
   type Plan,
-  type Room,
+  type PlanMachine,
 } from './model.js';
-import { firstTasks } from './begin.js';
-import { lateReplicas, type Left, besideGangs, placeGang, preempt, preemptForGang } from './preempt.js';
+import { planFirstTasks } from './begin.js';
+import {
+  hasLateReplicas,
+  type LateReplicas,
+  placeOnGpuMachines,
+  placeGang,
+  preempt,
+  preemptForGang,
+} from './preempt.js';
 
+/**
+ * Plans starts and preemptions for all pending jobs, in the order of {@link comparePending}. Changes nothing in its
+ * input.
+ */
 export function planPlacement(input: PlanInput): Plan {
-  const rooms: Room[] = input.machines
+  const machines: PlanMachine[] = input.machines
     .filter((m) => m.usable)
     .map((view) => {
-      const coming = { cpus: 0, gpus: 0, memoryGb: 0 };
+      const releasing = { cpus: 0, gpus: 0, memoryGb: 0 };
       for (const task of view.running) {
         if (!task.stopping) continue;
-        coming.cpus += task.cpus;
-        coming.gpus += task.gpus;
-        coming.memoryGb += task.memoryGb;
+        releasing.cpus += task.cpus;
+        releasing.gpus += task.gpus;
+        releasing.memoryGb += task.memoryGb;
       }
       return {
         view,
         cpus: view.freeCpus,
         gpus: view.freeGpus,
         memoryGb: view.freeMemoryGb,
-        coming,
+        releasing,
         fetching: [],
       };
     });
@@ -54,7 +67,8 @@
   const unplaced: Unplaced[] = [];
   const shareBound: Unplaced[] = [];
   const stopped = new Set<string>();
-  const left: Left[] = [];
+  /** Late replicas without room, which are placed on GPU machines at the end. */
+  const left: LateReplicas[] = [];
 
   const withinLimit = (spec: JobSpec, count: number): boolean => {
     const team = teams.get(spec.team);
@@ -62,9 +76,9 @@
     if (team.cpusMax > 0 && team.cpus + spec.cpus * count > team.cpusMax + EPSILON) return false;
     return !(team.gpusMax > 0 && team.gpus + spec.gpus * count > team.gpusMax + EPSILON);
   };
-  /** Only a share of its team's limit may be used here. */
+  /** Whether only a share of the team's limit may be used here. */
   const isShared = (spec: JobSpec): boolean => teams.get(spec.team)?.wholeLeft !== undefined;
-  /** Could it be started with a larger share? */
+  /** Whether the tasks fit in what is left of the team's whole limit, so that a larger share would let them start. */
   const withinWhole = (spec: JobSpec, count: number): boolean => {
     const left = teams.get(spec.team)?.wholeLeft;
     if (!left) return withinLimit(spec, count);
@@ -77,29 +91,32 @@
     team.gpus += spec.gpus;
   };
 
-  // Room only shrinks while a plan is made: where one job of a kind found none, no other will.
-  const exhausted = new Set<string>();
-  /** Kinds for which nothing could be stopped either, and the smallest such gang. */
-  const hopeless = new Set<string>();
-  const hopelessGang = new Map<string, number>();
-  /** What waits here for the rest of a gang. Work that gives way may use it meanwhile. */
-  const collected = new Set<Room>();
-  for (const job of [...input.pending].sort(pendingOrder)) {
+  // Free room only shrinks while a plan is made: once a job finds none, no other job of its equivalence class will.
+  const exhaustedKinds = new Set<string>();
+  /** Equivalence classes for which preemption found no room either. */
+  const unplaceableKinds = new Set<string>();
+  /** By equivalence class of gangs, the size of the smallest gang that found no room. */
+  const smallestUnplaceableGang = new Map<string, number>();
+  /** Machines held for gangs that accumulate. Arrays without GPUs may use them meanwhile. */
+  const accumulated = new Set<PlanMachine>();
+  for (const job of [...input.pending].sort(comparePending)) {
     const { spec } = job;
-    const kind = kindOf(spec);
-    const nowhere =
-      spec.kind === 'gang' ? job.ready.length >= (hopelessGang.get(kind) ?? Infinity) : hopeless.has(kind);
-    if (nowhere) {
+    const kind = equivalenceClassOf(spec);
+    const isUnplaceable =
+      spec.kind === 'gang'
+        ? job.ready.length >= (smallestUnplaceableGang.get(kind) ?? Infinity)
+        : unplaceableKinds.has(kind);
+    if (isUnplaceable) {
       if (withinWhole(spec, spec.kind === 'gang' ? job.ready.length : 1)) {
         unplaced.push({ job: spec.id, count: job.ready.length });
-        if (lateReplicas(job)) left.push({ job, indices: job.ready });
+        if (hasLateReplicas(job)) left.push({ job, indices: job.ready });
       }
       continue;
     }
-    const mayUse = (room: Room): boolean =>
-      collected.size === 0 || !collected.has(room) || (spec.kind === 'array' && spec.gpus <= 0);
-    const candidates = rooms.filter(
-      (room) => allowedKind(spec, room.view) && !job.avoid.has(room.view.id) && mayUse(room),
+    const mayUse = (machine: PlanMachine): boolean =>
+      accumulated.size === 0 || !accumulated.has(machine) || (spec.kind === 'array' && spec.gpus <= 0);
+    const candidates = machines.filter(
+      (machine) => allowedKind(spec, machine.view) && !job.avoid.has(machine.view.id) && mayUse(machine),
     );
     if (spec.kind === 'gang') {
       if (!withinLimit(spec, job.ready.length)) {
@@ -111,77 +128,78 @@
       }
       const placed = placeGang(job, candidates);
       if (placed && starts.length + placed.length <= input.maxStarts) {
-        for (const { index, room } of placed) {
-          book(spec, room);
+        for (const { index, machine } of placed) {
+          allocate(spec, machine);
           charge(spec);
-          starts.push({ job: spec.id, index, machine: room.view.id });
+          starts.push({ job: spec.id, index, machine: machine.view.id });
         }
       } else if (job.suspect || !preemptForGang(job, candidates, stopped, stops)) {
         unplaced.push({ job: spec.id, count: job.ready.length });
-        if (collects(job)) collect(job, candidates, collected);
+        if (accumulates(job)) accumulateFor(job, candidates, accumulated);
         if (!placed && job.avoid.size === 0 && !spec.spread)
-          hopelessGang.set(kind, Math.min(job.ready.length, hopelessGang.get(kind) ?? Infinity));
+          smallestUnplaceableGang.set(kind, Math.min(job.ready.length, smallestUnplaceableGang.get(kind) ?? Infinity));
       }
       continue;
     }
-    // A replica would keep a dear machine from being given back for as long as it runs.
-    const plainService = spec.kind === 'service' && spec.gpus <= 0 && candidates.some((c) => c.view.gpus <= 0);
+    // A replica on an expensive GPU machine would keep it from being given back for as long as the replica runs.
+    const cpuOnlyService = spec.kind === 'service' && spec.gpus <= 0 && candidates.some((c) => c.view.gpus <= 0);
     const zoneUse = new Map(job.zoneUse);
     const machineUse = new Map(job.machineUse);
     let missing = 0;
-    const free = exhausted.has(kind) ? [] : candidates;
-    const choice = new Choice(free, (room) => {
-      if (!fits(spec, room) || !allowedZone(spec, room.view.zone, zoneUse)) return Infinity;
-      if (plainService && room.view.gpus > 0) return Infinity;
-      const leaves = leavesReserve(spec, room, input.reserve);
+    const free = exhaustedKinds.has(kind) ? [] : candidates;
+    const scored = new ScoredMachines(free, (machine) => {
+      if (!fits(spec, machine) || !allowsZone(spec, machine.view.zone, zoneUse)) return Infinity;
+      if (cpuOnlyService && machine.view.gpus > 0) return Infinity;
+      const leaves = leavesReserve(spec, machine, input.reserve);
       if (!leaves && !mayBorrow(spec)) return Infinity;
-      return score(spec, room, machineUse.get(room.view.id) ?? 0) + (leaves ? 0 : 40);
+      return score(spec, machine, machineUse.get(machine.view.id) ?? 0) + (leaves ? 0 : 40);
     });
     for (const [position, index] of job.ready.entries()) {
       if (starts.length >= input.maxStarts) break;
       if (!withinLimit(spec, 1)) {
         if (!isShared(spec)) break;
         const rest = job.ready.length - position;
-        // A service is made room for, once it may be started.
-        const slots = spec.kind === 'service' ? rest : slotsIn(free, spec);
+        // For a service, tasks are preempted once its share allows a start, so all of its tasks count as having room.
+        const slots = spec.kind === 'service' ? rest : countSlots(free, spec);
         if (slots > 0) shareBound.push({ job: spec.id, count: Math.min(rest, slots) });
         else if (withinWhole(spec, 1)) unplaced.push({ job: spec.id, count: rest });
         break;
       }
-      const best = choice.best();
+      const best = scored.best();
       if (!best) {
         missing = job.ready.length - position;
-        if (job.avoid.size === 0 && !spec.spread && !spec.oneZone) exhausted.add(kind);
+        if (job.avoid.size === 0 && !spec.spread && !spec.oneZone) exhaustedKinds.add(kind);
         break;
       }
       const { zone, id } = best.view;
-      book(spec, best);
+      allocate(spec, best);
       charge(spec);
       zoneUse.set(zone, (zoneUse.get(zone) ?? 0) + 1);
       machineUse.set(id, (machineUse.get(id) ?? 0) + 1);
-      // With a limit for each zone, or one zone for all, other rooms may be allowed no more.
-      choice.taken(best, spec.spread || spec.oneZone ? (): boolean => true : NOWHERE_ELSE);
+      // Under a spread or one-zone constraint, a start can rule out other machines as well.
+      scored.taken(best, spec.spread || spec.oneZone ? (): boolean => true : noOtherMachine);
       starts.push({ job: spec.id, index, machine: id });
     }
     if (missing > 0) {
-      // Seen as reminders stopped beside gangs, again and again, for replicas that may not go there.
-      const plain = plainService ? candidates.filter((c) => c.view.gpus <= 0) : candidates;
-      const waiting = preempt(job, missing, plain, zoneUse, stopped, stops);
-      if (plainService && missing > waiting && lateReplicas(job))
+      // GPU machines are left out: tasks beside gangs were preempted again and again for replicas that may not go
+      // there.
+      const allowed = cpuOnlyService ? candidates.filter((c) => c.view.gpus <= 0) : candidates;
+      const waiting = preempt(job, missing, allowed, zoneUse, stopped, stops);
+      if (cpuOnlyService && missing > waiting && hasLateReplicas(job))
         left.push({ job, indices: job.ready.slice(job.ready.length - (missing - waiting)) });
-      if (waiting === 0 && exhausted.has(kind)) hopeless.add(kind);
+      if (waiting === 0 && exhaustedKinds.has(kind)) unplaceableKinds.add(kind);
       if (missing - waiting > 0) unplaced.push({ job: spec.id, count: missing - waiting });
     }
   }
-  const beside = besideGangs(left, rooms, input, withinLimit, charge);
-  const begun = new Set(starts.map(({ job }) => job));
-  const most = input.maxStarts - starts.length - beside.length;
-  beside.push(...firstTasks(input, rooms, begun, withinLimit, charge, most));
-  starts.push(...beside);
+  const lateStarts = placeOnGpuMachines(left, machines, input, withinLimit, charge);
+  const startedJobs = new Set(starts.map(({ job }) => job));
+  const most = input.maxStarts - starts.length - lateStarts.length;
+  lateStarts.push(...planFirstTasks(input, machines, startedJobs, withinLimit, charge, most));
+  starts.push(...lateStarts);
   const found = new Map<JobId, number>();
-  for (const start of beside) found.set(start.job, (found.get(start.job) ?? 0) + 1);
-  const lacking = unplaced
+  for (const start of lateStarts) found.set(start.job, (found.get(start.job) ?? 0) + 1);
+  const stillUnplaced = unplaced
     .map(({ job, count }) => ({ job, count: count - (found.get(job) ?? 0) }))
     .filter(({ count }) => count > 0);
-  return { starts, stops, unplaced: lacking, shareBound };
+  return { starts, stops, unplaced: stillUnplaced, shareBound };
 }
--- a/src/placement/slack.ts
+++ b/src/placement/slack.ts
@@ -1,45 +1,56 @@
+// How much time a job has until it misses its deadline or the objectives of its class.
+
 import type { JobSpec } from '../jobs/index.js';
 
-/** An array is through with its slowest task: how much longer that runs than the median. */
-const LAST_TASK = 1.3;
-/** Within what time jobs of classes without an aim are to be through, or started. */
-const AIMLESS_ARRAY_S = 900;
-const AIMLESS_S = 120;
+/** How much longer an array's slowest task runs than the median; the array ends with its slowest task. */
+const STRAGGLER_FACTOR = 1.3;
+/** Time allowed for arrays without a deadline or an objective. */
+const DEFAULT_ARRAY_OBJECTIVE_S = 900;
+/** Time allowed for other jobs without a deadline or an objective. */
+const DEFAULT_OBJECTIVE_S = 120;
 
+/** A service level objective of a job class. */
 export interface ClassAim {
+  /** 'wait': the job starts in time; 'finished': it finishes in time; other kinds don't affect the slack. */
   readonly kind: string;
   readonly jobClass: string | null;
+  /** Seconds; null if the objective sets no time. */
   readonly withinS: number | null;
 }
 
+/** The time that a job has left. */
 export interface Slack {
-  /** Seconds until it misses its next aim. */
+  /** Seconds until it misses its next objective. */
   readonly slackS: number;
-  /** Until it misses the last of them; below zero it can't be in time any more. */
+  /** Seconds until it misses the last of its objectives; below zero all are missed. */
   readonly lastSlackS: number;
-  /** Somebody has named a time for it. */
+  /** Whether it has a deadline or its class has an objective. */
   readonly aimed: boolean;
 }
 
-/** From when on a class's aims count, and whether they do beside a deadline. */
-export interface AimsFrom {
+/** Since when the objectives of a class count, and whether they apply in addition to a deadline. */
+export interface ObjectiveTiming {
+  /** Seconds since the objectives began to count. */
   readonly sinceS: number;
-  /** The deadline is of jobs that need it: its own class's aims stand beside that. */
+  /**
+   * Whether objectives apply also with a deadline: the deadline comes from jobs that need this one, and its class's
+   * objectives stay.
+   */
   readonly always: boolean;
 }
 
 /**
- * Seconds until the job misses its next and its last aim, by its deadline or its class's aims. A deadline counts from
- * the submission, `sinceS` ago; aims from when it could start.
+ * Seconds until the job misses its next and its last objective, by its deadline and the objectives of its class. A
+ * deadline counts from the submission, `sinceS` seconds ago; objectives count from when the job could start.
  */
 export function slackOf(
   spec: JobSpec,
   sinceS: number,
   expectedRunS: number,
   aims: readonly ClassAim[],
-  from: AimsFrom = { sinceS, always: false },
+  from: ObjectiveTiming = { sinceS, always: false },
 ): Slack {
-  const runS = expectedRunS * (spec.kind === 'array' && spec.tasks > 1 ? LAST_TASK : 1);
+  const runS = expectedRunS * (spec.kind === 'array' && spec.tasks > 1 ? STRAGGLER_FACTOR : 1);
   const left: number[] = [];
   if (spec.deadlineS !== null) left.push(spec.deadlineS - runS - sinceS);
   if (spec.deadlineS === null || from.always) {
@@ -50,8 +61,8 @@
     }
   }
   const aimed = left.length > 0;
-  // Arrays that nobody has named a time for fill what is idle; everything else starts soon.
-  if (!aimed) left.push((spec.kind === 'array' ? AIMLESS_ARRAY_S : AIMLESS_S) - from.sinceS);
+  // Arrays without a deadline or an objective use idle machines; all other jobs are to start soon.
+  if (!aimed) left.push((spec.kind === 'array' ? DEFAULT_ARRAY_OBJECTIVE_S : DEFAULT_OBJECTIVE_S) - from.sinceS);
   const ahead = left.filter((t) => t >= 0);
   const lastSlackS = Math.max(...left);
   return { slackS: ahead.length > 0 ? Math.min(...ahead) : lastSlackS, lastSlackS, aimed };
--- a/src/quota/decide.ts
+++ b/src/quota/decide.ts
@@ -1,13 +1,15 @@
+// Divides a team's limit between shards. All functions are pure: controllers with the same input decide the same.
+
 import type { ShardName } from '../kernel/index.js';
 import {
-  counted,
-  isFinite,
+  limitedPart,
+  isFiniteAmount,
   isNothing,
-  larger,
+  maxAmount,
   less,
-  NOTHING,
+  ZERO_AMOUNT,
   plus,
-  smaller,
+  minAmount,
   sum,
   times,
   within,
@@ -15,38 +17,51 @@
 } from './amount.js';
 import { shareOf, totalOf, type QuotaRecord } from './record.js';
 
-/** What a shard's holder says of a team. */
+/** What a shard's holder reports about one team. */
 export interface TeamNeed {
-  /** Everything of the team's that may be on the shard's machines. */
+  /** Resources of all tasks of the team that may be on the shard's machines. */
   readonly use: Amount;
-  /** What its waiting tasks take, all together, and what has to be there at once: a task, or a whole gang. */
+  /** Resources that all waiting tasks of the team need together. */
   readonly waiting: Amount;
+  /** Resources that must be available at once: those of one task, or of a whole gang. */
   readonly unit: Amount;
-  /** Of the job that goes first. */
+  /** Priority of the first job in the queue. */
   readonly priority: number;
+  /** How long that job has waited. */
   readonly waitedMs: number;
 }
 
-export const NO_NEED: TeamNeed = { use: NOTHING, waiting: NOTHING, unit: NOTHING, priority: 0, waitedMs: 0 };
+/** The need of a team that uses nothing and waits for nothing. */
+export const NO_NEED: TeamNeed = {
+  use: ZERO_AMOUNT,
+  waiting: ZERO_AMOUNT,
+  unit: ZERO_AMOUNT,
+  priority: 0,
+  waitedMs: 0,
+};
 
-/** A unit that has waited for so long keeps what comes free for itself, until it is enough. */
-export const STARVED_MS = 15_000;
-/** A share is moved for no less than this part of the limit, but where the receiver could start nothing without it. */
-export const LEAST_MOVED = 0.05;
+/** After this wait, everything that becomes free is kept for the waiting unit until it is enough. */
+export const STARVED_AFTER_MS = 15_000;
+/** The smallest transfer, as a fraction of the limit, unless the receiver can't start a single unit without it. */
+export const MIN_TRANSFER_FRACTION = 0.05;
 
-/** Whoever is given a share is given so much of the limit more, where it can be spared. */
-export const HEADROOM = 0.12;
+/** Extra share, as a fraction of the limit, that a receiver gets on top of what it needs, if the giver can spare it. */
+export const HEADROOM_FRACTION = 0.12;
 
+/** The need of one team by shard. */
 type Needs = ReadonlyMap<ShardName, TeamNeed>;
 
-/** Who goes first: by priority, then the longest waiting. */
-function inOrder(needs: Needs): [ShardName, TeamNeed][] {
+/**
+ * The shards where work of the team waits, by priority, then the longest waiting first. Shards with unknown use are
+ * left out.
+ */
+function waitingByPriority(needs: Needs): [ShardName, TeamNeed][] {
   return [...needs]
-    .filter(([, { use, waiting }]) => isFinite(use) && !isNothing(waiting))
+    .filter(([, { use, waiting }]) => isFiniteAmount(use) && !isNothing(waiting))
     .sort(([a, x], [b, y]) => y.priority - x.priority || y.waitedMs - x.waitedMs || (a < b ? -1 : 1));
 }
 
-/** How often a unit fits, as a whole number; 0 for a unit of nothing. */
+/** How many whole units fit in `amount`; 0 for a unit of zero. */
 export function unitsIn(amount: Amount, unit: Amount): number {
   const by = (have: number, need: number): number => (need <= 0 ? Number.POSITIVE_INFINITY : (have + 1e-6) / need);
   const count = Math.floor(Math.min(by(amount.cpus, unit.cpus), by(amount.gpus, unit.gpus)));
@@ -54,76 +69,83 @@
 }
 
 /**
- * How a limit should lie: each shard has what it uses; then each that waits has one unit, the first first, so that no
- * gang starves because shares lie scattered; what is left goes by what waits. Pure, the same for everybody who knows the same.
+ * The target division of a limit. Each shard gets what it uses; then, in queue order, each shard that waits gets one
+ * unit, so that no gang starves because the limit is fragmented between shards; the rest is divided in proportion to
+ * what else waits. A starved unit that does not fit yet takes all that is left, and nobody else gets anything. Pure:
+ * equal input gives an equal result on every node.
  */
-export function wantedShares(limit: Amount, needs: Needs): Map<ShardName, Amount> {
-  const wanted = new Map([...needs].map(([shard, { use }]) => [shard, use] as const));
-  let left = less(limit, sum(wanted.values()));
+export function targetShares(limit: Amount, needs: Needs): Map<ShardName, Amount> {
+  const targets = new Map([...needs].map(([shard, { use }]) => [shard, use] as const));
+  let left = less(limit, sum(targets.values()));
   const give = (shard: ShardName, amount: Amount): void => {
-    wanted.set(shard, plus(wanted.get(shard) ?? NOTHING, amount));
+    targets.set(shard, plus(targets.get(shard) ?? ZERO_AMOUNT, amount));
     left = less(left, amount);
   };
-  const rests: { readonly shard: ShardName; readonly rest: Amount; readonly unit: Amount }[] = [];
-  for (const [shard, { unit, waiting, waitedMs }] of inOrder(needs)) {
+  const remainders: { readonly shard: ShardName; readonly rest: Amount; readonly unit: Amount }[] = [];
+  for (const [shard, { unit, waiting, waitedMs }] of waitingByPriority(needs)) {
     if (within(unit, left)) {
       give(shard, unit);
-      rests.push({ shard, rest: less(waiting, unit), unit });
-    } else if (waitedMs >= STARVED_MS) {
-      give(shard, smaller(unit, left));
-      return wanted;
+      remainders.push({ shard, rest: less(waiting, unit), unit });
+    } else if (waitedMs >= STARVED_AFTER_MS) {
+      give(shard, minAmount(unit, left));
+      return targets;
     }
   }
-  const all = sum(rests.map(({ rest }) => rest));
+  const all = sum(remainders.map(({ rest }) => rest));
   const part = (have: number, want: number): number => (want <= 0 ? 1 : Math.min(1, have / want));
   const factor = Math.min(part(left.cpus, all.cpus), part(left.gpus, all.gpus));
-  for (const { shard, rest, unit } of rests) give(shard, times(unit, unitsIn(times(rest, factor), unit)));
-  return wanted;
+  for (const { shard, rest, unit } of remainders) give(shard, times(unit, unitsIn(times(rest, factor), unit)));
+  return targets;
 }
 
-export interface TeamShares {
+/** What a shard's holder bases a change of one team's shares on. */
+export interface AllocationInput {
   readonly limit: Amount;
   readonly record: QuotaRecord;
-  /** The shard whose holder decides, and its use as it is at this moment. */
+  /** The shard whose holder decides. */
   readonly self: ShardName;
+  /** The current use in that shard. */
   readonly use: Amount;
-  /** What all holders have said lately, this one included. */
+  /** The recent reports of all holders, including this one. */
   readonly needs: Needs;
-  /** The shard that has the team's whole limit before anything is shared. */
+  /** The account shard: it has the team's whole limit until the limit is divided. */
   readonly account: ShardName;
-  /** What is shared goes back to that shard. */
+  /** Whether shares are being returned to the account shard. */
   readonly returning: boolean;
 }
 
-/** Of what a shard has, how much it does not want itself. */
-const surplusOf = (share: Amount, use: Amount, wanted: Amount): Amount => less(share, larger(use, wanted));
+/** The part of a share that exceeds both the shard's use and its target. */
+const surplusOf = (share: Amount, use: Amount, target: Amount): Amount => less(share, maxAmount(use, target));
 
-/** Is it worth a write to move this much to a shard? */
-function worthMoving(moved: Amount, share: Amount, { use, unit }: TeamNeed, limit: Amount): boolean {
+/** Whether a transfer is worth a write: the receiver lacks even one unit, or the transfer reaches the minimum. */
+function isWorthTransferring(moved: Amount, share: Amount, { use, unit }: TeamNeed, limit: Amount): boolean {
   if (isNothing(moved)) return false;
   if (!within(unit, less(share, use))) return true;
-  const part = (x: number, most: number): boolean => Number.isFinite(most) && x >= most * LEAST_MOVED;
+  const part = (x: number, most: number): boolean => Number.isFinite(most) && x >= most * MIN_TRANSFER_FRACTION;
   return part(moved.cpus, limit.cpus) || part(moved.gpus, limit.gpus);
 }
 
-/** What this shard gives to others that want more than they have, while those with a larger surplus don't have enough. */
-function gifts({ limit, record, self, use, needs }: TeamShares): Map<ShardName, Amount> {
-  const wanted = wantedShares(limit, new Map(needs).set(self, { ...(needs.get(self) ?? NO_NEED), use }));
-  const lacking = inOrder(needs)
-    .map(([shard, need]) => ({ shard, need, missing: less(wanted.get(shard) ?? NOTHING, shareOf(record, shard)) }))
+/**
+ * What this shard transfers to shards below their target. Shards with a larger surplus give first; this one only covers
+ * what their surplus doesn't.
+ */
+function planTransfers({ limit, record, self, use, needs }: AllocationInput): Map<ShardName, Amount> {
+  const targets = targetShares(limit, new Map(needs).set(self, { ...(needs.get(self) ?? NO_NEED), use }));
+  const lacking = waitingByPriority(needs)
+    .map(([shard, need]) => ({ shard, need, missing: less(targets.get(shard) ?? ZERO_AMOUNT, shareOf(record, shard)) }))
     .filter(({ shard, missing }) => shard !== self && !isNothing(missing));
   const given = new Map<ShardName, Amount>();
   if (lacking.length === 0) return given;
   const surplus = (shard: ShardName): Amount =>
     surplusOf(
       shareOf(record, shard),
-      shard === self ? use : (needs.get(shard)?.use ?? NOTHING),
-      wanted.get(shard) ?? NOTHING,
+      shard === self ? use : (needs.get(shard)?.use ?? ZERO_AMOUNT),
+      targets.get(shard) ?? ZERO_AMOUNT,
     );
   const own = surplus(self);
   const size = (a: Amount): number =>
     (Number.isFinite(limit.cpus) ? a.cpus / limit.cpus : 0) + (Number.isFinite(limit.gpus) ? a.gpus / limit.gpus : 0);
-  let before = NOTHING;
+  let before = ZERO_AMOUNT;
   for (const shard of record.shares.keys()) {
     if (shard === self) continue;
     const other = surplus(shard);
@@ -131,23 +153,24 @@
   }
   let left = own;
   for (const { shard, need, missing } of lacking) {
-    // Those with more to spare give first: two writes of one record at once cost one of them.
+    // Shards with a larger surplus give first: of two concurrent writes of one record, one fails.
     const due = less(missing, before);
     before = less(before, missing);
-    const moved = smaller(due, left);
-    if (!worthMoving(moved, shareOf(record, shard), need, limit)) continue;
+    const moved = minAmount(due, left);
+    if (!isWorthTransferring(moved, shareOf(record, shard), need, limit)) continue;
     given.set(shard, moved);
     left = less(left, moved);
   }
-  // What nobody lacks goes along, so that the next job there finds a share already.
+  // Headroom from what no shard lacks goes along, so that the receiver's next job has a share already.
   for (const [shard, amount] of given) {
-    const more = smaller(left, times(counted(limit, limit), HEADROOM));
+    const more = minAmount(left, times(limitedPart(limit, limit), HEADROOM_FRACTION));
     given.set(shard, plus(amount, more));
     left = less(left, more);
   }
   return given;
 }
 
+/** The record with some shares replaced; shares of zero are removed. */
 const withShares = (record: QuotaRecord, changes: Iterable<readonly [ShardName, Amount]>): QuotaRecord => {
   const shares = new Map(record.shares);
   for (const [shard, amount] of changes) {
@@ -158,25 +181,27 @@
 };
 
 /**
- * What a shard's holder makes of a team's shares; null: nothing changes. It lowers only its own share, never below what is in
- * use there, and raises others' only by what it gives; only the account's shard takes up what nobody has. Pure.
+ * The next record of a team's shares as this shard's holder decides it; null if nothing changes. A holder lowers only
+ * its own share, never below the use there, and raises other shares only by what it gives up. Only the account shard
+ * takes the part of the limit that no shard has. Pure.
  */
-export function nextShares(at: TeamShares): QuotaRecord | null {
+export function nextShares(at: AllocationInput): QuotaRecord | null {
   const { limit, record, self, account, returning } = at;
-  const use = counted(limit, at.use);
+  const use = limitedPart(limit, at.use);
   const share = shareOf(record, self);
-  // What is not known is neither given away nor said to be in use: endless, it would be no share any more.
-  if (!isFinite(use)) return null;
-  // In use though it has no share: tasks from before limits were shared, or lowered. It is said, so that others heed it.
-  if (!within(use, share)) return withShares(record, [[self, larger(use, share)]]);
+  // Unknown use is infinite and can't be stored as a share, so nothing is declared as used and nothing is given away.
+  if (!isFiniteAmount(use)) return null;
+  // Use beyond the share comes from tasks that started before the limit was divided or lowered. The share is raised to
+  // it, so that other holders take it into account.
+  if (!within(use, share)) return withShares(record, [[self, maxAmount(use, share)]]);
   const total = totalOf(record);
-  const beyond = less(total, counted(limit, limit));
-  if (!isNothing(beyond)) {
-    const kept = larger(use, less(share, beyond));
+  const excess = less(total, limitedPart(limit, limit));
+  if (!isNothing(excess)) {
+    const kept = maxAmount(use, less(share, excess));
     return within(share, kept) ? null : withShares(record, [[self, kept]]);
   }
   if (self === account) {
-    const free = less(counted(limit, limit), total);
+    const free = less(limitedPart(limit, limit), total);
     if (!isNothing(free)) return withShares(record, [[self, plus(share, free)]]);
   }
   if (returning) {
@@ -187,22 +212,22 @@
       [account, plus(shareOf(record, account), spare)],
     ]);
   }
-  const given = gifts(at);
+  const given = planTransfers(at);
   if (given.size === 0) return null;
   const raised = [...given].map(([shard, amount]) => [shard, plus(shareOf(record, shard), amount)] as const);
   return withShares(record, [[self, less(share, sum(given.values()))], ...raised]);
 }
 
 /**
- * The first division of a team's limit: what is in use elsewhere belongs to the shards where it is, all the rest to the
- * account's shard. null: its own use does not fit beside that yet.
+ * The initial division of a team's limit: every other shard gets what is in use there, and the account shard gets the
+ * rest. null while the use in another shard is unknown.
  */
-export function firstShares(limit: Amount, account: ShardName, needs: Needs): QuotaRecord | null {
+export function initialShares(limit: Amount, account: ShardName, needs: Needs): QuotaRecord | null {
   const shares = new Map<ShardName, Amount>();
-  let left = counted(limit, limit);
+  let left = limitedPart(limit, limit);
   for (const [shard, { use }] of needs) {
     if (shard === account || isNothing(use)) continue;
-    if (!isFinite(use)) return null;
+    if (!isFiniteAmount(use)) return null;
     shares.set(shard, use);
     left = less(left, use);
   }
@@ -210,27 +235,30 @@
   return { shares, rest: {} };
 }
 
-/** Why work of a team that has room does not start: what keeps it back; null: nothing waits. */
+/**
+ * Why waiting work of a team does not start: tasks of unknown jobs may belong to the team ('unknown jobs'), no waiting
+ * unit fits in what is left of its limit ('limit'), or only a shard's share is too small ('share').
+ */
 export type HeldBackBy = 'unknown jobs' | 'limit' | 'share';
 
-/** For operators: what keeps a team's work back, by what all holders have said. Pure. */
+/** For operators: why a team's work waits, according to the reports of all holders; null if none waits. Pure. */
 export function heldBackBy(limit: Amount, needs: Needs): HeldBackBy | null {
   const all = [...needs.values()];
   const waiting = all.filter((need) => !isNothing(need.waiting));
   if (waiting.length === 0) return null;
   const use = sum(all.map((need) => need.use));
-  if (!isFinite(use)) return 'unknown jobs';
+  if (!isFiniteAmount(use)) return 'unknown jobs';
   const left = less(limit, use);
   return waiting.some(({ unit }) => within(unit, left)) ? 'share' : 'limit';
 }
 
 /**
- * Up to where a shard may use the limit. While the shares together are more than it (it was lowered, or tasks from before
- * were found), every shard keeps back all that is too much. Pure.
+ * How much of the limit a shard may use. While the shares add up to more than the limit (because it was lowered, or
+ * tasks from before the division were found), every shard subtracts the whole excess from its own share. Pure.
  */
 export function capOf(limit: Amount, record: QuotaRecord, shard: ShardName): Amount {
-  const beyond = less(totalOf(record), counted(limit, limit));
-  const cap = less(shareOf(record, shard), beyond);
+  const excess = less(totalOf(record), limitedPart(limit, limit));
+  const cap = less(shareOf(record, shard), excess);
   return {
     cpus: Number.isFinite(limit.cpus) ? cap.cpus : Number.POSITIVE_INFINITY,
     gpus: Number.isFinite(limit.gpus) ? cap.gpus : Number.POSITIVE_INFINITY,
--- a/src/quota/index.ts
+++ b/src/quota/index.ts
@@ -1,3 +1,5 @@
+// Quotas: divides the resource limits of teams between shards.
+
 export * from './amount.js';
 export * from './decide.js';
 export type { ShardDemand } from './demand.js';
--- a/src/quota/record.ts
+++ b/src/quota/record.ts
@@ -1,28 +1,34 @@
+// The stored record of a team's shares.
+
 import { isObject, shardName, type ShardName } from '../kernel/index.js';
 import { isForeign, unknownFields, type Fields } from '../state/index.js';
-import { NOTHING, sum, type Amount } from './amount.js';
+import { ZERO_AMOUNT, sum, type Amount } from './amount.js';
 
-/** The newest version of a team's quota record that this program reads, and the one it writes. */
+/** The newest format version of a team's quota record that this release reads, and the one that it writes. */
 export const QUOTA_FORMAT = 1;
-const KNOWN: ReadonlySet<string> = new Set(['shares']);
+/** Fields of the record that this release understands. */
+const KNOWN_FIELDS: ReadonlySet<string> = new Set(['shares']);
 
 /**
- * How a team's limit is divided: so much of it each shard may use, whoever holds it. All shares of a team stand in one
- * record, so that every change of them is one guarded write of one value.
+ * How a team's limit is divided: the amount that each shard may use, whichever node holds the shard. All shares of a
+ * team are in one record, so that every change of them is a single compare-and-swap.
  */
 export interface QuotaRecord {
   readonly shares: ReadonlyMap<ShardName, Amount>;
-  /** What a later release has added to the record; it is kept. */
+  /** Fields added by a later release; they are written back unchanged. */
   readonly rest: Fields;
 }
 
-export const shareOf = ({ shares }: QuotaRecord, shard: ShardName): Amount => shares.get(shard) ?? NOTHING;
+/** A shard's share; zero if it has none. */
+export const shareOf = ({ shares }: QuotaRecord, shard: ShardName): Amount => shares.get(shard) ?? ZERO_AMOUNT;
+/** The sum of all shares. */
 export const totalOf = ({ shares }: QuotaRecord): Amount => sum(shares.values());
 
-const ROUNDED = 1e6;
-const rounded = (n: number): number => Math.round(n * ROUNDED) / ROUNDED;
+const ROUNDING_STEPS_PER_UNIT = 1e6;
+/** Rounds an amount to the precision in which it is stored. */
+const rounded = (n: number): number => Math.round(n * ROUNDING_STEPS_PER_UNIT) / ROUNDING_STEPS_PER_UNIT;
 
-/** Shares of nothing are left out. */
+/** Encodes a record for storage; shares of zero are left out. */
 export function encodeQuota({ shares, rest }: QuotaRecord): Fields {
   const stored: Record<string, readonly number[]> = {};
   for (const [shard, { cpus, gpus }] of [...shares].sort(([a], [b]) => (a < b ? -1 : 1)))
@@ -30,7 +36,10 @@
   return { ...rest, shares: stored };
 }
 
-/** 'foreign': of a later release, or damaged; nothing may be started on its strength. null: there is none. */
+/**
+ * Decodes a stored record. 'foreign': written by a later release, or damaged, so nothing may be started under it. null:
+ * no record.
+ */
 export function decodeQuota(value: unknown): QuotaRecord | 'foreign' | null {
   if (value === undefined) return null;
   if (!isObject(value) || isForeign(value, QUOTA_FORMAT) || !isObject(value['shares'])) return 'foreign';
@@ -40,5 +49,5 @@
     if (typeof cpus !== 'number' || typeof gpus !== 'number' || !(cpus >= 0) || !(gpus >= 0)) return 'foreign';
     shares.set(shardName(shard), { cpus, gpus });
   }
-  return { shares, rest: unknownFields(value, KNOWN) };
+  return { shares, rest: unknownFields(value, KNOWN_FIELDS) };
 }
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -1,3 +1,5 @@
+// Keeps the quota records of all teams up to date and tells how much of a team's limit a shard may use.
+
 import type { TeamFacts } from '../config/index.js';
 import type { Logger, Millis, Revision, Runtime, ShardName } from '../kernel/index.js';
 import {
@@ -10,24 +12,32 @@
   type Mirror,
   type StateClient,
 } from '../state/index.js';
-import { isFinite, isNothing, less, limitOf, NOTHING, smaller, sum, type Amount } from './amount.js';
-import { capOf, firstShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './decide.js';
-import { DemandBoard, type ShardDemand } from './demand.js';
+import { isFiniteAmount, isNothing, less, limitOf, ZERO_AMOUNT, minAmount, sum, type Amount } from './amount.js';
+import { capOf, initialShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './decide.js';
+import { DemandReports, type ShardDemand } from './demand.js';
 import { decodeQuota, encodeQuota, shareOf, type QuotaRecord } from './record.js';
 
-/** Limits are shared between shards; what was shared is being put back; or one shard has a team's whole limit. */
+/**
+ * 'shared': limits are divided between shards; 'returning': shares are being returned to the account shards; 'whole': a
+ * team's account shard has its whole limit.
+ */
 export type QuotaMode = 'shared' | 'returning' | 'whole';
 
-/** A shard that this node holds, as far as quotas need to know it. */
+/** A shard that this node holds, as the quota code sees it. */
 export interface QuotaHolder {
   readonly shard: ShardName;
+  /** Revision of the claim by which this node holds the shard. */
   readonly claimedAt: Revision;
-  /** Everything that may be on its machines is known, and it is not changing hands. */
+  /** Whether all tasks that may be on its machines are known and no handover is under way. */
   readonly settled: boolean;
-  /** Of each limited team, what may be in use now and what waits; endless use while tasks of unknown jobs may be anybody's. */
+  /**
+   * Current use and waiting work of each team with a limit; use is infinite while tasks of unknown jobs may belong to
+   * any team.
+   */
   teamNeeds(): ReadonlyMap<string, TeamNeed>;
 }
 
+/** What {@link QuotaShares} needs from the rest of the program. */
 export interface QuotaDeps {
   readonly teams: ReadonlyMap<string, TeamFacts>;
   readonly state: Pick<StateClient, 'txn' | 'get' | 'limits' | 'writers'>;
@@ -35,126 +45,149 @@
   readonly runtime: Pick<Runtime, 'now'>;
   readonly log: Pick<Logger, 'info' | 'warn' | 'error'>;
   mode(): QuotaMode;
-  /** All shards, and the versions of the records of those that are sealed against releases without shares. */
+  /** All shards. */
   shards(): readonly ShardName[];
+  /** Record versions of the shards that are sealed, that is, which releases without quota shares can't claim. */
   sealed(): ReadonlyMap<ShardName, Revision>;
+  /** The shards that this node holds. */
   holders(): Iterable<QuotaHolder>;
-  /** Tells what a shard needs to the other controllers. */
+  /** Sends a shard's demand to the other controllers. */
   tell(demand: ShardDemand): void;
-  /** Rewrites a shard's record under guard: every write that was guarded by it then shows, or can never be carried out. */
+  /**
+   * Rewrites a shard's record with a guard on its version. Afterwards every earlier write that was guarded by the
+   * record either is visible or can never be applied.
+   */
   settle(shard: ShardName): Promise<void>;
 }
 
-/** Of the state service's changes a second, the part that shares may take, of all controllers together. */
-const CHANGES_PART = 0.12;
-/** Changes that a node may save up, and make in one transaction. */
-const BURST = 6;
-const TELL_EVERY_MS = 800;
-const TELL_AGAIN_MS = 150;
+/** Fraction of the state service's write rate that quota changes of all controllers together may use. */
+const CHANGE_RATE_FRACTION = 0.12;
+/** Size of a node's token bucket for changes, and so the largest number of changes in one transaction. */
+const MAX_BURST_CHANGES = 6;
+/** How often unchanged demand is sent again. */
+const RESEND_UNCHANGED_MS = 800;
+/** The shortest interval between two sends when the demand changes. */
+const MIN_SEND_INTERVAL_MS = 150;
 
-/** The shard that has a team's whole limit unless it is shared: by the team's name, the same for every controller. */
+/**
+ * The account shard of a team: it has the team's whole limit unless that is divided. It is derived from a hash of the
+ * name, so every controller chooses the same; null if there are no shards.
+ */
 export function accountOf(team: string, shards: readonly ShardName[]): ShardName | null {
   const hash = [...team].reduce((s, c) => (s * 31 + c.charCodeAt(0)) >>> 0, 7);
   return shards[hash % shards.length] ?? null;
 }
 
+/** A change of one team's quota record that a shard's holder wants to write. */
 interface Change {
   readonly team: string;
   readonly shard: ShardName;
   readonly key: string;
   readonly guards: readonly Guard[];
-  /** null: the record goes. */
+  /** The new record; null removes it. */
   readonly next: QuotaRecord | null;
+  /** The longest wait for this team in any shard; changes with longer waits are written first. */
   readonly waitedMs: number;
 }
 
 /**
- * Divides the limits of teams between shards. Each team's shares are one record; a holder starts work within its shard's
- * share only, lowers it by its own guarded writes, and gives what it can spare to shards that wait. A share belongs to
- * the shard: whoever claims that has it. The argument: docs/quota-design.md.
+ * Divides the limits of teams between shards. Each team's shares are one record. A holder starts work only within its
+ * shard's share, lowers that share only by its own guarded writes, and gives what it can spare to shards with waiting
+ * work. A share belongs to the shard, so it passes to whichever node claims the shard. docs/quota-design.md has the
+ * safety argument.
  */
 export class QuotaShares {
-  private readonly board = new DemandBoard();
-  /** Shares that writes under way lower: until their outcome is known, the lower one holds. */
+  private readonly demandReports = new DemandReports();
+  /** Shares that writes in flight lower. The lower share applies until the outcome of the write is known. */
   private readonly lowered = new Map<string, Amount>();
+  /** Decoded records by team, valid while the stored value is the same object. */
   private readonly decoded = new Map<
     string,
     { readonly value: unknown; readonly record: ReturnType<typeof decodeQuota> }
   >();
-  private readonly writing = new Set<ShardName>();
-  private readonly toldAt = new Map<ShardName, { readonly at: Millis; readonly text: string }>();
+  /** Shards with a write in flight. */
+  private readonly shardsBeingWritten = new Set<ShardName>();
+  /** When each shard's demand was last sent, and its text for comparison. */
+  private readonly lastSent = new Map<ShardName, { readonly at: Millis; readonly text: string }>();
+  /** Teams whose unreadable record has been logged. */
   private readonly unreadable = new Set<string>();
-  private allowance = BURST;
-  private allowanceAt: Millis;
+  /** Changes that may be written now (token bucket). */
+  private tokens = MAX_BURST_CHANGES;
+  private refilledAt: Millis;
 
   constructor(private readonly deps: QuotaDeps) {
-    this.allowanceAt = deps.runtime.now();
+    this.refilledAt = deps.runtime.now();
   }
 
-  /** What another holder says. */
+  /** Handles a demand report from another holder. */
   hear(demand: ShardDemand): void {
-    this.board.note(demand, this.deps.runtime.now());
+    this.demandReports.record(demand, this.deps.runtime.now());
   }
 
-  /** Is work of this team sent to any shard, like that of teams without a limit? */
+  /** Whether work of teams with a limit is routed to any shard, like that of other teams. */
   get routesFreely(): boolean {
     return this.deps.mode() === 'shared';
   }
 
-  /** What is shared is being put back. */
+  /** Whether shares are being returned to the account shards. */
   get returning(): boolean {
     return this.deps.mode() === 'returning';
   }
 
+  /** The account shard of a team; null if there are no shards. */
   account(team: string): ShardName | null {
     return accountOf(team, this.deps.shards());
   }
 
-  /** Up to where a shard may use a team's limit now; null: the team has none. */
+  /** How much of a team's limit a shard may use now; null if the team has no limit. */
   capOf(team: string, shard: ShardName): Amount | null {
     const limit = limitOf(this.deps.teams.get(team));
     if (!limit) return null;
     const mode = this.deps.mode();
     if (mode === 'whole') return limit;
     const record = this.recordOf(team);
-    if (record === 'foreign') return NOTHING;
-    const cap = record ? capOf(limit, record, shard) : this.undivided(team, shard, limit);
-    const lowered = this.lowered.get(lowerKey(team, shard));
-    return lowered ? smaller(cap, lowered) : cap;
+    if (record === 'foreign') return ZERO_AMOUNT;
+    const cap = record ? capOf(limit, record, shard) : this.undividedCap(team, shard, limit);
+    const lowered = this.lowered.get(loweredKey(team, shard));
+    return lowered ? minAmount(cap, lowered) : cap;
   }
 
   /**
-   * Nothing is stored yet: the account's shard has what no other uses. Tasks may run elsewhere from before limits were
-   * shared, so every shard has to be heard of once before anything is started on the strength of the whole limit.
+   * The cap while no record is stored: the account shard may use what no other shard uses. Tasks from before limits
+   * were divided may run in other shards, so every shard must have reported once before the account shard starts
+   * anything.
    */
-  private undivided(team: string, shard: ShardName, limit: Amount): Amount {
-    if (this.account(team) !== shard) return NOTHING;
+  private undividedCap(team: string, shard: ShardName, limit: Amount): Amount {
+    if (this.account(team) !== shard) return ZERO_AMOUNT;
     let left = limit;
     for (const other of this.deps.shards()) {
       if (other === shard) continue;
-      const use = this.board.lastUseOf(team, other);
+      const use = this.demandReports.lastUseOf(team, other);
       if (use) left = less(left, use);
-      else if (!this.returning) return NOTHING;
+      else if (!this.returning) return ZERO_AMOUNT;
     }
     return left;
   }
 
-  /** What all shards together leave of a team's limit, as far as they have said; null: limits are not shared. */
+  /**
+   * What the reported use of all shards leaves of a team's limit; null if the team has none or limits are not divided.
+   */
   leftOf(team: string): Amount | null {
     const limit = limitOf(this.deps.teams.get(team));
     if (!limit || this.deps.mode() !== 'shared') return null;
-    const needs = this.board.needsOf(team, this.deps.runtime.now());
+    const needs = this.demandReports.needsOf(team, this.deps.runtime.now());
     return less(limit, sum([...needs.values()].map(({ use }) => use)));
   }
 
-  /** How many tasks of a size a shard may start within its share, as far as its holder has said what it uses. */
+  /** How many tasks of size `unit` a shard may start within its share, by the use that its holder has reported. */
   startableIn(team: string, shard: ShardName, unit: Amount): number {
     const cap = this.capOf(team, shard);
     if (!cap) return Number.POSITIVE_INFINITY;
-    const use = this.board.needsOf(team, this.deps.runtime.now()).get(shard)?.use ?? NOTHING;
+    const use = this.demandReports.needsOf(team, this.deps.runtime.now()).get(shard)?.use ?? ZERO_AMOUNT;
     return unitsIn(less(cap, use), unit);
   }
 
+  /** The team's stored record, decoded; an unreadable record is logged once. */
   private recordOf(team: string): QuotaRecord | 'foreign' | null {
     const value = this.deps.mirror.get(quotaKey(team))?.value;
     const known = this.decoded.get(team);
@@ -166,17 +199,17 @@
       this.unreadable.add(team);
       this.deps.log.error(
         { team },
-        "a team's quota record can't be read by this release: nothing of the team is started",
+        "cannot read the team's quota record (damaged, or written by a later release): no tasks of the team are started",
       );
     }
     return record;
   }
 
-  /** One round: tells what the shards that are held here need, and changes shares. */
+  /** One reconcile pass: reports the demand of the shards held by this node and writes changes of shares. */
   round(): void {
     const mode = this.deps.mode();
     if (mode === 'whole') {
-      this.board.clear();
+      this.demandReports.clear();
       return;
     }
     this.refill();
@@ -184,47 +217,54 @@
       if (!holder.settled) continue;
       const teams = holder.teamNeeds();
       const demand: ShardDemand = { shard: holder.shard, claimedAt: holder.claimedAt, teams };
-      this.board.note(demand, this.deps.runtime.now());
-      this.tell(demand);
-      if (!this.writing.has(holder.shard)) this.change(holder.shard, teams, mode);
+      this.demandReports.record(demand, this.deps.runtime.now());
+      this.sendIfDue(demand);
+      if (!this.shardsBeingWritten.has(holder.shard)) this.writeChanges(holder.shard, teams, mode);
     }
   }
 
+  /** Adds tokens to the bucket for the time since the last refill; all writers of the state service share the rate. */
   private refill(): void {
     const { state, runtime } = this.deps;
     const now = runtime.now();
-    const perS = (state.limits.writeRps * CHANGES_PART) / Math.max(1, state.writers);
-    this.allowance = Math.min(BURST, this.allowance + ((now - this.allowanceAt) / 1000) * perS);
-    this.allowanceAt = now;
+    const tokensPerS = (state.limits.writeRps * CHANGE_RATE_FRACTION) / Math.max(1, state.writers);
+    this.tokens = Math.min(MAX_BURST_CHANGES, this.tokens + ((now - this.refilledAt) / 1000) * tokensPerS);
+    this.refilledAt = now;
   }
 
-  /** At once when something has changed that others act on, and now and then in any case. */
-  private tell(demand: ShardDemand): void {
+  /** Sends the demand soon when use or waiting work has changed, and periodically otherwise. */
+  private sendIfDue(demand: ShardDemand): void {
     const now = this.deps.runtime.now();
     const text = JSON.stringify([...demand.teams].map(([team, { use, waiting }]) => [team, use, waiting]));
-    const last = this.toldAt.get(demand.shard);
-    if (last && now - last.at < (last.text === text ? TELL_EVERY_MS : TELL_AGAIN_MS)) return;
-    this.toldAt.set(demand.shard, { at: now, text });
+    const last = this.lastSent.get(demand.shard);
+    if (last && now - last.at < (last.text === text ? RESEND_UNCHANGED_MS : MIN_SEND_INTERVAL_MS)) return;
+    this.lastSent.set(demand.shard, { at: now, text });
     this.deps.tell(demand);
   }
 
-  private change(shard: ShardName, needs: ReadonlyMap<string, TeamNeed>, mode: QuotaMode): void {
+  /**
+   * Plans the changes of all teams for one shard and writes those that the token bucket allows, the longest wait first.
+   */
+  private writeChanges(shard: ShardName, needs: ReadonlyMap<string, TeamNeed>, mode: QuotaMode): void {
     const changes: Change[] = [];
     for (const team of this.deps.teams.keys()) {
-      const change = this.changeOf(team, shard, needs.get(team), mode);
+      const change = this.planChange(team, shard, needs.get(team), mode);
       if (change) changes.push(change);
     }
     if (changes.length === 0) return;
     changes.sort((a, b) => b.waitedMs - a.waitedMs);
-    const most = Math.min(Math.floor(this.allowance), this.deps.state.limits.txnOps);
-    const batch = this.together(changes, most);
+    const most = Math.min(Math.floor(this.tokens), this.deps.state.limits.txnOps);
+    const batch = this.selectBatch(changes, most);
     if (batch.length === 0) return;
-    this.allowance -= batch.length;
+    this.tokens -= batch.length;
     void this.write(shard, batch);
   }
 
-  /** Those that are made in one transaction: it may have four conditions for each change that it may make. */
-  private together(changes: readonly Change[], most: number): Change[] {
+  /**
+   * The changes that go into one transaction: at most `most`, and no more distinct guards than it may have conditions.
+   * A transaction may have four conditions for each change.
+   */
+  private selectBatch(changes: readonly Change[], most: number): Change[] {
     const batch: Change[] = [];
     const keys = new Set<string>();
     for (const change of changes) {
@@ -237,7 +277,8 @@
     return batch;
   }
 
-  private changeOf(team: string, shard: ShardName, need: TeamNeed | undefined, mode: QuotaMode): Change | null {
+  /** The change that this shard's holder makes to a team's record; null if there is none. */
+  private planChange(team: string, shard: ShardName, need: TeamNeed | undefined, mode: QuotaMode): Change | null {
     const { teams, mirror, runtime } = this.deps;
     const limit = limitOf(teams.get(team));
     const account = this.account(team);
@@ -245,37 +286,46 @@
     const own = mirror.get(shardKey(shard));
     if (!limit || account === null || record === 'foreign' || !own) return null;
     const key = quotaKey(team);
-    const all = this.board.needsOf(team, runtime.now());
+    const all = this.demandReports.needsOf(team, runtime.now());
     const waitedMs = Math.max(0, ...[...all.values()].map((other) => other.waitedMs));
     const held = { key: shardKey(shard), version: own.version as number };
     if (!record) {
       if (mode !== 'shared' || account !== shard) return null;
-      return this.firstChange(team, shard, limit, all, held, waitedMs);
+      return this.planInitialDivision(team, shard, limit, all, held, waitedMs);
     }
     const entry = mirror.get(key);
     const returning = mode === 'returning';
-    const guards = [{ key, version: entry?.version ?? 0 }, held, ...(returning ? [] : this.switchedOn)];
+    const guards = [{ key, version: entry?.version ?? 0 }, held, ...(returning ? [] : this.rolloutGuards)];
     if (returning && account === shard && [...record.shares.keys()].every((other) => other === shard))
       return { team, shard, key, guards, next: null, waitedMs };
-    const use = need?.use ?? NOTHING;
+    const use = need?.use ?? ZERO_AMOUNT;
     const next = nextShares({ ...{ limit, record, self: shard, use, needs: all, account, returning } });
-    return next && this.isSound(team, next) ? { team, shard, key, guards, next, waitedMs } : null;
+    return next && this.isStorable(team, next) ? { team, shard, key, guards, next, waitedMs } : null;
   }
 
-  /** What is no number could never be read back, and would stop the team for good: such a record is a defect. */
-  private isSound(team: string, { shares }: QuotaRecord): boolean {
-    const sound = [...shares.values()].every(isFinite);
-    if (!sound) this.deps.log.error({ team, shares: [...shares] }, 'shares that are no numbers are not stored');
-    return sound;
+  /**
+   * Whether all shares are finite. Other numbers can't be read back and would stop the team for good; they are a
+   * defect.
+   */
+  private isStorable(team: string, { shares }: QuotaRecord): boolean {
+    const storable = [...shares.values()].every(isFiniteAmount);
+    if (!storable)
+      this.deps.log.error({ team, shares: [...shares] }, 'refusing to store quota shares that are not finite numbers');
+    return storable;
   }
 
-  /** That the switch still stands as this node saw it: what is written late, after it went back, must fail. */
-  private get switchedOn(): Guard[] {
+  /**
+   * Guards on the rollout state as this node saw it, so that a delayed write fails once the feature is switched off.
+   */
+  private get rolloutGuards(): Guard[] {
     return [{ key: ROLLOUT_STATE, version: this.deps.mirror.get(ROLLOUT_STATE)?.version ?? 0 }];
   }
 
-  /** Once another shard waits, every shard is sealed, and every holder has said what it uses. */
-  private firstChange(
+  /**
+   * The change that divides a team's limit for the first time. It is made only when another shard uses some of the
+   * limit or waits for it, every shard is sealed, and every holder has reported its use recently.
+   */
+  private planInitialDivision(
     team: string,
     shard: ShardName,
     limit: Amount,
@@ -284,10 +334,10 @@
     waitedMs: number,
   ): Change | null {
     const { shards, sealed } = this.deps;
-    const elsewhere = [...needs].some(
+    const usedElsewhere = [...needs].some(
       ([other, { use, waiting }]) => other !== shard && !(isNothing(use) && isNothing(waiting)),
     );
-    if (!elsewhere) return null;
+    if (!usedElsewhere) return null;
     const versions = sealed();
     const seals: Guard[] = [];
     for (const other of shards()) {
@@ -295,44 +345,45 @@
       if (version === undefined || !needs.has(other)) return null;
       seals.push({ key: shardKey(other), version });
     }
-    const first = firstShares(limit, shard, needs);
+    const first = initialShares(limit, shard, needs);
     if (!first) return null;
-    const use = needs.get(shard)?.use ?? NOTHING;
+    const use = needs.get(shard)?.use ?? ZERO_AMOUNT;
     const next = nextShares({ ...{ limit, record: first, self: shard, use, needs, account: shard, returning: false } });
     const key = quotaKey(team);
-    const guards = [{ key, version: 0 }, held, ...this.switchedOn, ...seals];
-    const made = next ?? first;
-    return this.isSound(team, made) ? { team, shard, key, guards, next: made, waitedMs } : null;
+    const guards = [{ key, version: 0 }, held, ...this.rolloutGuards, ...seals];
+    const initial = next ?? first;
+    return this.isStorable(team, initial) ? { team, shard, key, guards, next: initial, waitedMs } : null;
   }
 
+  /** Writes changes in one transaction. After a conflict or an unknown outcome, the records are read again. */
   private async write(shard: ShardName, changes: readonly Change[]): Promise<void> {
     const { state, mirror, log } = this.deps;
-    this.writing.add(shard);
-    for (const { team, next } of changes) if (next) this.lowered.set(lowerKey(team, shard), shareOf(next, shard));
+    this.shardsBeingWritten.add(shard);
+    for (const { team, next } of changes) if (next) this.lowered.set(loweredKey(team, shard), shareOf(next, shard));
     const guards = new Map(changes.flatMap((change) => change.guards).map((guard) => [guard.key, guard]));
     const ops = changes.map(({ key, next }) => (next ? { put: key, value: encodeQuota(next) } : { remove: key }));
     try {
       const result = await state.txn(Urgency.shard, [...guards.values()], ops);
       if (result.kind === 'ok') {
         mirror.wrote(ops, result.revision);
-        log.info({ shard, teams: changes.map(({ team }) => team) }, "shares of teams' limits have changed");
+        log.info({ shard, teams: changes.map(({ team }) => team) }, 'changed quota shares');
       } else {
         if (result.kind === 'unknown') await this.deps.settle(shard);
         if (result.kind !== 'refused') await this.reread(changes);
       }
     } finally {
-      for (const { team } of changes) this.lowered.delete(lowerKey(team, shard));
-      this.writing.delete(shard);
+      for (const { team } of changes) this.lowered.delete(loweredKey(team, shard));
+      this.shardsBeingWritten.delete(shard);
     }
   }
 
-  /** Another's write came first, or the outcome was not known: what is stored decides. */
+  /** Reads the records again after another write came first or the outcome is unknown: the stored value decides. */
   private async reread(changes: readonly Change[]): Promise<void> {
     const { state, mirror } = this.deps;
     for (const { key } of changes) await reread(state, mirror, key);
   }
 
-  /** For operators: how each team's limit lies, and what each shard uses and waits for. */
+  /** For operators: how each team's limit is divided, and what each shard uses and waits for. */
   overview(): QuotaOverview[] {
     const now = this.deps.runtime.now();
     const overview: QuotaOverview[] = [];
@@ -341,7 +392,7 @@
       if (!whole) continue;
       const record = this.recordOf(team);
       const shares = record && record !== 'foreign' ? Object.fromEntries(record.shares) : {};
-      const all = this.board.needsOf(team, now);
+      const all = this.demandReports.needsOf(team, now);
       const needs = [...all].filter(([, { use, waiting }]) => !(isNothing(use) && isNothing(waiting)));
       overview.push({
         team,
@@ -359,13 +410,16 @@
   }
 }
 
+/** One team's limit as operators see it. */
 export interface QuotaOverview {
   readonly team: string;
-  /** 0: none. */
+  /** 0: no limit of that resource. */
   readonly limit: Amount;
+  /** The account shard: it has the whole limit unless that is divided. */
   readonly account: ShardName | null;
-  /** Why work that has room does not start; null: none waits. Known only while limits are shared. */
+  /** Why work that machines have room for does not start; null if none waits. Known only while limits are divided. */
   readonly heldBackBy: HeldBackBy | null;
+  /** Whether the limit is stored undivided ('whole') or divided ('shared'), or its record can't be read. */
   readonly form: 'whole' | 'shared' | 'unreadable';
   readonly shares: Readonly<Record<string, Amount>>;
   readonly needs: Readonly<
@@ -373,4 +427,5 @@
   >;
 }
 
-const lowerKey = (team: string, shard: ShardName): string => `${shard} ${team}`;
+/** Key of a team's share of a shard in `lowered`. */
+const loweredKey = (team: string, shard: ShardName): string => `${shard} ${team}`;
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -7,7 +7,7 @@
   capOf,
   decodeQuota,
   encodeQuota,
-  firstShares,
+  initialShares,
   heldBackBy,
   isNothing,
   less,
@@ -17,10 +17,10 @@
   type QuotaDeps,
   plus,
   shareOf,
-  STARVED_MS,
+  STARVED_AFTER_MS,
   sum,
   totalOf,
-  wantedShares,
+  targetShares,
   within,
   type Amount,
   type QuotaRecord,
@@ -31,7 +31,7 @@
 import { revision } from '../src/kernel/index.js';
 import { ROLLOUT_STATE, shardKey, type Entry } from '../src/state/index.js';
 import { Luck } from '../packages/region/src/index.js';
-import { QuotaWorld, type LeftOut } from './standins/quotas.js';
+import { QuotaSimulation, type OmittedSafeguard } from './standins/quotas.js';
 import { spec } from './standins/jobs.js';
 
 const NAMES = ['a', 'b', 'c', 'd'].map(shardName);
@@ -44,7 +44,7 @@
   waiting: amount({ cpus: 120, gpus: 20 }),
   unit: fc.record({ cpus: fc.integer({ min: 1, max: 60 }), gpus: fc.integer({ min: 0, max: 8 }) }),
   priority: fc.integer({ min: 0, max: 3 }),
-  waitedMs: fc.integer({ min: 0, max: 2 * STARVED_MS }),
+  waitedMs: fc.integer({ min: 0, max: 2 * STARVED_AFTER_MS }),
 });
 const needs = fc
   .array(need, { minLength: NAMES.length, maxLength: NAMES.length })
@@ -56,7 +56,7 @@
 test('what is wanted of a limit is no more than it, and everybody has at least what is in use', () => {
   fc.assert(
     fc.property(needs, (all) => {
-      const wanted = wantedShares(LIMIT, all);
+      const wanted = targetShares(LIMIT, all);
       const used = sum([...all.values()].map(({ use }) => use));
       for (const [name, { use, unit, waiting }] of all) {
         const has = wanted.get(name);
@@ -86,7 +86,7 @@
     waitedMs: 100,
   };
   const [a, b, c] = NAMES as [ShardName, ShardName, ShardName];
-  const wanted = wantedShares(
+  const wanted = targetShares(
     LIMIT,
     new Map([
       [a, other],
@@ -97,11 +97,11 @@
   assert.deepEqual(wanted.get(b), { cpus: 60, gpus: 16 });
   assert.ok((wanted.get(a)?.cpus ?? 0) > 15);
   const busy = { ...other, use: { cpus: 30, gpus: 0 } };
-  const starved = wantedShares(
+  const starved = targetShares(
     LIMIT,
     new Map([
       [a, busy],
-      [b, { ...gang, waitedMs: STARVED_MS }],
+      [b, { ...gang, waitedMs: STARVED_AFTER_MS }],
       [c, busy],
     ]),
   );
@@ -136,12 +136,12 @@
     [b, { ...NO_NEED, use: { cpus: 30, gpus: 2 } }],
     [c, NO_NEED],
   ]);
-  const first = firstShares(LIMIT, a, all);
+  const first = initialShares(LIMIT, a, all);
   assert.ok(first);
   assert.deepEqual(shareOf(first, a), { cpus: 70, gpus: 14 });
   assert.deepEqual(shareOf(first, b), { cpus: 30, gpus: 2 });
   // Tasks of unknown jobs may be anybody's: there is nothing to divide yet.
-  assert.equal(firstShares(LIMIT, a, new Map([[b, { ...NO_NEED, use: { cpus: Infinity, gpus: Infinity } }]])), null);
+  assert.equal(initialShares(LIMIT, a, new Map([[b, { ...NO_NEED, use: { cpus: Infinity, gpus: Infinity } }]])), null);
 });
 
 test('while tasks of unknown jobs may be of anybody, a shard gives nothing, takes nothing, and its share stays a number', () => {
@@ -157,7 +157,7 @@
   const at = { limit: LIMIT, record, needs: all, account: c, returning: false };
   // A team without a limit for accelerators: endless less endless is no number.
   const cpusOnly = { cpus: 100, gpus: Infinity };
-  for (const amount of [...wantedShares(cpusOnly, all)].filter(([name]) => name !== a).map(([, wanted]) => wanted))
+  for (const amount of [...targetShares(cpusOnly, all)].filter(([name]) => name !== a).map(([, wanted]) => wanted))
     assert.ok(Number.isFinite(amount.cpus) && Number.isFinite(amount.gpus));
   for (const self of [b, c]) {
     const next = nextShares({ ...at, limit: cpusOnly, self, use: NO_NEED.use });
@@ -215,9 +215,9 @@
   readonly everywhere: number;
 }
 
-async function interleaved(seed: number, leftOut: LeftOut, steps = 500): Promise<Run> {
+async function interleaved(seed: number, leftOut: OmittedSafeguard, steps = 500): Promise<Run> {
   const luck = new Luck(seed, 'quotas');
-  const world = new QuotaWorld(() => luck.next(), LIMIT_CPUS, leftOut);
+  const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, leftOut);
   const ran = new Set<ShardName>();
   let most = 0;
   for (let i = 0; i < steps; i++) {
@@ -253,7 +253,7 @@
 test('model: a limit that is lowered below what is in use lets nothing start until it fits', async () => {
   for (let seed = 1; seed <= 10; seed++) {
     const luck = new Luck(seed, 'lowered');
-    const world = new QuotaWorld(() => luck.next(), LIMIT_CPUS, 'nothing');
+    const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
     for (let i = 0; i < 250; i++) await world.tick();
     const lower = 5;
     world.setLimit(lower);
@@ -270,8 +270,8 @@
 test('model: tasks that ran in several shards before limits were shared are counted before anything is given away', async () => {
   for (let seed = 1; seed <= 20; seed++) {
     const luck = new Luck(seed, 'accounts');
-    const world = new QuotaWorld(() => luck.next(), LIMIT_CPUS, 'nothing');
-    world.beginWith([5, 6, 1]);
+    const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
+    world.startWithUse([5, 6, 1]);
     for (let i = 0; i < 400; i++) {
       await world.tick();
       assert.ok(world.used <= LIMIT_CPUS, `seed ${seed}: ${world.used}`);
--- a/test/standins/quotas.ts
+++ b/test/standins/quotas.ts
@@ -19,14 +19,14 @@
 } from '../../src/state/index.js';
 
 /** Parts of the argument in docs/quota-design.md that a run may leave out, to see that they are needed. */
-export type LeftOut = 'nothing' | 'lower at once' | 'settle' | 'record guard' | 'settled holders';
+export type OmittedSafeguard = 'nothing' | 'lower at once' | 'settle' | 'record guard' | 'settled holders';
 
 export const TEAM = 'team';
 const STEP_MS = 100;
-const LATE_STEPS = 120;
-const CLAIM_STEPS = 25;
+const MAX_DELAY_STEPS = 120;
+const SETTLE_STEPS = 25;
 
-interface Logged {
+interface LoggedChange {
   readonly key: string;
   readonly value: unknown;
   readonly version: number;
@@ -35,7 +35,7 @@
 /** The state service: keys with versions, and every change in order. */
 class Store {
   readonly keys = new Map<string, Entry>();
-  readonly log: Logged[] = [];
+  readonly log: LoggedChange[] = [];
 
   holds(guards: readonly Guard[]): boolean {
     return guards.every(({ key, version }) => (this.keys.get(key)?.version ?? 0) === version);
@@ -74,17 +74,17 @@
   readonly held = new Set<Shard>();
 
   constructor(
-    private readonly world: QuotaWorld,
+    private readonly world: QuotaSimulation,
     readonly n: number,
   ) {
     this.shares = new QuotaShares(this.deps());
-    if (world.leftOut === 'lower at once') {
+    if (world.omitted === 'lower at once') {
       // What a write under way lowers counts only once it is done.
       (this.shares as unknown as { lowered: { set: () => void } }).lowered.set = () => undefined;
     }
   }
 
-  take({ key, value, version }: Logged): void {
+  take({ key, value, version }: LoggedChange): void {
     const known = this.entries.get(key);
     if (known && known.version >= version) return;
     // Another has claimed a shard: whoever sees that holds it no more.
@@ -130,15 +130,15 @@
         ),
       holders: () => [...this.held].map((shard) => this.holderOf(shard)),
       tell: (demand) => {
-        for (const node of world.nodes) if (node !== this && world.luck() > 0.2) node.shares.hear(demand);
+        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.hear(demand);
       },
-      settle: (shard) => (world.leftOut === 'settle' ? Promise.resolve() : world.settle(shard)),
+      settle: (shard) => (world.omitted === 'settle' ? Promise.resolve() : world.settle(shard)),
     };
   }
 
   private holderOf(shard: Shard): QuotaHolder {
     const { world } = this;
-    const settled = world.leftOut === 'settled holders' || world.step >= shard.settledAt;
+    const settled = world.omitted === 'settled holders' || world.step >= shard.settledAt;
     const known = settled && world.step >= shard.settledAt ? shard.use : 0;
     const need: TeamNeed = {
       use: { cpus: known, gpus: 0 },
@@ -151,7 +151,7 @@
 }
 
 /** Holders that start and end tasks, claim each other's shards, and write late; the sum is to stay within the limit. */
-export class QuotaWorld {
+export class QuotaSimulation {
   step = 0;
   readonly store = new Store();
   readonly shards: Shard[];
@@ -161,9 +161,9 @@
   writes = 0;
 
   constructor(
-    readonly luck: () => number,
+    readonly random: () => number,
     readonly limit: number,
-    readonly leftOut: LeftOut,
+    readonly omitted: OmittedSafeguard,
     size = 3,
   ) {
     this.teams = new Map([[TEAM, { cpus: 0, cpusMax: limit, gpus: 0, gpusMax: 0 }]]);
@@ -195,20 +195,20 @@
   /** Of the transactions some are refused, some lose their answer, and some are carried out long after. */
   txn(guards: readonly Guard[], ops: readonly Op[]): Promise<TxnResult> {
     this.writes += 1;
-    const checked = this.leftOut === 'record guard' ? guards.filter(({ key }) => !key.startsWith(QUOTAS)) : guards;
+    const checked = this.omitted === 'record guard' ? guards.filter(({ key }) => !key.startsWith(QUOTAS)) : guards;
     const carryOut = (): TxnResult =>
       this.store.holds(checked) ? { kind: 'ok', revision: this.store.write(ops) } : { kind: 'conflict' };
-    const drawn = this.luck();
+    const drawn = this.random();
     if (drawn < 0.08) return Promise.resolve({ kind: 'refused' });
     if (drawn < 0.2) {
-      this.after(Math.floor(this.luck() * LATE_STEPS), () => void carryOut());
+      this.after(Math.floor(this.random() * MAX_DELAY_STEPS), () => void carryOut());
       return this.later(3, () => ({ kind: 'unknown' }));
     }
     if (drawn < 0.3) {
       carryOut();
       return this.later(3, () => ({ kind: 'unknown' }));
     }
-    return this.later(Math.floor(this.luck() * 3), carryOut);
+    return this.later(Math.floor(this.random() * 3), carryOut);
   }
 
   private after(steps: number, run: () => void): void {
@@ -227,7 +227,7 @@
   }
 
   private pick<T>(from: readonly T[]): T | undefined {
-    return from[Math.floor(this.luck() * from.length)];
+    return from[Math.floor(this.random() * from.length)];
   }
 
   private node(): Node | undefined {
@@ -242,13 +242,13 @@
       due.run();
     }
     const node = this.node();
-    const drawn = this.luck();
-    if (node && drawn < 0.6) this.watch(node, Math.ceil(this.luck() * 4));
+    const drawn = this.random();
+    if (node && drawn < 0.6) this.watch(node, Math.ceil(this.random() * 4));
     else if (node && drawn < 0.85) node.shares.round();
     else if (drawn < 0.9) this.claim();
     else if (drawn < 0.97) {
       const shard = this.pick(this.shards);
-      if (shard) shard.waiting = Math.floor(this.luck() * this.limit);
+      if (shard) shard.waiting = Math.floor(this.random() * this.limit);
     }
     // Promises of this step settle before the next.
     await new Promise((resolve) => setImmediate(resolve));
@@ -273,15 +273,15 @@
     shard.claimedAt = this.store.write([{ put: shardKey(shard.name), value: { holder: node.n } }]);
     this.watch(node, this.store.log.length);
     shard.holder = node.n;
-    shard.settledAt = this.step + CLAIM_STEPS;
+    shard.settledAt = this.step + SETTLE_STEPS;
     node.held.add(shard);
   }
 
   private work(): void {
     for (const shard of this.shards) {
       const node = this.nodes[shard.holder];
-      if (this.luck() < 0.15 && shard.use > 0) shard.use -= 1;
-      if (!node || this.step < shard.settledAt || shard.waiting <= 0 || this.luck() < 0.4) continue;
+      if (this.random() < 0.15 && shard.use > 0) shard.use -= 1;
+      if (!node || this.step < shard.settledAt || shard.waiting <= 0 || this.random() < 0.4) continue;
       const cap = node.shares.capOf(TEAM, shard.name);
       if (cap && shard.use + 1 > cap.cpus + 1e-6) continue;
       shard.use += 1;
@@ -295,7 +295,7 @@
   }
 
   /** Limits have just been shared, everybody knows it, and tasks from before that run in several shards. */
-  beginWith(uses: readonly number[]): void {
+  startWithUse(uses: readonly number[]): void {
     for (const node of this.nodes) this.watch(node, this.store.log.length);
     uses.forEach((use, i) => {
       const shard = this.shards[i];
