--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -60,31 +60,31 @@
   ...over,
 });
 
-test('an array that has waited long begins with one task in room that is kept for accelerators', () => {
-  const kept = machine('m-gpu', { type: 'theatre', gpus: 2, freeGpus: 2, freeCpus: 4, freeMemoryGb: 8 });
+test('an array that has waited long starts one task in room that is kept for GPU tasks', () => {
+  const gpuMachine = machine('m-gpu', { type: 'gpu', gpus: 2, freeGpus: 2, freeCpus: 4, freeMemoryGb: 8 });
   const reserve = { cpus: 4, memoryGb: 8 };
   const full = machine('m-full', { freeCpus: 0 });
   const starts = (waitedS: number, over: Partial<JobSpec> = {}, more: Partial<PlanInput> = {}): number[] => {
     const job = pending(spec({ id: 'j-1', tasks: 3, ...over }), { waitedS });
-    return planPlacement(input([kept, full], [job], { reserve, ...more })).starts.map(({ index }) => index);
+    return planPlacement(input([gpuMachine, full], [job], { reserve, ...more })).starts.map(({ index }) => index);
   };
   assert.deepEqual(starts(59), []);
   assert.deepEqual(starts(60), [0]);
-  // It has begun: the rest waits.
+  // Once it has started a task, its other tasks wait.
   assert.deepEqual(starts(0), []);
-  // What doesn't fit, isn't allowed there, or would go beyond its team's limit stays.
+  // Nothing starts that doesn't fit, isn't allowed on the machine, or would exceed its team's limit.
   assert.deepEqual(starts(60, { cpus: 5 }), []);
   assert.deepEqual(starts(60, { types: ['small'] }), []);
   const teams = new Map([['t', { cpus: 4, gpus: 0, cpusMax: 4, gpusMax: 0 }]]);
   assert.deepEqual(starts(60, {}, { teams }), []);
-  // What is left out of a plan because of the room it lacks is told less the one.
+  // The task that starts is not counted as unplaced.
   const job = pending(spec({ id: 'j-1', tasks: 3 }), { waitedS: 60 });
-  const { unplaced } = planPlacement(input([kept, full], [job], { reserve }));
+  const { unplaced } = planPlacement(input([gpuMachine, full], [job], { reserve }));
   assert.deepEqual(unplaced, [{ job: 'j-1', count: 2 }]);
 });
 
-/** Plays a plan start by start against the plain rules; says what is wrong with it. */
-function slowCheck(given: PlanInput): { problems: string[]; starts: number } {
+/** Replays a plan start by start against a simple model of the rules and returns the violations found. */
+function checkAgainstModel(given: PlanInput): { problems: string[]; starts: number } {
   const plan = planPlacement(given);
   const problems: string[] = [];
   const free = new Map(
@@ -132,7 +132,7 @@
     if (!victim || !forJob || victim.priority >= forJob.spec.priority)
       problems.push('preempts equal or higher priority');
   }
-  // What kinds of jobs a plan gives up on is remembered within it: no array may miss room for that.
+  // A plan remembers equivalence classes without room: no array may miss room because of that.
   for (const p of given.pending) {
     const { spec: s } = p;
     const started = plan.starts.filter((start) => start.job === s.id).length;
@@ -148,7 +148,7 @@
         problems.push(`${s.id} waits beside room on ${m.id}`);
     }
   }
-  // One task alone: it is placed exactly when some machine can take it.
+  // A single task is placed exactly when some machine can take it.
   const [only] = given.pending;
   if (given.pending.length === 1 && only?.ready.length === 1 && given.teams.size === 0) {
     const s = only.spec;
@@ -161,7 +161,7 @@
         s.cpus <= m.freeCpus &&
         s.gpus <= m.freeGpus &&
         s.memoryGb <= m.freeMemoryGb &&
-        // One task of an array that has waited long may take what is kept for work with accelerators.
+        // One task of an array that has waited long may use room that is kept for GPU tasks.
         (s.gpus > 0 || m.freeGpus === 0 || (s.kind === 'array' && (only.waitedS ?? 0) >= 60)),
     );
     if (can !== (plan.starts.length === 1))
@@ -170,7 +170,7 @@
   return { problems, starts: plan.starts.length };
 }
 
-test('a plan keeps every rule of the slow plain model', () => {
+test('a plan keeps every rule of the simple model', () => {
   const kinds: JobKind[] = ['array', 'gang', 'service'];
   const anySpec = fc
     .record({
@@ -215,7 +215,7 @@
           lossS: 1,
           stopping: false,
         });
-        const result = slowCheck(
+        const result = checkAgainstModel(
           input(
             machines.map((m, i) =>
               machine(`m${i}`, { ...m, cpus: 8, gpus: m.freeGpus, memoryGb: 12, running: [victim(i)] }),
@@ -233,7 +233,7 @@
   assert.ok(starts > 500, `only ${starts} starts`);
 });
 
-test('a service gets room at once from low work, which a gang leaves time to save', () => {
+test('preemption for a service stops low-priority tasks at once, and for a gang leaves them time to save', () => {
   const low: Stoppable = {
     job: jobId('j-low'),
     index: 0,
@@ -249,7 +249,7 @@
   const plan = planPlacement(input([full], [service]));
   assert.deepEqual(plan.stops, [{ job: 'j-low', index: 0, machine: 'm0', forJob: 'j-s', atOnce: true }]);
   assert.deepEqual(plan.unplaced, []);
-  // Next round: the room is on its way, so nothing more is stopped.
+  // In the next round the room is being released, so nothing more is stopped.
   const again = planPlacement(input([{ ...full, running: [{ ...low, stopping: true }] }], [service]));
   assert.deepEqual(again.stops, []);
   const gang = pending(spec({ id: 'j-g', kind: 'gang', priority: Priority.normal, cpus: 2, tasks: 2 }));
@@ -260,13 +260,13 @@
   );
 });
 
-test('a job keeps off the machine where it failed, even when only that has room', () => {
-  // Seen on a recorded day: a machine failed the same task three times in forty milliseconds.
+test('a job is not placed on a machine where it failed, even if no other machine has room', () => {
+  // Guards against a machine that failed the same task three times in 40 ms.
   const job = pending(spec({ id: 'j-a' }), { avoid: new Set([machineId('m0')]) });
   assert.deepEqual(planPlacement(input([machine('m0')], [job])).starts, []);
 });
 
-test('an array never stops other work, a replica stays off machines with accelerators even while others are full', () => {
+test('an array preempts nothing, and a replica stays off GPU machines even if the other machines are full', () => {
   const low: Stoppable = {
     ...{ job: jobId('j-low'), index: 0, priority: Priority.low },
     ...{ cpus: 4, gpus: 0, memoryGb: 4, lossS: 1, stopping: false },
@@ -277,10 +277,10 @@
   const service = pending(spec({ id: 'j-s', kind: 'service', priority: Priority.production }));
   const chosen = planPlacement(input([busyGpu, machine('m1')], [service])).starts.map((s) => s.machine);
   assert.deepEqual(chosen, ['m1']);
-  // Seen as theatres that nobody could give back, with one replica each.
-  const packed = [busyGpu, machine('m1', { freeCpus: 0 })];
-  assert.deepEqual(planPlacement(input(packed, [service])).starts, []);
-  // Nothing is stopped there for a replica that may not go there.
+  // Guards against GPU machines that could not be given back because each ran one replica.
+  const fullMachines = [busyGpu, machine('m1', { freeCpus: 0 })];
+  assert.deepEqual(planPlacement(input(fullMachines, [service])).starts, []);
+  // Nothing is preempted on a GPU machine for a replica that may not go there.
   const beside = {
     job: jobId('j-r'),
     index: 0,
@@ -291,15 +291,15 @@
     lossS: 0,
     stopping: false,
   };
-  const lent = { ...busyGpu, freeCpus: 0, running: [beside] };
-  const waits = planPlacement(input([lent, machine('m1', { freeCpus: 0 })], [service]));
+  const borrowed = { ...busyGpu, freeCpus: 0, running: [beside] };
+  const waits = planPlacement(input([borrowed, machine('m1', { freeCpus: 0 })], [service]));
   assert.deepEqual([waits.stops, waits.unplaced.length], [[], 1]);
-  // Seen as replicas that waited for minutes in a block whose plain machines were full of others.
-  const late = planPlacement(input(packed, [{ ...service, slackS: -1 }]));
+  // Guards against replicas that waited for minutes in a shard whose machines without GPUs were full of other replicas.
+  const late = planPlacement(input(fullMachines, [{ ...service, slackS: -1 }]));
   assert.deepEqual([late.starts.length, late.unplaced], [service.ready.length, []]);
 });
 
-test('under too much load short jobs go first, and what is late for every aim goes last', () => {
+test('under overload short jobs go first, and jobs that have missed all objectives go last', () => {
   const jobs = [
     pending(spec({ id: 'j-long' }), { workS: 900 }),
     pending(spec({ id: 'j-late' }), { workS: 1, slackS: -9, lastSlackS: -9 }),
@@ -314,19 +314,20 @@
   );
 });
 
-test('machines with free accelerators take other work only if it gives way or leaves enough', () => {
-  const theatre = machine('m0', { freeGpus: 2, gpus: 2 });
-  const plain = planPlacement(input([theatre], [pending(spec({ id: 'j-a' }))]));
+test('machines with free GPUs take other work only if it can be preempted cheaply or leaves the reserve free', () => {
+  const gpuMachine = machine('m0', { freeGpus: 2, gpus: 2 });
+  const plain = planPlacement(input([gpuMachine], [pending(spec({ id: 'j-a' }))]));
   assert.equal(plain.starts.length, 0);
   const reserve = { cpus: 3, memoryGb: 4 };
   const two = [pending(spec({ id: 'j-a' })), pending(spec({ id: 'j-b' }))];
-  assert.equal(planPlacement(input([theatre], two, { reserve })).starts.length, 1);
-  const yielding = spec({ id: 'j-a', priority: Priority.low, checkpointS: 15 });
-  assert.equal(planPlacement(input([theatre], [pending(yielding)])).starts.length, 1);
+  assert.equal(planPlacement(input([gpuMachine], two, { reserve })).starts.length, 1);
+  const preemptable = spec({ id: 'j-a', priority: Priority.low, checkpointS: 15 });
+  assert.equal(planPlacement(input([gpuMachine], [pending(preemptable)])).starts.length, 1);
 });
 
-test('a large gang near its aim collects what comes free; smaller ones behind it wait, work that gives way does not', () => {
-  // Seen with gangs of 32: smaller ones took each machine that came free, and more and more were rented.
+test('a large gang near its objective accumulates free machines; smaller gangs wait, preemptable arrays do not', () => {
+  // Guards against starvation of gangs of 32: smaller gangs took each machine that became free, and ever more were
+  // rented.
   const gpu = (id: string): MachineView => machine(id, { gpus: 2, freeGpus: 2, cpuPrice: 1 });
   const gang = { kind: 'gang' as const, gpus: 2, cpus: 3, oneZone: true };
   const large = (slackS: number): PendingJob =>
@@ -339,7 +340,7 @@
   assert.deepEqual(started([large(-1), small]), ['j-2']);
   const borrower = pending(spec({ id: 'j-3', tasks: 1, priority: Priority.low, checkpointS: 5 }));
   assert.deepEqual(started([large(20), small, borrower]), ['j-3']);
-  // No more is kept than it needs.
+  // The gang holds no more machines than it needs.
   const more = [...rooms, gpu('m-3'), gpu('m-4')];
   assert.equal(planPlacement(input(more, [large(20), small])).starts.length, 4);
   const twoZones = [gpu('m-1'), gpu('m-2'), { ...gpu('m-3'), zone: 'b' }];
@@ -349,7 +350,7 @@
   );
 });
 
-test('what has waited long without a task goes first in its priority, and a starved gang collects whatever its aims', () => {
+test('a starved job goes first within its priority, and a starved gang accumulates machines whatever its objectives', () => {
   const gang = spec({ id: 'j-big', kind: 'gang', tasks: 3, cpus: 4 });
   const small = Array.from({ length: 4 }, (_, i) => pending(spec({ id: `j-${i}`, kind: 'gang', tasks: 1, cpus: 4 })));
   const late = { slackS: -300, lastSlackS: -300 };
@@ -357,13 +358,13 @@
   const two = [machine('m-0'), machine('m-1'), busy];
   const startsOf = (waitedS: number, machines: MachineView[]): string[] =>
     planPlacement(input(machines, [pending(gang, { ...late, waitedS }), ...small])).starts.map(({ job }) => job);
-  // Its aims are missed: small ones take each machine that comes free, and it would wait for as long as they come.
+  // The gang has missed its objectives: small gangs take each machine that becomes free, and would starve it.
   assert.equal(startsOf(149, two).length, 2);
   assert.deepEqual(startsOf(150, two), []);
   assert.deepEqual(startsOf(150, [...two, machine('m-3')]), ['j-big', 'j-big', 'j-big']);
-  // Here it never fits: it keeps nothing idle.
+  // The gang never fits here, so it keeps no machine idle.
   assert.equal(startsOf(900, [machine('m-0'), machine('m-1')]).length, 2);
-  // Not before work of a higher priority.
+  // A starved gang doesn't go before jobs of higher priority.
   const high = pending(spec({ id: 'j-high', kind: 'gang', tasks: 1, cpus: 4, priority: Priority.high }));
   const plan = planPlacement(input(two, [pending(gang, { ...late, waitedS: 500 }), high]));
   assert.deepEqual(
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -53,24 +53,24 @@
   .array(amount({ cpus: 25, gpus: 4 }), { minLength: NAMES.length, maxLength: NAMES.length })
   .map((all): QuotaRecord => ({ shares: new Map(NAMES.map((name, i) => [name, all[i] ?? NO_NEED.use])), rest: {} }));
 
-test('what is wanted of a limit is no more than it, and everybody has at least what is in use', () => {
+test('target shares stay within the limit, and each shard gets at least what it uses', () => {
   fc.assert(
     fc.property(needs, (all) => {
-      const wanted = targetShares(LIMIT, all);
+      const targets = targetShares(LIMIT, all);
       const used = sum([...all.values()].map(({ use }) => use));
       for (const [name, { use, unit, waiting }] of all) {
-        const has = wanted.get(name);
-        assert.ok(has && within(use, has), name);
-        // Nobody is given more than it uses, waits for, and needs at once.
-        assert.ok(within(has, plus(plus(use, waiting), unit)));
+        const target = targets.get(name);
+        assert.ok(target && within(use, target), name);
+        // No shard gets more than it uses, waits for, and needs at once.
+        assert.ok(within(target, plus(plus(use, waiting), unit)));
       }
-      if (within(used, LIMIT)) assert.ok(within(sum(wanted.values()), LIMIT));
+      if (within(used, LIMIT)) assert.ok(within(sum(targets.values()), LIMIT));
     }),
     { seed: 3, numRuns: 500 },
   );
 });
 
-test('a whole gang finds enough of the limit in one shard, and while it waits long nobody else takes what comes free', () => {
+test('a gang gets enough of the limit in one shard, and a starved gang gets everything that becomes free', () => {
   const gang: TeamNeed = {
     ...NO_NEED,
     waiting: { cpus: 60, gpus: 16 },
@@ -86,7 +86,7 @@
     waitedMs: 100,
   };
   const [a, b, c] = NAMES as [ShardName, ShardName, ShardName];
-  const wanted = targetShares(
+  const targets = targetShares(
     LIMIT,
     new Map([
       [a, other],
@@ -94,8 +94,8 @@
       [c, other],
     ]),
   );
-  assert.deepEqual(wanted.get(b), { cpus: 60, gpus: 16 });
-  assert.ok((wanted.get(a)?.cpus ?? 0) > 15);
+  assert.deepEqual(targets.get(b), { cpus: 60, gpus: 16 });
+  assert.ok((targets.get(a)?.cpus ?? 0) > 15);
   const busy = { ...other, use: { cpus: 30, gpus: 0 } };
   const starved = targetShares(
     LIMIT,
@@ -109,7 +109,7 @@
   assert.deepEqual(starved.get(a), busy.use);
 });
 
-test('a holder lowers only its own share, never below its use, and all shares together never grow beyond the limit', () => {
+test('a holder lowers only its own share, not below its use, and the sum of shares never grows beyond the limit', () => {
   const self = fc.constantFrom(...NAMES);
   fc.assert(
     fc.property(shares, needs, self, self, fc.boolean(), (record, all, who, account, returning) => {
@@ -117,19 +117,19 @@
       const next = nextShares({ ...{ limit: LIMIT, record, self: who, use, needs: all, account, returning } });
       if (!next) return;
       const [before, after] = [totalOf(record), totalOf(next)];
-      assert.ok(within(use, shareOf(next, who)), 'below its use');
+      assert.ok(within(use, shareOf(next, who)), 'share is below the use in its shard');
       for (const name of NAMES) if (name !== who) assert.ok(within(shareOf(record, name), shareOf(next, name)), name);
-      // Only tasks that are there already may take them beyond it.
+      // Only tasks that already run may raise the sum beyond the limit.
       const declared = less(use, shareOf(record, who));
       assert.ok(within(after, plus(isNothing(less(before, LIMIT)) ? LIMIT : before, declared)));
       const caps = sum(NAMES.map((name) => capOf(LIMIT, next, name)));
-      assert.ok(within(caps, LIMIT), 'what may be used is more than the limit');
+      assert.ok(within(caps, LIMIT), 'the sum of the caps exceeds the limit');
     }),
     { seed: 5, numRuns: 2000 },
   );
 });
 
-test('the first division counts what is in use elsewhere, and leaves the account the rest', () => {
+test('the initial division gives other shards what they use and the account shard the rest', () => {
   const [a, b, c] = NAMES as [ShardName, ShardName, ShardName];
   const all = new Map([
     [a, NO_NEED],
@@ -140,36 +140,36 @@
   assert.ok(first);
   assert.deepEqual(shareOf(first, a), { cpus: 70, gpus: 14 });
   assert.deepEqual(shareOf(first, b), { cpus: 30, gpus: 2 });
-  // Tasks of unknown jobs may be anybody's: there is nothing to divide yet.
+  // While tasks of unknown jobs may belong to any team, the limit can't be divided.
   assert.equal(initialShares(LIMIT, a, new Map([[b, { ...NO_NEED, use: { cpus: Infinity, gpus: Infinity } }]])), null);
 });
 
-test('while tasks of unknown jobs may be of anybody, a shard gives nothing, takes nothing, and its share stays a number', () => {
+test('while tasks of unknown jobs may belong to any team, a shard gives and gets nothing, and its share stays finite', () => {
   const [a, b, c] = NAMES as [ShardName, ShardName, ShardName];
   const record: QuotaRecord = { shares: new Map(NAMES.map((name) => [name, { cpus: 25, gpus: 4 }])), rest: {} };
-  const endless = { cpus: Infinity, gpus: Infinity };
+  const unknownUse = { cpus: Infinity, gpus: Infinity };
   const waits = { ...NO_NEED, waiting: { cpus: 40, gpus: 0 }, unit: { cpus: 1, gpus: 0 }, waitedMs: 900 };
   const all = new Map([
-    [a, { ...waits, use: endless }],
+    [a, { ...waits, use: unknownUse }],
     [b, waits],
     [c, NO_NEED],
   ]);
   const at = { limit: LIMIT, record, needs: all, account: c, returning: false };
-  // A team without a limit for accelerators: endless less endless is no number.
+  // A team without a GPU limit: the subtraction infinity - infinity must not give NaN.
   const cpusOnly = { cpus: 100, gpus: Infinity };
-  for (const amount of [...targetShares(cpusOnly, all)].filter(([name]) => name !== a).map(([, wanted]) => wanted))
+  for (const amount of [...targetShares(cpusOnly, all)].filter(([name]) => name !== a).map(([, target]) => target))
     assert.ok(Number.isFinite(amount.cpus) && Number.isFinite(amount.gpus));
   for (const self of [b, c]) {
     const next = nextShares({ ...at, limit: cpusOnly, self, use: NO_NEED.use });
     for (const { cpus, gpus } of next?.shares.values() ?? []) assert.ok(cpus >= 0 && gpus >= 0);
   }
-  assert.equal(nextShares({ ...at, self: a, use: endless }), null);
+  assert.equal(nextShares({ ...at, self: a, use: unknownUse }), null);
   const given = nextShares({ ...at, self: c, use: NO_NEED.use });
   assert.ok(given === null || within(shareOf(given, a), shareOf(record, a)));
-  assert.equal(nextShares({ ...at, self: a, use: endless, returning: true }), null);
+  assert.equal(nextShares({ ...at, self: a, use: unknownUse, returning: true }), null);
 });
 
-test('operators are told why a team is held back: tasks of unknown jobs, its limit, or its share', () => {
+test('operators see why work of a team is held back: tasks of unknown jobs, its limit, or its share', () => {
   const [a, b] = NAMES as [ShardName, ShardName];
   const waits = { ...NO_NEED, waiting: { cpus: 8, gpus: 0 }, unit: { cpus: 8, gpus: 0 } };
   const uses = (cpus: number): TeamNeed => ({ ...NO_NEED, use: { cpus, gpus: 0 } });
@@ -208,16 +208,20 @@
 
 const LIMIT_CPUS = 12;
 
+/** What one simulation run showed. */
 interface Run {
+  /** The largest use of all shards together. */
   readonly most: number;
   readonly writes: number;
   readonly shared: boolean;
-  readonly everywhere: number;
+  /** Number of shards that ran tasks of the team. */
+  readonly shardsUsed: number;
 }
 
-async function interleaved(seed: number, leftOut: OmittedSafeguard, steps = 500): Promise<Run> {
+/** Simulates controllers that share a limit, with a random order of events and optionally without one safeguard. */
+async function runInterleaved(seed: number, omitted: OmittedSafeguard, steps = 500): Promise<Run> {
   const luck = new Luck(seed, 'quotas');
-  const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, leftOut);
+  const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, omitted);
   const ran = new Set<ShardName>();
   let most = 0;
   for (let i = 0; i < steps; i++) {
@@ -225,32 +229,32 @@
     most = Math.max(most, world.used);
     for (const { name, use } of world.shards) if (use > 0) ran.add(name);
   }
-  return { most, writes: world.writes, shared: world.stored !== null, everywhere: ran.size };
+  return { most, writes: world.writes, shared: world.stored !== null, shardsUsed: ran.size };
 }
 
-test('model: under random interleavings of claims, late, lost and refused writes the limit is never exceeded', async () => {
-  let [shared, full, everywhere] = [0, 0, 0];
+test('model: the limit is never exceeded under random interleavings of claims and delayed, lost and refused writes', async () => {
+  let [shared, full, allShards] = [0, 0, 0];
   for (let seed = 1; seed <= 40; seed++) {
-    const run = await interleaved(seed, 'nothing');
+    const run = await runInterleaved(seed, 'nothing');
     assert.ok(run.most <= LIMIT_CPUS, `seed ${seed}: ${run.most} of ${LIMIT_CPUS}`);
     if (run.shared) shared += 1;
     if (run.most === LIMIT_CPUS) full += 1;
-    if (run.everywhere === 3) everywhere += 1;
+    if (run.shardsUsed === 3) allShards += 1;
   }
-  // The runs are no empty ones: limits were shared, reached, and used in every shard.
-  assert.ok(shared > 30 && full > 25 && everywhere > 25, `${shared} shared, ${full} full, ${everywhere} everywhere`);
+  // The runs cover what they should: limits were divided, reached, and used in every shard.
+  assert.ok(shared > 30 && full > 25 && allShards > 25, `${shared} shared, ${full} full, ${allShards} in all shards`);
 });
 
-test('model: each part of the argument that is left out is seen', async () => {
-  for (const leftOut of ['lower at once', 'settle', 'record guard', 'settled holders'] as const) {
+test('model: the limit is exceeded when any one safeguard is omitted', async () => {
+  for (const omitted of ['lower at once', 'settle', 'record guard', 'settled holders'] as const) {
     let seen = 0;
     for (let seed = 1; seed <= 1500 && seen === 0; seed++)
-      if ((await interleaved(seed, leftOut)).most > LIMIT_CPUS) seen += 1;
-    assert.ok(seen > 0, leftOut);
+      if ((await runInterleaved(seed, omitted)).most > LIMIT_CPUS) seen += 1;
+    assert.ok(seen > 0, omitted);
   }
 });
 
-test('model: a limit that is lowered below what is in use lets nothing start until it fits', async () => {
+test('model: after a limit is lowered below the current use, nothing starts until the use fits', async () => {
   for (let seed = 1; seed <= 10; seed++) {
     const luck = new Luck(seed, 'lowered');
     const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
@@ -267,7 +271,7 @@
   }
 });
 
-test('model: tasks that ran in several shards before limits were shared are counted before anything is given away', async () => {
+test('model: tasks that ran in several shards before limits were divided are counted before any share is given away', async () => {
   for (let seed = 1; seed <= 20; seed++) {
     const luck = new Luck(seed, 'accounts');
     const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
@@ -281,7 +285,7 @@
 
 const entryOf = (key: string, value: unknown): Entry => ({ key, value, version: revision(1) });
 
-test('fifty-two teams that all wait at once: changes stay within their part, and everybody has its share in the end', async () => {
+test('with 52 teams waiting at once, the rate of changes stays bounded and each team gets its share in the end', async () => {
   const [mine, other] = [shardName('s-0'), shardName('s-1')];
   const teams = new Map(
     Array.from({ length: 52 }, (_, i) => [`team ${i}`, { cpus: 0, cpusMax: 10, gpus: 0, gpusMax: 0 }] as const),
@@ -289,7 +293,7 @@
   const waits = { ...NO_NEED, waiting: { cpus: 4, gpus: 0 }, unit: { cpus: 1, gpus: 0 }, priority: 1, waitedMs: 500 };
   const stored = new Map<string, Entry>([mine, other].map((name) => [shardKey(name), entryOf(shardKey(name), {})]));
   stored.set(ROLLOUT_STATE, entryOf(ROLLOUT_STATE, {}));
-  const made: { readonly at: number; readonly ops: number }[] = [];
+  const transactions: { readonly at: number; readonly ops: number }[] = [];
   let now = 0;
   const shares: QuotaShares = new QuotaShares({
     teams,
@@ -299,8 +303,8 @@
       get: () => Promise.resolve({ kind: 'absent' }),
       txn: (_urgency, guards, ops) => {
         assert.ok(ops.length <= 5 && guards.length <= 20, `${ops.length} changes, ${guards.length} conditions`);
-        made.push({ at: now, ops: ops.length });
-        return Promise.resolve({ kind: 'ok', revision: revision(made.length) });
+        transactions.push({ at: now, ops: ops.length });
+        return Promise.resolve({ kind: 'ok', revision: revision(transactions.length) });
       },
     },
     mirror: {
@@ -315,7 +319,7 @@
     mode: () => 'shared',
     shards: () => [mine, other],
     sealed: () => new Map([mine, other].map((name) => [name, revision(1)])),
-    // This node holds both shards: what is account to one of them is asked for by the other.
+    // This node holds both shards: for each team, work waits in the shard that is not the account shard.
     holders: () =>
       [mine, other].map((shard) => ({
         ...{ shard, claimedAt: revision(1), settled: true },
@@ -329,8 +333,8 @@
     shares.round();
     await new Promise((resolve) => setImmediate(resolve));
   }
-  const changes = made.reduce((total, { ops }) => total + ops, 0);
-  // 12 % of 50 a second for two nodes, half of them this one's, and what it may save up.
+  const changes = transactions.reduce((total, { ops }) => total + ops, 0);
+  // 12 % of 50 writes per second, half of that for this one of two nodes: 3 per second for 30 s, and a burst of 6.
   assert.ok(changes <= 30 * 3 + 6, `${changes} changes`);
   for (const team of teams.keys()) {
     const asks = shares.account(team) === mine ? other : mine;
@@ -338,15 +342,15 @@
   }
 });
 
-test('records of shares: written and read back, unknown fields kept, and what cannot be read starts nothing', () => {
+test('quota records round-trip, keep unknown fields, and decode as foreign when unreadable', () => {
   const record: QuotaRecord = { shares: new Map([[shardName('a'), { cpus: 1.5, gpus: 2 }]]), rest: { later: 1 } };
   assert.deepEqual(decodeQuota(encodeQuota(record)), record);
   assert.equal(decodeQuota(undefined), null);
-  for (const odd of [7, {}, { v: 2, shares: {} }, { shares: { a: [1] } }, { shares: { a: [-1, 0] } }])
-    assert.equal(decodeQuota(odd), 'foreign', JSON.stringify(odd));
+  for (const unreadable of [7, {}, { v: 2, shares: {} }, { shares: { a: [1] } }, { shares: { a: [-1, 0] } }])
+    assert.equal(decodeQuota(unreadable), 'foreign', JSON.stringify(unreadable));
 });
 
-test('a sealed shard names its true holder only where releases with shares look', () => {
+test('a sealed shard hides its real holder from releases without quota shares', () => {
   const value: ShardValue = {
     ...{ holder: nodeName('n-1'), incarnation: incarnation('life'), released: true, next: nodeName('n-2') },
     earlier: [{ node: nodeName('n-0'), incarnation: incarnation('old') }],
@@ -355,7 +359,7 @@
   };
   const stored = encodeShard(value);
   assert.deepEqual(decodeShard(JSON.parse(JSON.stringify(stored))), value);
-  // The first release reads no version: to it somebody else holds the shard, who has not released it.
+  // The first release ignores the format version, and sees a shard that another node holds and has not released.
   assert.deepEqual([stored.holder, stored.released, stored['v']], [SEALED_HOLDER, false, 3]);
   const head = { ...value, epoch: 4, machines: [] };
   assert.deepEqual(decodeShard(JSON.parse(JSON.stringify(encodeShard(head)))), head);
@@ -364,7 +368,7 @@
   assert.deepEqual(decodeShard(JSON.parse(JSON.stringify(encodeShard(open)))), open);
 });
 
-test('what a holder says of limited teams: the frame is read back, and no frame of the oldest version has it', () => {
+test('quota messages round-trip, and the oldest protocol version has none', () => {
   const teams = [
     {
       team: 't',
@@ -384,7 +388,7 @@
   assert.equal(isKindOf('quota', 2), false);
 });
 
-test('a plan tells what lacks a share from what lacks room', () => {
+test('a plan tells tasks that lack a share from tasks that lack room', () => {
   const job = (id: string, cpus: number) => ({
     spec: spec({ id, team: 't', cpus, tasks: 4 }),
     ...{ ready: [0, 1, 2, 3], zoneUse: new Map(), machineUse: new Map(), avoid: new Set<never>() },
@@ -401,13 +405,13 @@
       ...{ machines: [machine], pending: [job('j-1', cpus)], maxStarts: 100, reserve: null },
       teams: new Map([['t', { ...team, ...more }]]),
     });
-  // Two tasks fit the share, and of the other two the machine has room for both.
+  // Two tasks fit the share, and the machine has room for the other two as well.
   const bound = plan(2);
   assert.deepEqual([bound.starts.length, bound.shareBound, bound.unplaced], [2, [{ job: 'j-1', count: 2 }], []]);
-  // A larger task finds no machine: it lacks room, whatever the share.
+  // A larger task fits no machine: it lacks room, whatever the share is.
   const roomless = plan(12);
   assert.deepEqual([roomless.starts.length, roomless.shareBound], [0, []]);
   assert.deepEqual(roomless.unplaced, [{ job: 'j-1', count: 4 }]);
-  // Nothing is left of the whole limit: no room is asked for.
+  // When nothing is left of the whole limit, no room is requested.
   assert.deepEqual(plan(12, { wholeLeft: { cpus: 0, gpus: Infinity } }).unplaced, []);
 });
--- a/test/standins/quotas.ts
+++ b/test/standins/quotas.ts
@@ -18,7 +18,7 @@
   type TxnResult,
 } from '../../src/state/index.js';
 
-/** Parts of the argument in docs/quota-design.md that a run may leave out, to see that they are needed. */
+/** Safeguards from docs/quota-design.md that a run may omit, to show that each is needed. */
 export type OmittedSafeguard = 'nothing' | 'lower at once' | 'settle' | 'record guard' | 'settled holders';
 
 export const TEAM = 'team';
@@ -26,13 +26,14 @@
 const MAX_DELAY_STEPS = 120;
 const SETTLE_STEPS = 25;
 
+/** One change in the store's log. */
 interface LoggedChange {
   readonly key: string;
   readonly value: unknown;
   readonly version: number;
 }
 
-/** The state service: keys with versions, and every change in order. */
+/** Simulated state service: keys with versions, and a log of all changes in order. */
 class Store {
   readonly keys = new Map<string, Entry>();
   readonly log: LoggedChange[] = [];
@@ -54,23 +55,23 @@
   }
 }
 
-/** A shard's truth: what of the team's may be on its machines, what waits there, and who holds it since when. */
+/** Actual state of a shard: the team's running and waiting tasks, and which node has held it since which revision. */
 interface Shard {
   readonly name: ShardName;
   use: number;
   waiting: number;
   holder: number;
   claimedAt: Revision;
-  /** What was on its machines is known to the holder from this step on. */
+  /** The step from which the holder knows what runs on the shard's machines. */
   settledAt: number;
 }
 
-/** One controller: the real division of quotas on a mirror that lags. */
+/** One controller: the real quota code on a mirror that lags behind the store. */
 class Node {
   readonly entries = new Map<string, Entry>();
   seen = 0;
   readonly shares: QuotaShares;
-  /** Shards that it believes to hold, though another may have claimed them. */
+  /** Shards that the node believes it holds; another may have claimed them since. */
   readonly held = new Set<Shard>();
 
   constructor(
@@ -79,7 +80,7 @@
   ) {
     this.shares = new QuotaShares(this.deps());
     if (world.omitted === 'lower at once') {
-      // What a write under way lowers counts only once it is done.
+      // A share that a write in flight lowers is lowered only once the write is done.
       (this.shares as unknown as { lowered: { set: () => void } }).lowered.set = () => undefined;
     }
   }
@@ -87,7 +88,7 @@
   take({ key, value, version }: LoggedChange): void {
     const known = this.entries.get(key);
     if (known && known.version >= version) return;
-    // Another has claimed a shard: whoever sees that holds it no more.
+    // A node that sees another node's claim of a shard no longer holds it.
     const holder = isObject(value) ? value['holder'] : undefined;
     for (const shard of this.held) if (shardKey(shard.name) === key && holder !== this.n) this.held.delete(shard);
     if (value === undefined) this.entries.delete(key);
@@ -150,13 +151,17 @@
   }
 }
 
-/** Holders that start and end tasks, claim each other's shards, and write late; the sum is to stay within the limit. */
+/**
+ * Simulates nodes that start and end tasks, claim each other's shards, and write with delays. The use of all shards
+ * together must stay within the limit.
+ */
 export class QuotaSimulation {
   step = 0;
   readonly store = new Store();
   readonly shards: Shard[];
   readonly nodes: Node[];
   teams: Map<string, { cpus: number; cpusMax: number; gpus: number; gpusMax: number }>;
+  /** Events that are due at a later step. */
   private readonly late: { readonly at: number; readonly run: () => void }[] = [];
   writes = 0;
 
@@ -187,38 +192,41 @@
     return this.shards.reduce((sum, { use }) => sum + use, 0);
   }
 
-  /** Everybody's limit is another from here on. */
+  /** Changes the limit for all nodes at once. */
   setLimit(limit: number): void {
     this.teams.set(TEAM, { cpus: 0, cpusMax: limit, gpus: 0, gpusMax: 0 });
   }
 
-  /** Of the transactions some are refused, some lose their answer, and some are carried out long after. */
+  /** Runs a transaction. Some are refused, some lose their response, and some are applied long after. */
   txn(guards: readonly Guard[], ops: readonly Op[]): Promise<TxnResult> {
     this.writes += 1;
     const checked = this.omitted === 'record guard' ? guards.filter(({ key }) => !key.startsWith(QUOTAS)) : guards;
-    const carryOut = (): TxnResult =>
+    const apply = (): TxnResult =>
       this.store.holds(checked) ? { kind: 'ok', revision: this.store.write(ops) } : { kind: 'conflict' };
     const drawn = this.random();
     if (drawn < 0.08) return Promise.resolve({ kind: 'refused' });
     if (drawn < 0.2) {
-      this.after(Math.floor(this.random() * MAX_DELAY_STEPS), () => void carryOut());
+      this.after(Math.floor(this.random() * MAX_DELAY_STEPS), () => void apply());
       return this.later(3, () => ({ kind: 'unknown' }));
     }
     if (drawn < 0.3) {
-      carryOut();
+      apply();
       return this.later(3, () => ({ kind: 'unknown' }));
     }
-    return this.later(Math.floor(this.random() * 3), carryOut);
+    return this.later(Math.floor(this.random() * 3), apply);
   }
 
+  /** Schedules `run` for `steps` steps from now. */
   private after(steps: number, run: () => void): void {
     this.late.push({ at: this.step + steps, run });
   }
 
+  /** Resolves with `result()` after `steps` steps. */
   private later<T>(steps: number, result: () => T): Promise<T> {
     return new Promise((resolve) => this.after(steps, () => resolve(result())));
   }
 
+  /** Rewrites a shard's record, so that delayed writes guarded by its old version fail. */
   settle(name: ShardName): Promise<void> {
     const key = shardKey(name);
     const entry = this.store.keys.get(key);
@@ -234,7 +242,7 @@
     return this.pick(this.nodes);
   }
 
-  /** One step: something happens, then what is due, then everybody who wants to start or end tasks does. */
+  /** One step: runs the events that are due, then one random event, then starts and ends tasks in all shards. */
   async tick(): Promise<void> {
     this.step += 1;
     for (const due of this.late.filter(({ at }) => at <= this.step)) {
@@ -250,11 +258,12 @@
       const shard = this.pick(this.shards);
       if (shard) shard.waiting = Math.floor(this.random() * this.limit);
     }
-    // Promises of this step settle before the next.
+    // Promises of this step settle before the next step.
     await new Promise((resolve) => setImmediate(resolve));
     this.work();
   }
 
+  /** Delivers up to `changes` changes of the store's log to a node. */
   private watch(node: Node, changes: number): void {
     for (let i = 0; i < changes; i++) {
       const logged = this.store.log[node.seen];
@@ -264,12 +273,15 @@
     }
   }
 
-  /** Another claims a shard: it has seen everything up to its claim, and what is on the machines only later. */
+  /**
+   * Lets a random node claim a random shard. It sees all changes up to its claim, but learns only later what runs
+   * there.
+   */
   private claim(): void {
     const shard = this.pick(this.shards);
     const node = this.node();
     if (!shard || !node || shard.holder === node.n) return;
-    // The one before goes on writing until its watch shows the claim.
+    // The previous holder goes on writing until its watch shows the claim.
     shard.claimedAt = this.store.write([{ put: shardKey(shard.name), value: { holder: node.n } }]);
     this.watch(node, this.store.log.length);
     shard.holder = node.n;
@@ -277,6 +289,7 @@
     node.held.add(shard);
   }
 
+  /** Ends and starts tasks at random, within the caps that the holders know. */
   private work(): void {
     for (const shard of this.shards) {
       const node = this.nodes[shard.holder];
@@ -289,12 +302,12 @@
     }
   }
 
-  /** The shares as they are stored; null: there are none. */
+  /** The stored quota record; null if there is none. */
   get stored(): unknown {
     return this.store.keys.get(`${QUOTAS}${TEAM}`)?.value ?? null;
   }
 
-  /** Limits have just been shared, everybody knows it, and tasks from before that run in several shards. */
+  /** Starts with tasks in several shards from before limits were divided; all nodes know that the mode is 'shared'. */
   startWithUse(uses: readonly number[]): void {
     for (const node of this.nodes) this.watch(node, this.store.log.length);
     uses.forEach((use, i) => {
