--- a/src/placement/begin.ts
+++ b/src/placement/begin.ts
@@ -18,7 +18,7 @@
   machines: readonly PlanMachine[],
   startedJobs: ReadonlySet<JobId>,
   withinLimit: (spec: JobSpec, count: number) => boolean,
-  charge: (spec: JobSpec) => void,
+  chargeTeam: (spec: JobSpec) => void,
   most: number,
 ): PlannedStart[] {
   const starts: PlannedStart[] = [];
@@ -39,7 +39,7 @@
     }
     if (!best) continue;
     allocate(spec, best);
-    charge(spec);
+    chargeTeam(spec);
     starts.push({ job: spec.id, index, machine: best.view.id });
   }
   return starts;
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -70,6 +70,7 @@
   /** Late replicas without room, which are placed on GPU machines at the end. */
   const left: LateReplicas[] = [];
 
+  /** Whether `count` more tasks fit in what the team may use here. */
   const withinLimit = (spec: JobSpec, count: number): boolean => {
     const team = teams.get(spec.team);
     if (!team) return true;
@@ -79,12 +80,13 @@
   /** Whether only a share of the team's limit may be used here. */
   const isShared = (spec: JobSpec): boolean => teams.get(spec.team)?.wholeLeft !== undefined;
   /** Whether the tasks fit in what is left of the team's whole limit, so that a larger share would let them start. */
-  const withinWhole = (spec: JobSpec, count: number): boolean => {
+  const withinWholeLimit = (spec: JobSpec, count: number): boolean => {
     const left = teams.get(spec.team)?.wholeLeft;
     if (!left) return withinLimit(spec, count);
     return spec.cpus * count <= left.cpus + EPSILON && spec.gpus * count <= left.gpus + EPSILON;
   };
-  const charge = (spec: JobSpec): void => {
+  /** Counts one started task against its team's limit. */
+  const chargeTeam = (spec: JobSpec): void => {
     const team = teams.get(spec.team);
     if (!team) return;
     team.cpus += spec.cpus;
@@ -107,7 +109,7 @@
         ? job.ready.length >= (smallestUnplaceableGang.get(kind) ?? Infinity)
         : unplaceableKinds.has(kind);
     if (isUnplaceable) {
-      if (withinWhole(spec, spec.kind === 'gang' ? job.ready.length : 1)) {
+      if (withinWholeLimit(spec, spec.kind === 'gang' ? job.ready.length : 1)) {
         unplaced.push({ job: spec.id, count: job.ready.length });
         if (hasLateReplicas(job)) left.push({ job, indices: job.ready });
       }
@@ -123,14 +125,14 @@
         if (!isShared(spec)) continue;
         const waits = { job: spec.id, count: job.ready.length };
         if (placeGang(job, candidates)) shareBound.push(waits);
-        else if (withinWhole(spec, job.ready.length)) unplaced.push(waits);
+        else if (withinWholeLimit(spec, job.ready.length)) unplaced.push(waits);
         continue;
       }
       const placed = placeGang(job, candidates);
       if (placed && starts.length + placed.length <= input.maxStarts) {
         for (const { index, machine } of placed) {
           allocate(spec, machine);
-          charge(spec);
+          chargeTeam(spec);
           starts.push({ job: spec.id, index, machine: machine.view.id });
         }
       } else if (job.suspect || !preemptForGang(job, candidates, stopped, stops)) {
@@ -162,7 +164,7 @@
         // For a service, tasks are preempted once its share allows a start, so all of its tasks count as having room.
         const slots = spec.kind === 'service' ? rest : countSlots(free, spec);
         if (slots > 0) shareBound.push({ job: spec.id, count: Math.min(rest, slots) });
-        else if (withinWhole(spec, 1)) unplaced.push({ job: spec.id, count: rest });
+        else if (withinWholeLimit(spec, 1)) unplaced.push({ job: spec.id, count: rest });
         break;
       }
       const best = scored.best();
@@ -173,7 +175,7 @@
       }
       const { zone, id } = best.view;
       allocate(spec, best);
-      charge(spec);
+      chargeTeam(spec);
       zoneUse.set(zone, (zoneUse.get(zone) ?? 0) + 1);
       machineUse.set(id, (machineUse.get(id) ?? 0) + 1);
       // Under a spread or one-zone constraint, a start can rule out other machines as well.
@@ -191,10 +193,10 @@
       if (missing - waiting > 0) unplaced.push({ job: spec.id, count: missing - waiting });
     }
   }
-  const lateStarts = placeOnGpuMachines(left, machines, input, withinLimit, charge);
+  const lateStarts = placeOnGpuMachines(left, machines, input, withinLimit, chargeTeam);
   const startedJobs = new Set(starts.map(({ job }) => job));
   const most = input.maxStarts - starts.length - lateStarts.length;
-  lateStarts.push(...planFirstTasks(input, machines, startedJobs, withinLimit, charge, most));
+  lateStarts.push(...planFirstTasks(input, machines, startedJobs, withinLimit, chargeTeam, most));
   starts.push(...lateStarts);
   const found = new Map<JobId, number>();
   for (const start of lateStarts) found.set(start.job, (found.get(start.job) ?? 0) + 1);
--- a/src/placement/preempt.ts
+++ b/src/placement/preempt.ts
@@ -41,7 +41,7 @@
   machines: readonly PlanMachine[],
   input: PlanInput,
   withinLimit: (spec: JobSpec, count: number) => boolean,
-  charge: (spec: JobSpec) => void,
+  chargeTeam: (spec: JobSpec) => void,
 ): PlannedStart[] {
   const starts: PlannedStart[] = [];
   for (const { job, indices } of left) {
@@ -58,7 +58,7 @@
       const best = withinLimit(spec, 1) ? scored.best() : undefined;
       if (!best) break;
       allocate(spec, best);
-      charge(spec);
+      chargeTeam(spec);
       scored.taken(best, noOtherMachine);
       starts.push({ job: spec.id, index, machine: best.view.id });
     }
--- a/src/placement/slack.ts
+++ b/src/placement/slack.ts
@@ -41,7 +41,8 @@
 
 /**
  * Seconds until the job misses its next and its last objective, by its deadline and the objectives of its class. A
- * deadline counts from the submission, `sinceS` seconds ago; objectives count from when the job could start.
+ * deadline counts from the submission, `sinceS` seconds ago; objectives count from when the job could start (see
+ * `from`). A deadline replaces the objectives unless `from.always` is set.
  */
 export function slackOf(
   spec: JobSpec,
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -39,11 +39,13 @@
 
 /** What {@link QuotaShares} needs from the rest of the program. */
 export interface QuotaDeps {
+  /** Teams by name, with their limits. */
   readonly teams: ReadonlyMap<string, TeamFacts>;
   readonly state: Pick<StateClient, 'txn' | 'get' | 'limits' | 'writers'>;
   readonly mirror: Pick<Mirror, 'get' | 'apply' | 'wrote'>;
   readonly runtime: Pick<Runtime, 'now'>;
   readonly log: Pick<Logger, 'info' | 'warn' | 'error'>;
+  /** Whether limits are divided now. */
   mode(): QuotaMode;
   /** All shards. */
   shards(): readonly ShardName[];
--- a/test/standins/quotas.ts
+++ b/test/standins/quotas.ts
@@ -18,7 +18,12 @@
   type TxnResult,
 } from '../../src/state/index.js';
 
-/** Safeguards from docs/quota-design.md that a run may omit, to show that each is needed. */
+/**
+ * Safeguards from docs/quota-design.md that a run may omit, to show that each is needed. 'lower at once': a share
+ * counts as lowered while the write that lowers it is in flight. 'settle': a shard's record is rewritten after a write
+ * with unknown outcome. 'record guard': writes are guarded by the version of the quota record. 'settled holders': only
+ * a holder that knows all tasks on its machines takes part.
+ */
 export type OmittedSafeguard = 'nothing' | 'lower at once' | 'settle' | 'record guard' | 'settled holders';
 
 export const TEAM = 'team';
@@ -85,7 +90,8 @@
     }
   }
 
-  take({ key, value, version }: LoggedChange): void {
+  /** Applies a change from the store to this node's mirror. */
+  applyChange({ key, value, version }: LoggedChange): void {
     const known = this.entries.get(key);
     if (known && known.version >= version) return;
     // A node that sees another node's claim of a shard no longer holds it.
@@ -110,10 +116,10 @@
       },
       mirror: {
         get: (key) => this.entries.get(key),
-        apply: ({ key, value, version }) => this.take({ key, value, version }),
+        apply: ({ key, value, version }) => this.applyChange({ key, value, version }),
         wrote: (ops, version) => {
           for (const op of ops)
-            this.take(
+            this.applyChange(
               'put' in op ? { key: op.put, value: op.value, version } : { key: op.remove, value: undefined, version },
             );
         },
@@ -269,7 +275,7 @@
       const logged = this.store.log[node.seen];
       if (!logged) return;
       node.seen += 1;
-      node.take(logged);
+      node.applyChange(logged);
     }
   }
 
