--- a/src/carry/bound.ts
+++ b/src/carry/bound.ts
@@ -1,54 +1,69 @@
 import { millis, withDrift, type Millis } from '../kernel/index.js';
 
-/** What the mirror of a peer that has the state service may lag behind, and what else lies between word and deed. */
-const MARGIN_MS = 5000;
-/** Between the last start and the last answer: a command that is on its way is executed, or void with its session. */
-const STARTS_END_EARLIER_MS = 4000;
+/** Covers the watch lag of a peer that can reach the state service, and the delay between a decision and its effect. */
+const PROPAGATION_MARGIN_MS = 5000;
+/**
+ * Task starts stop this long before answers to workers do: by then a start command in flight has been executed, or is void
+ * because its session has ended.
+ */
+const START_CUTOFF_LEAD_MS = 4000;
 
+/** Durations that limit how long a holder may continue after it has lost contact. */
 export interface BoundFacts {
-  /** Within so long after its user was told, nothing of a cancelled job may be on a machine. */
+  /** A cancelled job must be off all machines within this time after its user was told of the cancellation. */
   readonly cancelMs: number;
-  /** So long after its last answered report a worker has killed its tasks. */
+  /** A worker kills its tasks this long after its last answered report. */
   readonly leaseMs: number;
-  /** How long a node's key in the state service outlives its last renewal: nobody can claim its shards sooner. */
+  /** How long a node's key in the state service outlives its last renewal: nobody can claim the node's shards sooner. */
   readonly nodeLeaseMs: number;
 }
 
 /**
- * How long a holder that knows nothing any more may go on. Users are told of a cancellation only when the holder knows
- * of it, or when another has claimed its shard: so what a holder can't know of begins, at the earliest, when its lease
- * can have run out. From there a cancellation has `cancelMs`, of which the workers' leases need the last `leaseMs`.
+ * Returns how long a holder keeps answering workers after the last confirmation that it still owns its shards. A user is
+ * told of a cancellation only after the holder knows of it or another node has claimed the shard. A cancellation that the
+ * holder can't know of is therefore reported, at the earliest, when the holder's node lease may have expired. From then on
+ * it has to take effect within `cancelMs`, and the workers' leases need the last `leaseMs` of that time.
  */
-export function answersForMs({ cancelMs, leaseMs, nodeLeaseMs }: BoundFacts): number {
-  const least = nodeLeaseMs + withDrift(leaseMs) / 2;
-  return Math.max(least, nodeLeaseMs / 1.002 + cancelMs - withDrift(leaseMs) - MARGIN_MS);
+export function answerGraceMs({ cancelMs, leaseMs, nodeLeaseMs }: BoundFacts): number {
+  const minimumMs = nodeLeaseMs + withDrift(leaseMs) / 2;
+  return Math.max(minimumMs, nodeLeaseMs / 1.002 + cancelMs - withDrift(leaseMs) - PROPAGATION_MARGIN_MS);
 }
 
-export const startsForMs = (facts: BoundFacts): number => answersForMs(facts) - STARTS_END_EARLIER_MS;
+/** Returns how long a holder keeps starting tasks after the last confirmation that it still owns its shards. */
+export const startGraceMs = (timings: BoundFacts): number => answerGraceMs(timings) - START_CUTOFF_LEAD_MS;
 
-/** How long a machine is answered that still lists tasks of a job which its holder knows to be over. */
+/** Returns how long a machine is answered that still lists tasks of a job which its holder knows to have ended. */
 export const leftoverForMs = ({ cancelMs, leaseMs }: BoundFacts): number =>
-  Math.max(2000, (cancelMs - withDrift(leaseMs) - MARGIN_MS) / 2);
+  Math.max(2000, (cancelMs - withDrift(leaseMs) - PROPAGATION_MARGIN_MS) / 2);
 
 /**
- * Until when it is certain, or as good as, that nobody else holds this node's shards: its own lease was renewed, or a
- * majority of all controllers, this one counted, say that they know of no other holder. A majority without the state
- * service is an outage for all, for it refuses one node alone. Pure; `said` holds for each other controller the latest
- * moment, on this node's clock, at which it said so, or null. A lease that was renewed lasts for `nodeLeaseMs` from then
- * on, a word of others doesn't.
+ * Returns the latest time at which this node's ownership of its shards was confirmed. Either its own lease was renewed, or
+ * a majority of all controllers, this one included, report no other holder. The second case is nearly as certain as the
+ * first: the state service may refuse a single node, but if a majority can't reach it, it is down for every node, so nobody
+ * can claim the shards. Pure function. `confirmations` holds, for each other controller, the latest time on this node's
+ * clock at which it reported no other holder, or null. A renewed lease stays valid for `nodeLeaseMs` after the renewal; a
+ * confirmation by other controllers doesn't, so `nodeLeaseMs` is subtracted from its time.
  */
-export function reassuredAt(renewedAt: Millis, said: readonly (Millis | null)[], nodeLeaseMs: number): Millis {
-  const needed = Math.floor((said.length + 1) / 2);
+export function ownershipConfirmedAt(
+  renewedAt: Millis,
+  confirmations: readonly (Millis | null)[],
+  nodeLeaseMs: number,
+): Millis {
+  const needed = Math.floor((confirmations.length + 1) / 2);
   if (needed === 0) return millis(Number.POSITIVE_INFINITY);
-  const moments = said.filter((at) => at !== null).sort((a, b) => b - a);
-  const [agreed] = moments.slice(needed - 1);
-  return agreed === undefined ? renewedAt : millis(Math.max(renewedAt, agreed - nodeLeaseMs));
+  const newestFirst = confirmations.filter((at) => at !== null).sort((a, b) => b - a);
+  const [majorityConfirmedAt] = newestFirst.slice(needed - 1);
+  return majorityConfirmedAt === undefined ? renewedAt : millis(Math.max(renewedAt, majorityConfirmedAt - nodeLeaseMs));
 }
 
+/**
+ * What a holder still does: `all` means that it starts tasks and answers workers, `answers` that it only answers workers,
+ * and `nothing` that it does neither.
+ */
 export type Standing = 'all' | 'answers' | 'nothing';
 
-/** What a holder still does that was last reassured at some moment. */
-export function standingOf(now: Millis, reassured: Millis, facts: BoundFacts): Standing {
-  if (now - reassured > answersForMs(facts)) return 'nothing';
-  return now - reassured > startsForMs(facts) ? 'answers' : 'all';
+/** Returns what a holder whose ownership was last confirmed at `confirmedAt` still does at `now`. */
+export function holderModeAt(now: Millis, confirmedAt: Millis, timings: BoundFacts): Standing {
+  if (now - confirmedAt > answerGraceMs(timings)) return 'nothing';
+  return now - confirmedAt > startGraceMs(timings) ? 'answers' : 'all';
 }
--- a/src/carry/carrier.ts
+++ b/src/carry/carrier.ts
@@ -1,6 +1,6 @@
 import type { JobFinal } from '../jobs/index.js';
 import {
-  incarnation as life,
+  incarnation as toIncarnation,
   isObject,
   millis,
   type Incarnation,
@@ -16,24 +16,36 @@
 import type { PeerLink, PeerMessage, Word } from '../peers/index.js';
 import { CARRIED_CANCELLATIONS, decodeAnnouncement } from '../rollout/index.js';
 import { jobKey, nodeKey, seenKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
-import { answersForMs, reassuredAt, standingOf, type BoundFacts, type Standing } from './bound.js';
-import { missingFor, type HeldBy, type Lives, type Missing } from './missing.js';
+import { answerGraceMs, ownershipConfirmedAt, holderModeAt, type BoundFacts, type Standing } from './bound.js';
+import {
+  unacknowledgedHolders,
+  type ShardHolder,
+  type IncarnationQueries,
+  type UnacknowledgedHolder,
+} from './missing.js';
 
-/** So long a user's answer waits for the holders; then it is to come back, and the word goes on meanwhile. */
-const ANSWER_WITHIN_MS = 700;
-const WORD_EVERY_MS = 1000;
-/** Whoever hasn't echoed anything of ours for so long may not hear us. */
-const HEARS_US_MS = 2500;
-const SEEN_EVERY_MS = 1000;
-const MAX_OPEN = 4000;
-const AT_ONCE = 200;
-const MAX_CARRIED = 20_000;
+/** How long a user's request waits for acknowledgements. After that the user has to retry; notifying holders goes on. */
+const USER_ANSWER_TIMEOUT_MS = 700;
+/** Interval of the heartbeats (`word` frames) to the other controllers. */
+const HEARTBEAT_INTERVAL_MS = 1000;
+/** A peer that hasn't echoed any of our heartbeats for this long may not receive our frames. */
+const ECHO_TIMEOUT_MS = 2500;
+const SEEN_WRITE_INTERVAL_MS = 1000;
+/** Cancellations that are waiting for acknowledgements; beyond this number the oldest one is dropped. */
+const MAX_PENDING_CANCELLATIONS = 4000;
+/** Pending cancellations that are checked and resent in one round. */
+const MAX_RECHECKS_PER_ROUND = 200;
+/** Fully acknowledged cancellations that are remembered; beyond this number the oldest one is forgotten. */
+const MAX_ACKNOWLEDGED_JOBS = 20_000;
 const NEVER = millis(Number.NEGATIVE_INFINITY);
 
-export interface CarrierDeps {
+/** What the propagation of cancellations needs from the rest of the controller. */
+export interface CancellationPropagatorDeps {
   readonly self: NodeName;
   readonly incarnation: Incarnation;
+  /** All other controllers. */
   readonly others: readonly NodeName[];
+  /** Durations that limit how long an isolated holder continues. */
   readonly facts: BoundFacts;
   readonly runtime: Pick<Runtime, 'now' | 'after'>;
   readonly log: Pick<Logger, 'info' | 'warn'>;
@@ -41,307 +53,329 @@
   readonly mirror: Pick<Mirror, 'get' | 'apply' | 'reach' | 'seenUpTo' | 'loaded' | 'changes'>;
   readonly directory: Pick<ShardDirectory, 'all'>;
   readonly peers: Pick<PeerLink, 'send' | 'statusOf'>;
-  /** Do all controllers take part? */
+  /** Reports whether all controllers take part in acknowledged cancellations. */
   on(): boolean;
-  /** When this node's lease was last renewed while nobody could have claimed its shards. */
+  /** When this node's lease was last renewed at a time at which nobody could have claimed its shards. */
   renewedAt(): Millis;
-  /** The shards that this node holds, and at which revision each was claimed. */
+  /** The shards that this node holds, each with the revision of its claim. */
   held(): Iterable<readonly [ShardName, Revision]>;
-  /** Another has claimed a shard in this version. */
+  /** Called when another node has claimed a shard of this node; `version` is the revision of that claim. */
   ousted(shard: ShardName, version: number): void;
-  /** A job is known to be over, by its final. */
+  /** Called when a job is known to have ended, with its final record and the revision of that record. */
   over(id: JobId, final: JobFinal, version: Revision): void;
 }
 
-/** A final that holders are yet to be told of. */
-interface Open {
+/** A cancellation that not all holders have acknowledged yet. */
+interface PendingCancellation {
   readonly final: JobFinal;
   readonly version: Revision;
   readonly since: Millis;
+  /** Incarnations that have acknowledged it. */
   readonly acks: Set<Incarnation>;
+  /** Requests of users that wait for the result. */
   readonly waiters: Set<(carried: boolean) => void>;
 }
 
-interface Heard {
+/** The latest heartbeat stamp of a peer, on the peer's clock, and the incarnation that sent it. */
+interface PeerStamp {
   readonly incarnation: Incarnation;
   readonly stamp: number;
 }
 
 /**
- * Stored, then carried, then said: a cancellation is told to a user only once every holder knows of it, so that whatever
- * fails from then on, the state service included, the tasks end in time. And a holder that nobody reassures any more, so
- * that another may have its shards, falls silent in time. The argument: docs/cancel-design.md.
+ * Propagates job cancellations to the holders of all shards. A cancellation is stored first, then acknowledged by every
+ * holder, and only then confirmed to the user: whatever fails after that, the state service included, the tasks end in
+ * time. A holder whose ownership is no longer confirmed stops starting tasks and answering workers in time, because
+ * another node may then claim its shards. The proof is in docs/cancel-design.md.
  */
 export class Carrier {
-  private readonly open = new Map<JobId, Open>();
-  private readonly carriedOnes = new Set<JobId>();
-  private readonly stamps = new Map<NodeName, Heard>();
-  /** On this node's clock: when another said at the earliest that it knows of no other holder of our shards. */
-  private readonly agreed = new Map<NodeName, Millis>();
-  /** On this node's clock: the latest of our words that another has had. */
-  private readonly echoed = new Map<NodeName, Millis>();
-  private agreement = NEVER;
-  private wordsAt = NEVER;
-  private seenAt = NEVER;
-  private lastEnd = 0;
-  private stood: Standing = 'all';
+  private readonly pending = new Map<JobId, PendingCancellation>();
+  private readonly acknowledgedJobs = new Set<JobId>();
+  private readonly peerStamps = new Map<NodeName, PeerStamp>();
+  /** When each peer at the earliest confirmed that it knows of no other holder of our shards, on this node's clock. */
+  private readonly confirmedByPeerAt = new Map<NodeName, Millis>();
+  /** Send time of the latest of our heartbeats that each peer is known to have received, on this node's clock. */
+  private readonly echoedByPeerAt = new Map<NodeName, Millis>();
+  /** When a majority last confirmed this node's ownership, already reduced by the node lease. */
+  private confirmedByMajorityAt = NEVER;
+  private heartbeatsSentAt = NEVER;
+  private seenWrittenAt = NEVER;
+  /** Highest revision at which the mirror has shown the removal of a job's key. */
+  private lastJobEndRevision = 0;
+  private loggedMode: Standing = 'all';
 
-  constructor(private readonly deps: CarrierDeps) {
+  constructor(private readonly deps: CancellationPropagatorDeps) {
     deps.mirror.changes.subscribe(({ key, removed, version }) => {
-      if (removed && key.startsWith(jobKey('' as JobId))) this.lastEnd = Math.max(this.lastEnd, version);
+      if (removed && key.startsWith(jobKey('' as JobId)))
+        this.lastJobEndRevision = Math.max(this.lastJobEndRevision, version);
     });
   }
 
-  // ---- who tells
+  // ---- sending cancellations
 
-  /** May a user be told that the job is cancelled? Waits a moment for the holders' word. */
+  /**
+   * Resolves to true when the user may be told that the job is cancelled: every holder has acknowledged it, or doesn't need
+   * to. Resolves to false when that takes longer than the timeout for the user's answer.
+   */
   async carried(job: JobId, final: JobFinal, version: Revision): Promise<boolean> {
-    if (this.carriedOnes.has(job)) return true;
+    if (this.acknowledgedJobs.has(job)) return true;
     const { deps } = this;
-    let open = this.open.get(job);
-    if (!open) {
+    let pending = this.pending.get(job);
+    if (!pending) {
       deps.mirror.apply({ key: jobKey(job), value: undefined, removed: true, version });
-      open = { final, version, since: deps.runtime.now(), acks: new Set(), waiters: new Set() };
-      this.keep(job, open);
-      this.tell(job, open, deps.others);
+      pending = { final, version, since: deps.runtime.now(), acks: new Set(), waiters: new Set() };
+      this.addPending(job, pending);
+      this.notify(job, pending, deps.others);
     }
     if (!deps.on()) {
-      // As it was before: those who hear it act on it at once, and nobody waits.
-      this.settle(job, open, true);
+      // Not every controller takes part yet: each one acts on the frame when it arrives, and nobody waits for acknowledgements.
+      this.resolvePending(job, pending, true);
       return true;
     }
-    void deps.mirror.reach(version, ANSWER_WITHIN_MS).then(() => this.check(job));
+    void deps.mirror.reach(version, USER_ANSWER_TIMEOUT_MS).then(() => this.checkPending(job));
     return new Promise((resolve) => {
-      const waiter = (carried: boolean): void => {
+      const waiter = (acknowledged: boolean): void => {
         timer.cancel();
-        open.waiters.delete(waiter);
-        resolve(carried);
+        pending.waiters.delete(waiter);
+        resolve(acknowledged);
       };
-      const timer = deps.runtime.after(ANSWER_WITHIN_MS, () => waiter(false));
-      open.waiters.add(waiter);
-      this.check(job);
+      const timer = deps.runtime.after(USER_ANSWER_TIMEOUT_MS, () => waiter(false));
+      pending.waiters.add(waiter);
+      this.checkPending(job);
     });
   }
 
-  private keep(job: JobId, open: Open): void {
-    const [oldest] = this.open;
-    if (this.open.size >= MAX_OPEN && oldest) this.settle(...oldest, false);
-    this.open.set(job, open);
+  private addPending(job: JobId, pending: PendingCancellation): void {
+    const [oldest] = this.pending;
+    if (this.pending.size >= MAX_PENDING_CANCELLATIONS && oldest) this.resolvePending(...oldest, false);
+    this.pending.set(job, pending);
   }
 
-  private settle(job: JobId, open: Open, carried: boolean): void {
-    this.open.delete(job);
-    if (carried) {
-      const [oldest] = this.carriedOnes;
-      if (this.carriedOnes.size >= MAX_CARRIED && oldest !== undefined) this.carriedOnes.delete(oldest);
-      this.carriedOnes.add(job);
+  private resolvePending(job: JobId, pending: PendingCancellation, acknowledged: boolean): void {
+    this.pending.delete(job);
+    if (acknowledged) {
+      const [oldest] = this.acknowledgedJobs;
+      if (this.acknowledgedJobs.size >= MAX_ACKNOWLEDGED_JOBS && oldest !== undefined)
+        this.acknowledgedJobs.delete(oldest);
+      this.acknowledgedJobs.add(job);
     }
-    for (const waiter of [...open.waiters]) waiter(carried);
+    for (const waiter of [...pending.waiters]) waiter(acknowledged);
   }
 
-  /** Who may still run tasks of it unknowingly, as of a moment after it was stored; nobody: it is carried. */
-  private check(job: JobId): readonly Missing[] {
-    const open = this.open.get(job);
-    if (!open || this.deps.mirror.seenUpTo < open.version) return [];
-    const missing = missingFor(this.shards(), this.lives(open));
-    if (missing.length === 0) this.settle(job, open, true);
-    return missing;
+  /**
+   * Returns the holders that may still run tasks of the job without knowing of its end, as of a time after the end was
+   * stored. Resolves the cancellation if there are none.
+   */
+  private checkPending(job: JobId): readonly UnacknowledgedHolder[] {
+    const pending = this.pending.get(job);
+    if (!pending || this.deps.mirror.seenUpTo < pending.version) return [];
+    const unacknowledged = unacknowledgedHolders(this.shardHolders(), this.incarnationQueries(pending));
+    if (unacknowledged.length === 0) this.resolvePending(job, pending, true);
+    return unacknowledged;
   }
 
-  private *shards(): Iterable<HeldBy> {
+  private *shardHolders(): Iterable<ShardHolder> {
     for (const [shard, { value }] of this.deps.directory.all) {
       const { holder, incarnation, released } = value;
       yield { shard, holder, incarnation, released };
     }
   }
 
-  private lives({ acks, version }: Pick<Open, 'acks' | 'version'>): Lives {
+  private incarnationQueries({ acks, version }: Pick<PendingCancellation, 'acks' | 'version'>): IncarnationQueries {
     const { self, mirror } = this.deps;
     return {
       self,
-      acknowledges: (node, of) => this.acknowledges(node, of),
-      hasAcknowledged: (_node, of) => acks.has(of),
-      hasSeen: (node, of) => {
+      mayAcknowledge: (node, incarnation) => this.mayAcknowledge(node, incarnation),
+      hasAcknowledged: (_node, incarnation) => acks.has(incarnation),
+      watchHasReached: (node, incarnation) => {
         const value = mirror.get(seenKey(node))?.value;
-        return isObject(value) && value['incarnation'] === of && Number(value['upTo']) >= version;
+        return isObject(value) && value['incarnation'] === incarnation && Number(value['upTo']) >= version;
       },
-      hasEnded: (node, of) => {
-        const known = decodeAnnouncement(mirror.get(nodeKey(node))?.value);
-        return known !== null && known.incarnation !== of;
+      hasEnded: (node, incarnation) => {
+        const announced = decodeAnnouncement(mirror.get(nodeKey(node))?.value);
+        return announced !== null && announced.incarnation !== incarnation;
       },
     };
   }
 
-  /** Unknown counts as yes: its shard is claimed in time, or it speaks again. */
-  private acknowledges(node: NodeName, of: Incarnation): boolean {
-    const known = decodeAnnouncement(this.deps.mirror.get(nodeKey(node))?.value);
-    if (known?.incarnation === of) return known.features.includes(CARRIED_CANCELLATIONS);
-    const said = this.deps.peers.statusOf(node, Number.POSITIVE_INFINITY);
-    return said?.incarnation !== of || said.features.includes(CARRIED_CANCELLATIONS);
+  /**
+   * Reports whether an incarnation may acknowledge cancellations. An unknown incarnation counts as one that does: either
+   * its shard is claimed by another node in time, or it is heard again.
+   */
+  private mayAcknowledge(node: NodeName, incarnation: Incarnation): boolean {
+    const announced = decodeAnnouncement(this.deps.mirror.get(nodeKey(node))?.value);
+    if (announced?.incarnation === incarnation) return announced.features.includes(CARRIED_CANCELLATIONS);
+    const status = this.deps.peers.statusOf(node, Number.POSITIVE_INFINITY);
+    return status?.incarnation !== incarnation || status.features.includes(CARRIED_CANCELLATIONS);
   }
 
-  private tell(job: JobId, { final, version }: Open, nodes: Iterable<NodeName>): void {
+  private notify(job: JobId, { final, version }: PendingCancellation, nodes: Iterable<NodeName>): void {
     const { done, at } = final;
     const { peers } = this.deps;
     for (const node of nodes) {
-      if (this.takesPart(node)) peers.send(node, { kind: 'withdrawn', job, done, at, version });
+      if (this.acknowledgesCancellations(node)) peers.send(node, { kind: 'withdrawn', job, done, at, version });
       else peers.send(node, { kind: 'cancelled', job });
     }
   }
 
-  private takesPart(node: NodeName): boolean {
+  /** Reports whether a peer that was heard recently supports acknowledged cancellations. */
+  private acknowledgesCancellations(node: NodeName): boolean {
     return this.deps.peers.statusOf(node)?.features.includes(CARRIED_CANCELLATIONS) === true;
   }
 
-  // ---- who is told
+  // ---- receiving frames
 
-  /** One of the frames of this slice. */
+  /** Handles the frames of this module: `withdrawn` (a cancellation), `heard` (its acknowledgement), `word` (a heartbeat). */
   onPeer(from: NodeName, message: PeerMessage): void {
     switch (message.kind) {
       case 'withdrawn': {
         const { job, done, at, version } = message;
         this.deps.over(job, { phase: 'cancelled', done, at }, version);
-        // From here on nothing of it starts here, and what runs of it is being stopped.
+        // From here on this node starts no task of the job and stops those that run.
         this.deps.mirror.apply({ key: jobKey(job), value: undefined, removed: true, version });
         this.deps.peers.send(from, { kind: 'heard', job, incarnation: this.deps.incarnation });
         break;
       }
       case 'heard':
-        this.open.get(message.job)?.acks.add(message.incarnation);
-        this.check(message.job);
+        this.pending.get(message.job)?.acks.add(message.incarnation);
+        this.checkPending(message.job);
         break;
       case 'word':
-        this.onWord(from, message);
+        this.onHeartbeat(from, message);
         break;
       default:
         break;
     }
   }
 
-  private onWord(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: Word): void {
-    const before = this.stamps.get(from);
-    if (before?.incarnation !== incarnation || before.stamp < stamp) this.stamps.set(from, { incarnation, stamp });
+  private onHeartbeat(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: Word): void {
+    const known = this.peerStamps.get(from);
+    if (known?.incarnation !== incarnation || known.stamp < stamp) this.peerStamps.set(from, { incarnation, stamp });
     const { self, incarnation: own } = this.deps;
     if (echo < 0 || echoOf !== own) return;
-    // It was said after it had our word, which left here at `echo`: however late it comes, it is no newer than that.
-    const at = millis(Math.min(echo, this.deps.runtime.now()));
-    if (at > (this.echoed.get(from) ?? NEVER)) this.echoed.set(from, at);
-    let agrees = true;
+    // The peer sent this after it had received our heartbeat, which was sent at `echo`: however late this frame arrives,
+    // what it says holds at least as of that time and is treated as no newer.
+    const sentAt = millis(Math.min(echo, this.deps.runtime.now()));
+    if (sentAt > (this.echoedByPeerAt.get(from) ?? NEVER)) this.echoedByPeerAt.set(from, sentAt);
+    let confirms = true;
     for (const [shard, claimedAt] of [...this.deps.held()]) {
-      const seen = shards.find((other) => other.shard === shard);
-      const ours = seen?.holder === self && seen.incarnation === own;
-      if (!ours) agrees = false;
-      if (seen && !ours && seen.version > claimedAt) this.deps.ousted(shard, seen.version);
+      const reported = shards.find((other) => other.shard === shard);
+      const ours = reported?.holder === self && reported.incarnation === own;
+      if (!ours) confirms = false;
+      if (reported && !ours && reported.version > claimedAt) this.deps.ousted(shard, reported.version);
     }
-    if (agrees) this.agree(from, at);
+    if (confirms) this.confirm(from, sentAt);
   }
 
-  private agree(node: NodeName, at: Millis): void {
-    if (at <= (this.agreed.get(node) ?? NEVER)) return;
-    this.agreed.set(node, at);
-    const said = this.deps.others.map((other) => this.agreed.get(other) ?? null);
-    this.agreement = reassuredAt(NEVER, said, this.deps.facts.nodeLeaseMs);
+  private confirm(node: NodeName, at: Millis): void {
+    if (at <= (this.confirmedByPeerAt.get(node) ?? NEVER)) return;
+    this.confirmedByPeerAt.set(node, at);
+    const confirmations = this.deps.others.map((other) => this.confirmedByPeerAt.get(other) ?? null);
+    this.confirmedByMajorityAt = ownershipConfirmedAt(NEVER, confirmations, this.deps.facts.nodeLeaseMs);
   }
 
-  // ---- how long a holder goes on that knows nothing
+  // ---- isolation of this holder
 
   /** What this node may still do as a holder. */
   get standing(): Standing {
     const { deps } = this;
     if (deps.others.length === 0 || !deps.on()) return 'all';
-    return standingOf(deps.runtime.now(), this.reassured, deps.facts);
+    return holderModeAt(deps.runtime.now(), this.ownershipConfirmedAt, deps.facts);
   }
 
-  private get reassured(): Millis {
-    return millis(Math.max(this.deps.renewedAt(), this.agreement));
+  private get ownershipConfirmedAt(): Millis {
+    return millis(Math.max(this.deps.renewedAt(), this.confirmedByMajorityAt));
   }
 
-  // ---- again and again
+  // ---- periodic work
 
-  /** One round. */
+  /** Runs one round: resends unacknowledged cancellations, sends heartbeats and records the revision that was seen. */
   async round(): Promise<void> {
     const { deps } = this;
     const now = deps.runtime.now();
-    this.note(now);
-    // A few at a time, those that were looked at longest ago: what is owed grows with an outage.
-    for (const [job, open] of [...this.open].slice(0, AT_ONCE)) {
-      const missing = this.check(job);
-      if (!this.open.delete(job)) continue;
-      this.open.set(job, open);
-      // Once more, to those who haven't answered: a frame, a connection or a life may have been lost.
-      this.tell(job, open, new Set(missing.map(({ node }) => node)));
+    this.logModeChange(now);
+    // A limited number per round, least recently checked first: the backlog grows during an outage.
+    for (const [job, pending] of [...this.pending].slice(0, MAX_RECHECKS_PER_ROUND)) {
+      const unacknowledged = this.checkPending(job);
+      if (!this.pending.delete(job)) continue;
+      this.pending.set(job, pending);
+      // Sent again to those who haven't acknowledged: a frame, a connection or the peer's process may have been lost.
+      this.notify(job, pending, new Set(unacknowledged.map(({ node }) => node)));
     }
-    if (now - this.wordsAt >= WORD_EVERY_MS) {
-      this.wordsAt = now;
-      this.sendWords(now);
+    if (now - this.heartbeatsSentAt >= HEARTBEAT_INTERVAL_MS) {
+      this.heartbeatsSentAt = now;
+      this.sendHeartbeats(now);
     }
-    await this.writeSeen(now);
+    await this.writeSeenRevision(now);
   }
 
-  private sendWords(now: Millis): void {
+  private sendHeartbeats(now: Millis): void {
     const { deps } = this;
     const shards = [...deps.directory.all].map(([shard, { value, version }]) => {
       const { holder, incarnation, released } = value;
-      return { shard, version, holder, incarnation: released ? life('') : incarnation };
+      return { shard, version, holder, incarnation: released ? toIncarnation('') : incarnation };
     });
     for (const node of deps.others) {
-      if (!this.takesPart(node)) {
-        // An earlier release says nothing of shards: that it is heard has to do.
-        const heard = deps.peers.statusOf(node);
-        if (heard) this.agree(node, heard.heardAt);
+      if (!this.acknowledgesCancellations(node)) {
+        // An earlier release doesn't report shards: hearing from it has to be enough of a confirmation.
+        const status = deps.peers.statusOf(node);
+        if (status) this.confirm(node, status.heardAt);
         continue;
       }
-      const { stamp = -1, incarnation = life('') } = this.stamps.get(node) ?? {};
-      const said = { incarnation: deps.incarnation, stamp: now, echo: stamp, echoOf: incarnation, shards };
-      deps.peers.send(node, { kind: 'word', ...said });
+      const { stamp = -1, incarnation = toIncarnation('') } = this.peerStamps.get(node) ?? {};
+      const heartbeat = { incarnation: deps.incarnation, stamp: now, echo: stamp, echoOf: incarnation, shards };
+      deps.peers.send(node, { kind: 'word', ...heartbeat });
     }
   }
 
-  /** Where a peer may not hear us, the state service tells it up to where we have seen the ends of jobs. */
-  private async writeSeen(now: Millis): Promise<void> {
+  /**
+   * Records in the state service up to which revision this node has seen the ends of jobs, if some peer may not receive our
+   * frames. The peer reads it there instead of an acknowledgement.
+   */
+  private async writeSeenRevision(now: Millis): Promise<void> {
     const { deps } = this;
     const key = seenKey(deps.self);
-    if (!deps.on() || now - this.seenAt < SEEN_EVERY_MS || !deps.mirror.loaded) return;
-    const deaf = deps.others.some(
-      (node) => deps.mirror.get(nodeKey(node)) && now - (this.echoed.get(node) ?? NEVER) > HEARS_US_MS,
+    if (!deps.on() || now - this.seenWrittenAt < SEEN_WRITE_INTERVAL_MS || !deps.mirror.loaded) return;
+    const somePeerUnreachable = deps.others.some(
+      (node) => deps.mirror.get(nodeKey(node)) && now - (this.echoedByPeerAt.get(node) ?? NEVER) > ECHO_TIMEOUT_MS,
     );
-    if (!deaf) return;
+    if (!somePeerUnreachable) return;
     const stored = deps.mirror.get(key);
-    const said = isObject(stored?.value) && stored.value['incarnation'] === deps.incarnation ? stored.value : {};
-    if (Number(said['upTo'] ?? 0) >= this.lastEnd) return;
-    this.seenAt = now;
+    const previous = isObject(stored?.value) && stored.value['incarnation'] === deps.incarnation ? stored.value : {};
+    if (Number(previous['upTo'] ?? 0) >= this.lastJobEndRevision) return;
+    this.seenWrittenAt = now;
     const value = { incarnation: deps.incarnation, upTo: deps.mirror.seenUpTo };
     const guards = [{ key, version: stored?.version ?? 0 }];
     const result = await deps.state.txn(Urgency.final, guards, [{ put: key, value }]);
     if (result.kind === 'ok') deps.mirror.apply({ key, value, removed: false, version: result.revision });
   }
 
-  private note(now: Millis): void {
+  private logModeChange(now: Millis): void {
     const { standing } = this;
-    if (standing === this.stood) return;
-    const silentMs = Math.round(now - this.reassured);
+    if (standing === this.loggedMode) return;
+    const silentMs = Math.round(now - this.ownershipConfirmedAt);
     const text = {
       all: 'this holder is reassured again: it starts and answers',
       answers: 'neither the state service nor enough controllers are heard: this holder starts nothing',
       nothing: 'neither the state service nor enough controllers are heard: this holder answers no worker',
     };
     this.deps.log[standing === 'all' ? 'info' : 'warn']({ silentMs }, text[standing]);
-    this.stood = standing;
+    this.loggedMode = standing;
   }
 
-  /** For operators. */
+  /** Status for operators. */
   get status(): unknown {
     const now = this.deps.runtime.now();
-    const waits = [...this.open.values()].map(({ since }) => now - since);
-    const reassured = Math.max(0, now - this.reassured);
+    const waitsMs = [...this.pending.values()].map(({ since }) => now - since);
+    const sinceConfirmedMs = Math.max(0, now - this.ownershipConfirmedAt);
     return {
       standing: this.standing,
-      reassuredSAgo: Number.isFinite(reassured) ? Math.round(reassured / 100) / 10 : null,
-      answersForS: Number.isFinite(reassured)
-        ? Math.max(0, Math.round((answersForMs(this.deps.facts) - reassured) / 100) / 10)
+      reassuredSAgo: Number.isFinite(sinceConfirmedMs) ? Math.round(sinceConfirmedMs / 100) / 10 : null,
+      answersForS: Number.isFinite(sinceConfirmedMs)
+        ? Math.max(0, Math.round((answerGraceMs(this.deps.facts) - sinceConfirmedMs) / 100) / 10)
         : null,
-      notYetHeard: this.open.size,
-      oldestS: Math.round(Math.max(0, ...waits) / 100) / 10,
+      notYetHeard: this.pending.size,
+      oldestS: Math.round(Math.max(0, ...waitsMs) / 100) / 10,
     };
   }
 }
--- a/src/carry/missing.ts
+++ b/src/carry/missing.ts
@@ -1,43 +1,55 @@
 import type { Incarnation, NodeName, ShardName } from '../kernel/index.js';
 
-/** A shard as it stands in what is stored, as of a moment at or after the final that is to be carried. */
-export interface HeldBy {
+/**
+ * The stored holder of a shard. It is read from a mirror that has reached at least the revision of the job's final record
+ * that is being propagated.
+ */
+export interface ShardHolder {
   readonly shard: ShardName;
+  /** The node that holds the shard. */
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
+  /** True once the holder has released the shard: nobody holds it then. */
   readonly released: boolean;
 }
 
-/** What is known of other lives, by whoever asks. */
-export interface Lives {
+/** What the caller knows about incarnations (process lifetimes) of other nodes. */
+export interface IncarnationQueries {
   readonly self: NodeName;
-  /** Does that node's program acknowledge at all? An earlier release may be back at any time: it is only told. */
-  acknowledges(node: NodeName, life: Incarnation): boolean;
-  /** A life of that node which has itself said that it knows of the end. */
-  hasAcknowledged(node: NodeName, life: Incarnation): boolean;
-  /** The state service shows that this life's watch has come up to the final. */
-  hasSeen(node: NodeName, life: Incarnation): boolean;
-  /** The state service shows a later life of that node: the earlier one has ended, and answers nobody. */
-  hasEnded(node: NodeName, life: Incarnation): boolean;
+  /**
+   * Reports whether the node's program may acknowledge cancellations. An earlier release may come back at any time, so it
+   * is only notified and never waited for.
+   */
+  mayAcknowledge(node: NodeName, incarnation: Incarnation): boolean;
+  /** Reports whether this incarnation of the node has itself acknowledged the end of the job. */
+  hasAcknowledged(node: NodeName, incarnation: Incarnation): boolean;
+  /** Reports whether the state service shows that this incarnation's watch has reached the job's final record. */
+  watchHasReached(node: NodeName, incarnation: Incarnation): boolean;
+  /** Reports whether the state service shows a later incarnation of the node: the earlier one is over and never answers. */
+  hasEnded(node: NodeName, incarnation: Incarnation): boolean;
 }
 
-/** Somebody who may still run tasks of a job without knowing that it is over. */
-export interface Missing {
+/** A holder that may still run tasks of a job without knowing that the job has ended. */
+export interface UnacknowledgedHolder {
   readonly shard: ShardName;
   readonly node: NodeName;
 }
 
 /**
- * Who may still run a job's tasks without knowing of its end. Pure. A shard that is released has no holder, and this
- * node's own shards need no word. That a holder's lease has run out proves nothing: it goes on until another has claimed.
+ * Returns the holders that may still run a job's tasks without knowing that it has ended. Pure function. A released shard
+ * has no holder, and this node needs no acknowledgement for its own shards. An expired lease doesn't prove that a holder
+ * has stopped: it continues until another node has claimed the shard.
  */
-export function missingFor(shards: Iterable<HeldBy>, lives: Lives): Missing[] {
-  const missing: Missing[] = [];
+export function unacknowledgedHolders(
+  shards: Iterable<ShardHolder>,
+  queries: IncarnationQueries,
+): UnacknowledgedHolder[] {
+  const unacknowledged: UnacknowledgedHolder[] = [];
   for (const { shard, holder, incarnation, released } of shards) {
-    if (released || holder === lives.self || !lives.acknowledges(holder, incarnation)) continue;
-    if (lives.hasAcknowledged(holder, incarnation) || lives.hasSeen(holder, incarnation)) continue;
-    if (lives.hasEnded(holder, incarnation)) continue;
-    missing.push({ shard, node: holder });
+    if (released || holder === queries.self || !queries.mayAcknowledge(holder, incarnation)) continue;
+    if (queries.hasAcknowledged(holder, incarnation) || queries.watchHasReached(holder, incarnation)) continue;
+    if (queries.hasEnded(holder, incarnation)) continue;
+    unacknowledged.push({ shard, node: holder });
   }
-  return missing;
+  return unacknowledged;
 }
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -3,55 +3,59 @@
 import { decodePage, parsePageKey, type KnownShard, type Page } from './pages.js';
 import { decodeShard, type ShardValue } from './shard.js';
 
-interface Kept {
+/** A shard's record as decoded at one version. */
+interface DecodedRecord {
   readonly version: Revision;
-  /** null: it can't be read here. */
+  /** null if this program can't read the record. */
   readonly value: ShardValue | null;
 }
 
 /**
- * All shards as the mirror has them: records, or heads with the pages of their epoch. Each value is decoded once for
- * each of its versions: they hold hundreds of machines, and every misdirected report asks whose its machine is.
+ * All shards as the mirror has them: either a record with its machines, or a head with the pages of its epoch. Each value is
+ * decoded once per version, because it holds hundreds of machines and every misdirected report looks up which shard its
+ * machine belongs to.
  */
 export class ShardDirectory {
-  private readonly records = new Map<ShardName, Kept>();
-  /** By shard and key; those of other epochs, too: they may be staged for the next one. */
+  private readonly records = new Map<ShardName, DecodedRecord>();
+  /** By shard and key. Pages of other epochs are included: they may be staged for the next epoch. */
   private readonly pages = new Map<ShardName, Map<string, Page | null>>();
   private readonly pageVersions = new Map<string, Revision>();
   private readonly shards = new Map<ShardName, KnownShard>();
   /**
-   * Blocks that name a machine, the one that came last behind. For a moment that may be two: the mirror has the block
-   * that it moved to and not yet the one that it left. Found by the plain model: with one name kept for each machine,
-   * the older block's change then took it out of both, and it was leased a second time.
+   * The blocks that name a machine, the latest one last. There may be two for a moment, when the mirror has the block that
+   * the machine moved to and not yet the change of the block that it left. A single name per machine isn't enough: the
+   * later change of the old block then removed the machine from both, and it was leased a second time.
    */
-  private readonly placed = new Map<MachineId, readonly ShardName[]>();
-  private readonly closed = new Map<ShardName, Revision>();
+  private readonly shardsByMachine = new Map<MachineId, readonly ShardName[]>();
+  private readonly unreadableRecords = new Map<ShardName, Revision>();
   private generation = '';
-  private latest = 0;
+  private latestVersion = 0;
 
   constructor(private readonly mirror: Mirror) {}
 
+  /** All shards whose record and pages this program can read. */
   get all(): ReadonlyMap<ShardName, KnownShard> {
-    this.follow();
+    this.refresh();
     return this.shards;
   }
 
-  /** All pages of a shard, of whatever epoch. */
+  /** All pages of a shard, whatever their epoch; null for a page that this program can't read. */
   pagesOf(shard: ShardName): ReadonlyMap<string, Page | null> {
-    this.follow();
+    this.refresh();
     return this.pages.get(shard) ?? new Map();
   }
 
   /**
-   * The newest change of any block that is known here. Once the watch has come up to it, all blocks together are as
-   * they stood at one moment: before that, a machine that has moved may seem to be nowhere.
+   * The revision of the newest change to any block in the mirror. Once the watch has reached it, all blocks together are a
+   * consistent snapshot. Before that, a machine that has moved may seem to be in no block.
    */
   get newest(): Revision {
-    this.follow();
-    return this.latest as Revision;
+    this.refresh();
+    return this.latestVersion as Revision;
   }
 
-  private follow(): void {
+  /** Decodes the records and pages that have changed in the mirror since the last call. */
+  private refresh(): void {
     const generation = `${this.mirror.generationOf(SHARDS)} ${this.mirror.generationOf(PAGES)}`;
     if (generation === this.generation) return;
     this.generation = generation;
@@ -60,29 +64,30 @@
       const name = key.slice(SHARDS.length) as ShardName;
       if (this.records.get(name)?.version === version) continue;
       this.records.set(name, { version, value: decodeShard(value) });
-      this.latest = Math.max(this.latest, version);
+      this.latestVersion = Math.max(this.latestVersion, version);
       changed.add(name);
     }
     for (const { key, value, version } of this.mirror.under(PAGES)) {
       if (this.pageVersions.get(key) === version) continue;
       this.pageVersions.set(key, version);
-      this.latest = Math.max(this.latest, version);
+      this.latestVersion = Math.max(this.latestVersion, version);
       const { shard } = parsePageKey(key);
-      const read = decodePage(value);
+      const decoded = decodePage(value);
       let pages = this.pages.get(shard);
       if (!pages) this.pages.set(shard, (pages = new Map()));
-      pages.set(key, read && { key, version, ...read });
+      pages.set(key, decoded && { key, version, ...decoded });
       changed.add(shard);
     }
-    for (const name of changed) this.putTogether(name);
+    for (const name of changed) this.assemble(name);
   }
 
-  private putTogether(name: ShardName): void {
+  /** Rebuilds a shard from its record and, if the record is a head, from the pages of its epoch. */
+  private assemble(name: ShardName): void {
     const record = this.records.get(name);
     for (const machine of this.shards.get(name)?.value.machines ?? []) {
-      const left = (this.placed.get(machine.id) ?? []).filter((other) => other !== name);
-      if (left.length > 0) this.placed.set(machine.id, left);
-      else this.placed.delete(machine.id);
+      const remaining = (this.shardsByMachine.get(machine.id) ?? []).filter((other) => other !== name);
+      if (remaining.length > 0) this.shardsByMachine.set(machine.id, remaining);
+      else this.shardsByMachine.delete(machine.id);
     }
     this.shards.delete(name);
     if (!record) return;
@@ -99,13 +104,13 @@
       pages.sort((a, b) => parsePageKey(a.key).n - parsePageKey(b.key).n);
     }
     if (value === null || !readable) {
-      this.closed.set(name, version);
+      this.unreadableRecords.set(name, version);
       return;
     }
-    this.closed.delete(name);
+    this.unreadableRecords.delete(name);
     const machines = value.epoch === null ? value.machines : pages.flatMap((page) => page.machines);
     this.shards.set(name, { value: { ...value, machines }, version, pages, spare });
-    for (const { id } of machines) this.placed.set(id, [...(this.placed.get(id) ?? []), name]);
+    for (const { id } of machines) this.shardsByMachine.set(id, [...(this.shardsByMachine.get(id) ?? []), name]);
   }
 
   /** Shards that are sealed against releases without quota shares, with the versions of their records. */
@@ -116,16 +121,18 @@
   }
 
   /**
-   * Shards whose record this program can't read, with its version. Which machines they have is not known here, so
-   * whoever sees one claims nothing of it, leads nobody, and leaves machines of no known block alone.
+   * Shards whose record or pages this program can't read, with the version of the record. Their machines are not known
+   * here, so a controller that sees one doesn't claim it, doesn't become leader, and doesn't touch machines that belong to
+   * no known block.
    */
   get unreadable(): ReadonlyMap<ShardName, Revision> {
-    this.follow();
-    return this.closed;
+    this.refresh();
+    return this.unreadableRecords;
   }
 
+  /** The shard whose block names the machine, or null. */
   shardOf(machine: MachineId): ShardName | null {
-    this.follow();
-    return this.placed.get(machine)?.at(-1) ?? null;
+    this.refresh();
+    return this.shardsByMachine.get(machine)?.at(-1) ?? null;
   }
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -26,48 +26,56 @@
 import { Paging } from './paging.js';
 import { earlierHolders, encodeShard, SHARD_FORMAT, type PreviousHolder, type ShardValue } from './shard.js';
 
+/** Time to live of a node's lease in the state service. */
 export const LEASE_MS = 4000;
-const RENEW_EVERY_MS = 1000;
-/** How long another node waits before it claims what its own node may still claim itself. */
-const RANK_DELAY_MS = 500;
-const FIRST_START_MS = 4000;
+const LEASE_RENEW_INTERVAL_MS = 1000;
+/** Unit of the delays by which nodes stagger their claims, so that the node with the best reason claims first. */
+const CLAIM_DELAY_STEP_MS = 500;
+/** How long a shard that was never claimed waits for the first start of the node that it is named after. */
+const FIRST_START_GRACE_MS = 4000;
 
+/** What membership asks of the rest of the controller. */
 export interface MembershipHooks {
+  /** The shards that this node holds. */
   held(): readonly ShardName[];
-  /** After a lapse: reads afresh whether our shards are still ours. */
+  /** Reads from the state service whether this node still holds its shards; called after its lease had lapsed. */
   verify(): Promise<boolean>;
-  /** False while another node would hold shards better. */
+  /** False while another node is better suited to hold shards. */
   mayClaim(): boolean;
-  /** False while another node should lead. */
+  /** False while another node should be the leader. */
   mayLead(): boolean;
-  /** Machines stand in pages, not in the shards' records. */
+  /** True if machines are stored in pages instead of in the shards' records. */
   paged(): boolean;
-  /** What this node's key says of its program, beside its incarnation. */
+  /** The fields of this node's key that describe its program, beside its incarnation. */
   announcement(): Fields;
 }
 
 /**
- * Is a shard free to be claimed? It was never held, or its holder has released it, or its holder's key is gone or
- * belongs to a later life of the node. Not for records that can't be read: they stand for somebody's shard.
+ * Reports whether a shard is free to be claimed: it was never held, its holder has released it, or the holder's key is gone
+ * or belongs to a later incarnation of the node. Not to be asked for records that can't be read: some node may hold them.
  */
-export function isVacant(value: ShardValue | null, alive: (node: NodeName) => Incarnation | null): boolean {
-  return value === null || value.released || alive(value.holder) !== value.incarnation;
+export function isVacant(value: ShardValue | null, liveIncarnationOf: (node: NodeName) => Incarnation | null): boolean {
+  return value === null || value.released || liveIncarnationOf(value.holder) !== value.incarnation;
 }
 
-/** This node's lease and key, the election of the leader, and claims of shards. */
+/** This node's lease and key in the state service, the election of the leader, and claims of shards. */
 export class Membership {
   readonly paging: Paging;
   private lease: number | undefined;
-  private verified = false;
+  /** True once it is known that no shard was lost to another node while the lease may have lapsed. */
+  private ownershipVerified = false;
+  /** Version of this node's key while it is registered. */
   private nodeVersion: Revision | undefined;
-  private readonly previous = new Map<ShardName, readonly PreviousHolder[]>();
+  private readonly previousHolders = new Map<ShardName, readonly PreviousHolder[]>();
   private vacantSince = new Map<ShardName, Millis>();
-  private readonly leftAlone = new Set<ShardName>();
-  /** Versions of shards' records of which a refused claim has been told. */
-  private readonly refusedAt = new Map<ShardName, number>();
-  /** The leader's key while this node led when it last looked. */
+  /** Unreadable shards that have been logged. */
+  private readonly loggedUnreadable = new Set<ShardName>();
+  /** The version of each shard's record at which a refused claim was last logged. */
+  private readonly loggedRefusals = new Map<ShardName, number>();
+  /** Version of the leader's key when this node last checked, or null if it was not the leader then. */
   private term: Revision | null = null;
-  private provenAt: Millis;
+  /** Send time of the last renewal that proved that this node still holds its shards. */
+  private leaseProvenAt: Millis;
   private readonly startedAt: Millis;
 
   constructor(
@@ -83,70 +91,74 @@
   ) {
     this.paging = new Paging({ state, mirror, directory, log });
     this.startedAt = clock.now();
-    this.provenAt = millis(-1);
+    this.leaseProvenAt = millis(-1);
   }
 
+  /** True while this node's key is known to be in the state service. */
   get registered(): boolean {
     return this.nodeVersion !== undefined;
   }
 
-  /** The latest moment at which nobody can yet have taken this node's shards over. */
+  /** The latest time at which this node's shards certainly hadn't been claimed by another node. */
   get heldUntilAtLeast(): Millis {
-    return this.provenAt;
+    return this.leaseProvenAt;
   }
 
-  /** True while our lease certainly lasts: until then nobody can have claimed a shard of ours. */
+  /** True while our lease is certain to be valid, clock drift included: until it expires nobody can claim a shard of ours. */
   get certain(): boolean {
-    return this.clock.now() < this.provenAt + LEASE_MS / 1.002;
+    return this.clock.now() < this.leaseProvenAt + LEASE_MS / 1.002;
   }
 
+  /** The incarnation in a node's key, or null if the node has no key and therefore no valid lease. */
   alive = (node: NodeName): Incarnation | null => {
     const value = this.mirror.get(nodeKey(node))?.value;
     return isObject(value) && typeof value['incarnation'] === 'string' ? (value['incarnation'] as Incarnation) : null;
   };
 
-  /** The names of all shards: one for each controller, named after it. */
+  /** The names of all shards: there is one for each controller, named after it. */
   get shards(): readonly ShardName[] {
     return [this.self, ...this.others].map((node) => shardName(node)).sort();
   }
 
-  /** How many controllers share the state service's changes a second, this one included. */
+  /** Number of live controllers, this one included. They share the state service's limit on changes per second. */
   get aliveCount(): number {
     return 1 + this.others.filter((node) => this.alive(node) !== null).length;
   }
 
+  /** The leader according to the mirror, or null. */
   get leader(): NodeName | null {
     const value = this.mirror.get(LEADER)?.value;
     return isObject(value) && typeof value['node'] === 'string' ? (value['node'] as NodeName) : null;
   }
 
-  /** The version of the leader's key while this node leads; every write of the leader is guarded by it. */
+  /** The version of the leader's key while this node is the leader, otherwise null. It guards every write of the leader. */
   get leading(): Revision | null {
     const entry = this.mirror.get(LEADER);
     if (!entry || !isObject(entry.value) || entry.value['incarnation'] !== this.incarnation) return null;
-    return this.clock.now() - this.provenAt < LEASE_MS ? entry.version : null;
+    return this.clock.now() - this.leaseProvenAt < LEASE_MS ? entry.version : null;
   }
 
+  /** Interval at which the lease has to be renewed. */
   get renewEveryMs(): number {
-    return RENEW_EVERY_MS;
+    return LEASE_RENEW_INTERVAL_MS;
   }
 
-  /** One round: keep the lease and the node's key. */
+  /** Runs one round of maintaining the lease and the node's key: renews the lease, or registers again if it is gone. */
   async keep(): Promise<void> {
     const sentAt = this.clock.now();
     if (this.lease !== undefined && this.nodeVersion !== undefined) {
       const renewed = await this.state.renewLease(this.lease);
       if (renewed === 'ok') {
-        // After a lapse, others may have claimed meanwhile: the lease proves nothing before that is read.
-        this.verified ||= await this.hooks.verify();
-        if (this.verified) this.provenAt = sentAt;
+        // After a lapse, others may have claimed our shards: the lease proves nothing until that has been read.
+        this.ownershipVerified ||= await this.hooks.verify();
+        if (this.ownershipVerified) this.leaseProvenAt = sentAt;
         return;
       }
       if (renewed === 'unavailable') return;
-      this.log.info('the lease in the state service is gone, registering again');
+      this.log.info('the node lease no longer exists in the state service, registering again');
       this.lease = undefined;
       this.nodeVersion = undefined;
-      this.verified = false;
+      this.ownershipVerified = false;
     }
     this.lease ??= (await this.state.grantLease(LEASE_MS)) ?? undefined;
     if (this.lease === undefined) return;
@@ -154,27 +166,27 @@
     const key = nodeKey(this.self);
     const known = await this.state.get(key);
     if (known.kind === 'unavailable') return;
-    // Guarded, or a registration of an earlier life that is carried out late would take this life's place: its lease
-    // may last for a moment yet, and our shards would seem vacant while we hold them.
+    // Without the guard, a delayed registration of an earlier incarnation could replace this one: its lease may still be
+    // valid for a moment, and our shards would seem vacant while we hold them.
     const guard = { key, version: known.kind === 'found' ? (known.entry.version as number) : 0 };
     const result = await this.state.txn(Urgency.session, [guard], [{ put: key, value, lease: this.lease }], 1500);
     if (result.kind === 'ok') {
       this.nodeVersion = result.revision;
       this.mirror.apply({ key, value, removed: false, version: result.revision });
-      this.verified = await this.hooks.verify();
+      this.ownershipVerified = await this.hooks.verify();
       this.log.info({ incarnation: this.incarnation }, 'registered with the state service');
     } else if (result.kind === 'no-lease') this.lease = undefined;
   }
 
-  /** One round: lead if nobody does. */
+  /** Runs one round of the election: becomes the leader if there is none. */
   async elect(): Promise<void> {
-    this.noteTerm();
+    this.logTermChange();
     if (this.lease === undefined || this.nodeVersion === undefined) return;
-    // Whoever can't read every block would lease a machine that is in one of them to another.
-    if (this.directory.unreadable.size > 0 || !this.hooks.mayLead()) return this.standDown();
+    // A leader that can't read every block would lease a machine that is in an unreadable block to another shard.
+    if (this.directory.unreadable.size > 0 || !this.hooks.mayLead()) return this.stepDown();
     if (this.mirror.get(LEADER)) return;
     const value = { node: this.self, incarnation: this.incarnation };
-    // Not behind users' submissions: in a rush nobody would lead for as long as it lasts.
+    // Session urgency: queued behind users' submissions, no leader would be elected for as long as a burst lasts.
     const result = await this.state.txn(
       Urgency.session,
       [
@@ -185,31 +197,31 @@
     );
     if (result.kind === 'ok') {
       this.mirror.apply({ key: LEADER, value, removed: false, version: result.revision });
-      this.noteTerm();
+      this.logTermChange();
     }
   }
 
-  /** Tells when this node begins to lead and when it ends, for whatever reason. */
-  private noteTerm(): void {
+  /** Logs when this node starts or stops being the leader, whatever the cause. */
+  private logTermChange(): void {
     const { leading, term } = this;
     if (leading === term) return;
     this.term = leading;
     const { seenUpTo } = this.mirror;
-    if (term !== null) this.log.info({ term, leader: this.leader, seenUpTo }, 'this node leads no more');
-    if (leading !== null) this.log.info({ term: leading, seenUpTo }, 'this node leads: it leases machines and rents');
+    if (term !== null) this.log.info({ term, leader: this.leader, seenUpTo }, 'this node is no longer the leader');
+    if (leading !== null) this.log.info({ term: leading, seenUpTo }, 'this node is the leader');
   }
 
-  /** Leads no more; every write of the leader is guarded by the key that goes. */
-  private async standDown(): Promise<void> {
+  /** Gives up leadership by removing the leader's key, which guards every write of the leader. */
+  private async stepDown(): Promise<void> {
     const { leading } = this;
     if (leading === null) return;
     const result = await this.state.txn(Urgency.session, [{ key: LEADER, version: leading }], [{ remove: LEADER }]);
     if (result.kind !== 'ok') return;
     this.mirror.apply({ key: LEADER, value: undefined, removed: true, version: result.revision });
-    this.noteTerm();
+    this.logTermChange();
   }
 
-  /** One round: claim what is vacant, our own shard at once and others' after a pause by rank. */
+  /** Runs one round of claiming vacant shards: this node's own shard at once, others after a delay that depends on rank. */
   async claim(): Promise<void> {
     const nodeVersion = this.nodeVersion;
     if (nodeVersion === undefined || !this.hooks.mayClaim()) return;
@@ -217,11 +229,11 @@
     for (const shard of this.shards) {
       const entry = this.mirror.get(shardKey(shard));
       if (this.directory.unreadable.has(shard)) {
-        this.leaveAlone(shard);
+        this.skipUnreadable(shard);
         continue;
       }
-      this.leftAlone.delete(shard);
-      // Asked several times a second: a block's record holds hundreds of machines and is decoded once.
+      this.loggedUnreadable.delete(shard);
+      // Taken from the directory: this runs several times a second, and a record with hundreds of machines is decoded once.
       const value = this.directory.all.get(shard)?.value ?? null;
       if (!isVacant(value, this.alive)) {
         this.vacantSince.delete(shard);
@@ -229,18 +241,18 @@
       }
       const since = this.vacantSince.get(shard) ?? now;
       this.vacantSince.set(shard, since);
-      if (now - since < this.delayFor(shard, entry !== undefined, value, now)) continue;
-      // The watch may have shown a head before its pages: what the shard holds must be known to be claimed.
+      if (now - since < this.claimDelayMs(shard, entry !== undefined, value, now)) continue;
+      // The watch may have shown a head before its pages: the shard's machines must be known before it is claimed.
       if (value !== null && value.epoch !== null && this.directory.newest > this.mirror.seenUpTo) continue;
-      await this.claimOne(shard, entry?.version ?? 0, value, nodeVersion);
+      await this.claimShard(shard, entry?.version ?? 0, value, nodeVersion);
     }
   }
 
-  /** Overwriting it would lose its machines, and run again what runs on them. */
-  private leaveAlone(shard: ShardName): void {
+  /** Doesn't claim an unreadable record: overwriting it would lose its machines and run again what runs on them. */
+  private skipUnreadable(shard: ShardName): void {
     this.vacantSince.delete(shard);
-    if (this.leftAlone.has(shard)) return;
-    this.leftAlone.add(shard);
+    if (this.loggedUnreadable.has(shard)) return;
+    this.loggedUnreadable.add(shard);
     const stored = this.mirror.get(shardKey(shard))?.value;
     this.log.error(
       { shard, format: formatOf(stored), reads: SHARD_FORMAT },
@@ -248,25 +260,26 @@
     );
   }
 
-  private delayFor(shard: ShardName, exists: boolean, value: ShardValue | null, now: Millis): number {
+  /** How long a shard must be vacant before this node claims it. */
+  private claimDelayMs(shard: ShardName, exists: boolean, value: ShardValue | null, now: Millis): number {
     if ((shard as string) === (this.self as string)) return 0;
-    // Its holder has handed it to this node.
+    // The previous holder has handed the shard over to this node.
     if (value?.released === true && value.next === this.self) return 0;
-    const home = shard as unknown as NodeName;
-    // A shard that was never claimed waits for its own node's first start.
-    if (!exists) return Math.max(0, FIRST_START_MS - (now - this.startedAt)) + RANK_DELAY_MS;
-    const homeAlive = this.alive(home) !== null;
-    const rank = this.others.filter((n) => n !== home && this.alive(n) !== null && n < this.self).length;
-    const load = this.hooks.held().length;
+    const namesake = shard as unknown as NodeName;
+    // A shard that was never claimed waits for the first start of the node that it is named after.
+    if (!exists) return Math.max(0, FIRST_START_GRACE_MS - (now - this.startedAt)) + CLAIM_DELAY_STEP_MS;
+    const namesakeAlive = this.alive(namesake) !== null;
+    const rank = this.others.filter((n) => n !== namesake && this.alive(n) !== null && n < this.self).length;
+    const heldCount = this.hooks.held().length;
     return (
-      (homeAlive ? 3 * RANK_DELAY_MS : 0) +
-      (value?.released === true ? RANK_DELAY_MS : 0) +
+      (namesakeAlive ? 3 * CLAIM_DELAY_STEP_MS : 0) +
+      (value?.released === true ? CLAIM_DELAY_STEP_MS : 0) +
       rank * 150 +
-      Math.max(0, load - 1) * RANK_DELAY_MS
+      Math.max(0, heldCount - 1) * CLAIM_DELAY_STEP_MS
     );
   }
 
-  private async claimOne(
+  private async claimShard(
     shard: ShardName,
     version: number,
     value: ShardValue | null,
@@ -274,20 +287,20 @@
   ): Promise<void> {
     const holder = value?.holder ?? null;
     const nodes = [{ key: nodeKey(this.self), version: nodeVersion as number }];
-    // A holder that registers again in this very moment keeps its shard.
+    // Guarded by the holder's key: a holder that registers again at this very moment keeps its shard.
     if (holder !== null && holder !== this.self && value?.released !== true) {
       nodes.push({ key: nodeKey(holder), version: this.mirror.get(nodeKey(holder))?.version ?? 0 });
     }
     const earlier = earlierHolders(value, this.self);
     const known = this.directory.all.get(shard);
     const paged = this.hooks.paged();
-    const flips = paged && value?.epoch === null && known !== undefined;
-    // One large value may be more than the state service takes any more: its machines go into pages first.
-    if (flips && !(await this.paging.stage(shard, known, Urgency.session))) return;
-    const record = flips
-      ? this.paging.flipGuards(shard, known.version, nodes.length)
+    const movesToPages = paged && value?.epoch === null && known !== undefined;
+    // The record as a single value may exceed the state service's limit by now, so its machines are staged in pages first.
+    if (movesToPages && !(await this.paging.stage(shard, known, Urgency.session))) return;
+    const recordGuards = movesToPages
+      ? this.paging.moveToPagesGuards(shard, known.version, nodes.length)
       : [{ key: shardKey(shard), version }];
-    const guards = [...nodes, ...record];
+    const guards = [...nodes, ...recordGuards];
     const next: ShardValue = {
       epoch: value?.epoch ?? (paged ? version : null),
       holder: this.self,
@@ -299,11 +312,11 @@
       ...(value?.sealed === true ? { sealed: true } : {}),
       ...(value?.rest === undefined ? {} : { rest: value.rest }),
     };
-    // Noted before the write: a claim whose outcome is unknown shows in the watch.
-    this.previous.set(shard, earlier);
+    // Set before the write: a claim of unknown outcome may still show up in the watch.
+    this.previousHolders.set(shard, earlier);
     const result = await this.state.txn(Urgency.session, guards, [{ put: shardKey(shard), value: encodeShard(next) }]);
     if (result.kind !== 'ok') {
-      this.tellRefused(shard, version, result.kind);
+      this.logRefusedClaim(shard, version, result.kind);
       if (result.kind !== 'refused') await rereadGuards(this.state, this.mirror, guards);
       return;
     }
@@ -316,15 +329,15 @@
     this.mirror.apply({ key: shardKey(shard), value: encodeShard(next), removed: false, version: result.revision });
   }
 
-  /** Once for each version of the record that a claim goes by: it is tried again every round. */
-  private tellRefused(shard: ShardName, over: number, why: TxnResult['kind']): void {
-    if (this.refusedAt.get(shard) === over) return;
-    this.refusedAt.set(shard, over);
-    this.log.info({ shard, over, seenUpTo: this.mirror.seenUpTo, why }, 'a claim of a shard was not made');
+  /** Logs a failed claim once for each version of the record, because the claim is retried every round. */
+  private logRefusedClaim(shard: ShardName, over: number, why: TxnResult['kind']): void {
+    if (this.loggedRefusals.get(shard) === over) return;
+    this.loggedRefusals.set(shard, over);
+    this.log.info({ shard, over, seenUpTo: this.mirror.seenUpTo, why }, 'claim of a shard failed');
   }
 
-  /** Who held a shard before our latest claim and may still command. */
+  /** The holders of a shard before our latest claim that may still send commands. */
   previousOf(shard: ShardName): readonly PreviousHolder[] {
-    return this.previous.get(shard) ?? [];
+    return this.previousHolders.get(shard) ?? [];
   }
 }
--- a/src/membership/pages.ts
+++ b/src/membership/pages.ts
@@ -1,46 +1,51 @@
+// A shard's machines (its block) are stored either in the shard's record, or in several pages with the record reduced to a
+// head that names the epoch of its pages. This module has the pure functions that encode, lay out and change them.
+
 import { asCount, isObject, type MachineId, type Revision, type ShardName } from '../kernel/index.js';
 import { isForeign, pageKey, PAGES, shardKey, valueBytes, type Fields, type Guard, type Op } from '../state/index.js';
 import { decodeKinds, encodeKinds, encodeShard, type BlockMachine, type ShardValue } from './shard.js';
 
-/** The newest version of a page that this program reads, and the one it writes. */
+/** The newest page format that this program reads, and the one that it writes. */
 export const PAGE_FORMAT = 1;
-/** A page is filled up to here, so that a few longer addresses don't make it too long. */
-const FULL = 0.9;
+/** Pages are filled only up to this share of the limit, so that slightly longer addresses later don't exceed it. */
+const PAGE_FILL_RATIO = 0.9;
 
-/** Some machines of a shard, in a value of its own. Once there, a page's key never goes. */
+/** Some machines of a shard, stored as a value of its own. The key of a page is never deleted. */
 export interface Page {
   readonly key: string;
   readonly version: Revision;
+  /** The epoch that the page belongs to; the page counts only while the head names the same one. */
   readonly epoch: number;
   readonly machines: readonly BlockMachine[];
 }
 
-/** Which version of a page is known. */
+/** The key of a page and the version at which it is known. */
 export type PageVersion = Pick<Page, 'key' | 'version'>;
 
-/** A shard as it is stored: its record, or its head and the pages of its epoch. */
+/** A shard as it is stored: its record, or its head together with the pages of its epoch. */
 export interface KnownShard {
   readonly value: ShardValue;
-  /** Of the record or the head. */
+  /** Version of the record or the head. */
   readonly version: Revision;
-  /** Of this epoch, by number; empty while the machines stand in the record itself. */
+  /** Pages of the current epoch, ordered by number; empty while the machines are in the record itself. */
   readonly pages: readonly Page[];
-  /** Keys of pages whose content counts no more. */
+  /** Pages of other epochs, whose content is void; their keys are reused. */
   readonly spare: readonly PageVersion[];
 }
 
-/** Changes to be made in one transaction. */
+/** Guards and writes of one transaction that changes a shard's block. */
 export interface BlockChange {
   readonly guards: readonly Guard[];
   readonly ops: readonly Op[];
 }
 
+/** Encodes a page as it is stored. */
 export const encodePage = (epoch: number, machines: readonly BlockMachine[]): Fields => ({
   epoch,
   kinds: encodeKinds(machines),
 });
 
-/** null: this program can't read it. */
+/** Decodes a page; null if this program can't read it. */
 export function decodePage(value: unknown): { readonly epoch: number; readonly machines: BlockMachine[] } | null {
   if (!isObject(value) || isForeign(value, PAGE_FORMAT)) return null;
   const epoch = asCount(value['epoch']);
@@ -48,26 +53,27 @@
   return epoch === undefined || machines === null ? null : { epoch, machines };
 }
 
-/** The shard and the number that a page's key names. */
+/** Returns the shard and the page number that a page's key names. */
 export function parsePageKey(key: string): { readonly shard: ShardName; readonly n: number } {
-  const cut = key.lastIndexOf('.');
-  return { shard: key.slice(PAGES.length, cut) as ShardName, n: Number(key.slice(cut + 1)) };
+  const separator = key.lastIndexOf('.');
+  return { shard: key.slice(PAGES.length, separator) as ShardName, n: Number(key.slice(separator + 1)) };
 }
 
-const fits = (epoch: number, machines: readonly BlockMachine[], mostBytes: number): boolean =>
-  valueBytes(encodePage(epoch, machines)) <= mostBytes * FULL;
+/** Reports whether the machines fill a page up to no more than the fill ratio. */
+const fitsInPage = (epoch: number, machines: readonly BlockMachine[], maxBytes: number): boolean =>
+  valueBytes(encodePage(epoch, machines)) <= maxBytes * PAGE_FILL_RATIO;
 
-/** Puts machines into pages; the same for everybody who does it with the same machines and limit. */
-export function layOut(epoch: number, machines: readonly BlockMachine[], mostBytes: number): BlockMachine[][] {
+/** Distributes machines over pages. Deterministic: every caller with the same machines and limit gets the same pages. */
+export function layOutPages(epoch: number, machines: readonly BlockMachine[], maxBytes: number): BlockMachine[][] {
   const pages: BlockMachine[][] = [];
   let page: BlockMachine[] = [];
-  // By kind, so that each page names few kinds; ids are unique, so the order is everybody's.
+  // Sorted by kind, so that each page names few kinds. Ids are unique, so the order doesn't depend on the caller.
   const ordered = [...machines].sort((a, b) => {
     const [x, y] = [a, b].map((m) => `${m.type} ${m.zone} ${m.spot} ${m.id}`);
     return x === y ? 0 : (x ?? '') < (y ?? '') ? -1 : 1;
   });
   for (const machine of ordered) {
-    if (page.length > 0 && !fits(epoch, [...page, machine], mostBytes)) {
+    if (page.length > 0 && !fitsInPage(epoch, [...page, machine], maxBytes)) {
       pages.push(page);
       page = [];
     }
@@ -77,15 +83,16 @@
   return pages;
 }
 
-/** How many of these machines find room in the shard by one change of it, and that change. */
+/** The machines that one change of a shard can add to it, and that change. */
 export interface Entry {
+  /** A prefix of the machines that were passed; the others didn't fit. */
   readonly taken: readonly BlockMachine[];
   readonly change: BlockChange;
 }
 
 /**
- * Puts machines into a shard, as many as one page or the record takes. The head is a condition, too: so a machine
- * comes in either before a claim, which then finds it, or after, for the claimant.
+ * Adds machines to a shard, as many as fit into one page or into the record. The change is guarded by the head, too. A
+ * machine is therefore added either before a claim, which then sees it, or after the claim, for the new holder.
  */
 export function enter(
   shard: ShardName,
@@ -101,25 +108,25 @@
     const next = encodeShard({ ...value, machines: [...value.machines, ...taken] });
     return { taken, change: { guards: [head], ops: [{ put: head.key, value: next }] } };
   }
-  const room = (page: { readonly machines: readonly BlockMachine[] }): readonly BlockMachine[] => {
+  const fittingMachines = (page: { readonly machines: readonly BlockMachine[] }): readonly BlockMachine[] => {
     let count = 0;
     while (
       count < machines.length &&
-      fits(epoch, [...page.machines, ...machines.slice(0, count + 1)], limits.pageBytes)
+      fitsInPage(epoch, [...page.machines, ...machines.slice(0, count + 1)], limits.pageBytes)
     )
       count += 1;
     return machines.slice(0, count);
   };
-  // The fullest page that still has room: others may get empty.
+  // The page that takes the most machines, fuller pages first, so that others can become empty.
   let best: { readonly page: Page; readonly taken: readonly BlockMachine[] } | null = null;
   for (const page of [...pages].sort((a, b) => b.machines.length - a.machines.length)) {
-    const taken = room(page);
+    const taken = fittingMachines(page);
     if (taken.length > (best?.taken.length ?? 0)) best = { page, taken };
     if (taken.length === machines.length) break;
   }
   const { page, taken } = best ?? {
     page: { ...(spare[0] ?? { key: pageKey(shard, pages.length + spare.length), version: 0 }), machines: [] },
-    taken: room({ machines: [] }),
+    taken: fittingMachines({ machines: [] }),
   };
   const guards = [head, { key: page.key, version: page.version as number }];
   return {
@@ -128,49 +135,49 @@
   };
 }
 
-/** A shard's record or head as it is known, and every place where a page of it stands or might be made. */
-function wholeGuards(shard: ShardName, version: Revision, pages: readonly PageVersion[]): Guard[] {
+/** Guards for a shard's record or head, for each known page, and for the key that the next new page would get. */
+function blockGuards(shard: ShardName, version: Revision, pages: readonly PageVersion[]): Guard[] {
   const keys = pages.map((page) => ({ key: page.key, version: page.version as number }));
-  const next = { key: pageKey(shard, keys.length), version: 0 };
-  return [{ key: shardKey(shard), version }, ...keys, next];
+  const nextPage = { key: pageKey(shard, keys.length), version: 0 };
+  return [{ key: shardKey(shard), version }, ...keys, nextPage];
 }
 
 /**
- * What has to stand unchanged for a shard's machines to go back into its record: the head, its pages, and wherever a page
- * might be made of. Found by the plain model: a machine that had come into a page that the holder had yet to see was lost.
+ * Guards for moving a shard's machines from its pages back into its record: the head, its pages, and the key that the next
+ * new page would get. Without the last one, a machine in a page that the holder hadn't seen yet was lost.
  */
 export const foldGuards = (shard: ShardName, { version, pages, spare }: KnownShard): Guard[] =>
-  wholeGuards(shard, version, [...pages, ...spare]);
+  blockGuards(shard, version, [...pages, ...spare]);
 
 /**
- * What has to stand unchanged for a record to become the head of the pages that were staged for it; `there`: all pages
- * of the shard, as staged. Conditions beyond `mostConditions` are left out, last pages first: a record that may not stay
- * a single value has to be flipped however many pages it takes.
+ * Guards for turning a record into the head of the pages that were staged for it. `existing` are all pages of the shard, as
+ * staged. Guards beyond `maxConditions` are dropped, last pages first: a record that may no longer be a single value has to
+ * be moved to pages however many it takes.
  */
-export const flipGuards = (
+export const moveToPagesGuards = (
   shard: ShardName,
   version: Revision,
-  there: Iterable<PageVersion>,
-  mostConditions: number,
-): Guard[] => wholeGuards(shard, version, [...there]).slice(0, mostConditions);
+  existing: Iterable<PageVersion>,
+  maxConditions: number,
+): Guard[] => blockGuards(shard, version, [...existing]).slice(0, maxConditions);
 
 /**
- * The writes by which pages come to hold a record's machines, one for each page that doesn't yet; null: a page of a
- * later release stands in the way. Each is guarded by the record too: pages that were staged for a record that has
- * changed since may be the ones that its head names now.
+ * Returns the writes that stage a record's machines in pages, one for each page that doesn't hold its machines yet, or null
+ * if a page of a later release is in the way. Each write is guarded by the record, too: if the record has changed, its head
+ * may now name the very pages that were staged for an older version.
  */
 export function stageChanges(
   shard: ShardName,
   { value, version }: Pick<KnownShard, 'value' | 'version'>,
-  there: ReadonlyMap<string, Page | null>,
+  existing: ReadonlyMap<string, Page | null>,
   pageBytes: number,
 ): BlockChange[] | null {
-  const wanted = layOut(version, value.machines, pageBytes);
+  const wanted = layOutPages(version, value.machines, pageBytes);
   const changes: BlockChange[] = [];
-  for (let n = 0; n < Math.max(wanted.length, there.size); n++) {
+  for (let n = 0; n < Math.max(wanted.length, existing.size); n++) {
     const key = pageKey(shard, n);
     const machines = wanted[n] ?? [];
-    const page = there.get(key);
+    const page = existing.get(key);
     if (page === null) return null;
     if (page?.epoch === version ? sameMachines(page.machines, machines) : n >= wanted.length) continue;
     const guards = [
@@ -185,30 +192,30 @@
 const sameMachines = (a: readonly BlockMachine[], b: readonly BlockMachine[]): boolean =>
   a.length === b.length && a.every((machine, i) => machine.id === b[i]?.id);
 
-/** Takes machines out of a shard: one change for its record, or one for each page that names any. */
+/** Removes machines from a shard: one change for its record, or one for each page that names any of them. */
 export function leave(
   shard: ShardName,
   known: KnownShard,
   ids: ReadonlySet<MachineId>,
 ): { readonly ids: readonly MachineId[]; readonly change: BlockChange }[] {
   const { value, version, pages } = known;
-  const stays = ({ id }: BlockMachine): boolean => !ids.has(id);
-  const gone = (machines: readonly BlockMachine[]): MachineId[] =>
-    machines.filter((m) => !stays(m)).map(({ id }) => id);
+  const isKept = ({ id }: BlockMachine): boolean => !ids.has(id);
+  const removedFrom = (machines: readonly BlockMachine[]): MachineId[] =>
+    machines.filter((m) => !isKept(m)).map(({ id }) => id);
   const { epoch } = value;
   if (epoch === null) {
     const key = shardKey(shard);
-    const next = encodeShard({ ...value, machines: value.machines.filter(stays) });
+    const next = encodeShard({ ...value, machines: value.machines.filter(isKept) });
     const change = { guards: [{ key, version: version as number }], ops: [{ put: key, value: next }] };
-    return [{ ids: gone(value.machines), change }].filter((found) => found.ids.length > 0);
+    return [{ ids: removedFrom(value.machines), change }].filter((found) => found.ids.length > 0);
   }
   return pages
-    .filter((page) => page.machines.some((m) => !stays(m)))
+    .filter((page) => page.machines.some((m) => !isKept(m)))
     .map((page) => ({
-      ids: gone(page.machines),
+      ids: removedFrom(page.machines),
       change: {
         guards: [{ key: page.key, version: page.version as number }],
-        ops: [{ put: page.key, value: encodePage(epoch, page.machines.filter(stays)) }],
+        ops: [{ put: page.key, value: encodePage(epoch, page.machines.filter(isKept)) }],
       },
     }));
 }
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -1,9 +1,17 @@
 import type { Logger, Revision, ShardName } from '../kernel/index.js';
 import { rereadGuards, shardKey, Urgency, type Guard, type Mirror, type Op, type StateClient } from '../state/index.js';
 import type { ShardDirectory } from './directory.js';
-import { flipGuards, foldGuards, stageChanges, type BlockChange, type KnownShard, type PageVersion } from './pages.js';
+import {
+  moveToPagesGuards,
+  foldGuards,
+  stageChanges,
+  type BlockChange,
+  type KnownShard,
+  type PageVersion,
+} from './pages.js';
 import { encodeShard, type ShardValue } from './shard.js';
 
+/** What moving machines between record and pages needs from the rest of the controller. */
 export interface PagingDeps {
   readonly state: StateClient;
   readonly mirror: Mirror;
@@ -11,39 +19,39 @@
   readonly log: Logger;
 }
 
-/** Pages written in one transaction at most. */
-const PAGES_AT_ONCE = 8;
+/** Limit on the pages that are written in one transaction. */
+const MAX_PAGES_PER_TXN = 8;
 
-/** One transaction for several pages: conditions that they share are named once. */
-function together(changes: readonly BlockChange[]): BlockChange {
+/** Merges the changes of several pages into one transaction; guards that they share are listed once. */
+function mergeChanges(changes: readonly BlockChange[]): BlockChange {
   const guards = new Map(changes.flatMap((change) => change.guards).map((guard) => [guard.key, guard]));
   return { guards: [...guards.values()], ops: changes.flatMap(({ ops }) => ops) };
 }
 
-/** Puts a shard's machines from its record into pages, and back. */
+/** Moves a shard's machines from its record into pages, and back. */
 export class Paging {
   constructor(private readonly deps: PagingDeps) {}
 
   /**
-   * Stages pages for the record as it stands, in small writes; true once all are there. They count for nothing until a
-   * head names their epoch, which is the record's version: so whoever ends in the middle leaves nothing to undo, and
-   * another goes on with what is there. If the record changes meanwhile, they are staged anew.
+   * Stages pages for the record at its current version, in small writes; resolves to true once all of them are stored. They
+   * are void until a head names their epoch, which is the version of the record. A process that stops halfway therefore
+   * leaves nothing to undo, and another one can continue. If the record changes meanwhile, the pages are staged anew.
    */
   async stage(shard: ShardName, known: KnownShard, urgency: Urgency): Promise<boolean> {
     const { state, directory, mirror, log } = this.deps;
     const { limits } = state;
     const changes = stageChanges(shard, known, directory.pagesOf(shard), limits.valueBytes);
     if (changes === null) return false;
-    const atOnce = Math.min(limits.txnOps, PAGES_AT_ONCE);
-    for (let at = 0; at < changes.length; at += atOnce) {
-      const { guards, ops } = together(changes.slice(at, at + atOnce));
+    const pagesPerTxn = Math.min(limits.txnOps, MAX_PAGES_PER_TXN);
+    for (let start = 0; start < changes.length; start += pagesPerTxn) {
+      const { guards, ops } = mergeChanges(changes.slice(start, start + pagesPerTxn));
       const result = await state.txn(urgency, guards, ops);
       if (result.kind === 'ok') {
         mirror.wrote(ops, result.revision);
         log.info({ shard, epoch: known.version, pages: ops.length, revision: result.revision }, 'staged pages');
         continue;
       }
-      // The record has changed, another has staged them, or a write of ours is on its way: what is there decides.
+      // The record has changed, another node has staged the pages, or a write of ours is still in flight: read what is stored.
       if (result.kind !== 'refused') await rereadGuards(state, mirror, guards);
       log.info({ shard, epoch: known.version, seenUpTo: mirror.seenUpTo, why: result.kind }, 'pages are not staged');
       return false;
@@ -51,32 +59,38 @@
     return true;
   }
 
-  /** What must stand unchanged while a record becomes the head of its staged pages; `others`: conditions beside these. */
-  flipGuards(shard: ShardName, version: Revision, others = 0): Guard[] {
+  /** Guards for turning a record into the head of its staged pages; `otherConditions`: guards that the caller adds. */
+  moveToPagesGuards(shard: ShardName, version: Revision, otherConditions = 0): Guard[] {
     const { state, directory } = this.deps;
     const pages: PageVersion[] = [];
     for (const page of directory.pagesOf(shard).values()) if (page) pages.push(page);
-    return flipGuards(shard, version, pages, state.limits.conditions - others);
+    return moveToPagesGuards(shard, version, pages, state.limits.conditions - otherConditions);
   }
 
-  /** The holder turns its record into a head, once all pages are staged; by one small write that record and pages guard. */
+  /**
+   * Turns a record into a head once all pages are staged, by one small write that is guarded by the record and its pages.
+   * Called by the holder of the shard.
+   */
   async flip(shard: ShardName, known: KnownShard): Promise<void> {
     if (!(await this.stage(shard, known, Urgency.shard))) return;
     const { version } = known;
-    if (await this.put(shard, { ...known.value, epoch: version }, this.flipGuards(shard, version)))
+    if (await this.writeRecord(shard, { ...known.value, epoch: version }, this.moveToPagesGuards(shard, version)))
       this.deps.log.info({ shard, machines: known.value.machines.length }, "a shard's machines are in pages now");
   }
 
-  /** Back into one record, by one write that the head and all pages guard; false: it doesn't fit any more. */
+  /**
+   * Moves the machines back into the record, by one write that is guarded by the head and all pages. Resolves to false if
+   * that takes more guards than a transaction may have, or if the write failed.
+   */
   async fold(shard: ShardName, known: KnownShard): Promise<boolean> {
     const guards = foldGuards(shard, known);
     if (guards.length > this.deps.state.limits.conditions) return false;
-    const done = await this.put(shard, { ...known.value, epoch: null }, guards);
+    const done = await this.writeRecord(shard, { ...known.value, epoch: null }, guards);
     if (done) this.deps.log.info({ shard }, "a shard's machines are back in its record");
     return done;
   }
 
-  private async put(shard: ShardName, next: ShardValue, guards: readonly Guard[]): Promise<boolean> {
+  private async writeRecord(shard: ShardName, next: ShardValue, guards: readonly Guard[]): Promise<boolean> {
     const { state, mirror } = this.deps;
     const key = shardKey(shard);
     const op: Op & { readonly value: unknown } = { put: key, value: encodeShard(next) };
--- a/src/membership/settle.ts
+++ b/src/membership/settle.ts
@@ -2,45 +2,48 @@
 import { reread, shardKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
 
 /**
- * After a write of unknown outcome: reads the shard's key and writes it back under guard. Once that
- * is done the lost write either shows or can never be applied any more.
+ * Fences off a write of unknown outcome: reads the shard's key and writes the same value back under a guard. After that the
+ * lost write has either taken effect, and is visible, or can never be applied.
  */
 export const settleShard = (
   shard: ShardName,
   state: StateClient,
   mirror: Mirror,
   runtime: Runtime,
-  goOn: () => boolean,
-): Promise<void> => settleKey(shardKey(shard), state, mirror, runtime, goOn);
+  shouldContinue: () => boolean,
+): Promise<void> => settleKey(shardKey(shard), state, mirror, runtime, shouldContinue);
 
-/** The same for any key. What a value owes to its version must be in the rewritten value itself. */
+/**
+ * Does the same for any key. A value that depends on its own version has to be adapted by `rewrite`, because the write
+ * gives the key a new version. Returns early when `shouldContinue` returns false.
+ */
 export async function settleKey(
   key: string,
   state: StateClient,
   mirror: Mirror,
   runtime: Runtime,
-  goOn: () => boolean,
-  rewritten: (value: unknown) => unknown = (value) => value,
-  /** What to make of a key that isn't there; undefined: nothing. */
-  absent?: unknown,
+  shouldContinue: () => boolean,
+  rewrite: (value: unknown) => unknown = (value) => value,
+  /** Value to create the key with if it is absent; undefined: an absent key is left absent. */
+  valueIfAbsent?: unknown,
 ): Promise<void> {
-  while (goOn()) {
+  while (shouldContinue()) {
     const read = await reread(state, mirror, key);
     if (read.kind === 'absent') {
-      if (absent === undefined || !goOn()) return;
-      // Not there says nothing of a write that would make it: it has to be made first.
-      const result = await state.txn(Urgency.shard, [{ key, version: 0 }], [{ put: key, value: absent }]);
+      if (valueIfAbsent === undefined || !shouldContinue()) return;
+      // An absent key doesn't rule out a pending write that creates it: creating the key first makes that write fail.
+      const result = await state.txn(Urgency.shard, [{ key, version: 0 }], [{ put: key, value: valueIfAbsent }]);
       if (result.kind !== 'ok') {
         await runtime.sleep(300);
         continue;
       }
-      mirror.apply({ key, value: absent, removed: false, version: result.revision });
+      mirror.apply({ key, value: valueIfAbsent, removed: false, version: result.revision });
       return;
     }
     if (read.kind === 'found') {
       const { version } = read.entry;
-      if (!goOn()) return;
-      const value = rewritten(read.entry.value);
+      if (!shouldContinue()) return;
+      const value = rewrite(read.entry.value);
       const result = await state.txn(Urgency.shard, [{ key, version }], [{ put: key, value }]);
       if (result.kind === 'ok') {
         mirror.apply({ key, value, removed: false, version: result.revision });
--- a/src/membership/shard.ts
+++ b/src/membership/shard.ts
@@ -12,6 +12,7 @@
 } from '../kernel/index.js';
 import { formatOf, isForeign, unknownFields, type Fields } from '../state/index.js';
 
+/** A machine of a shard's block. */
 export interface BlockMachine {
   readonly id: MachineId;
   readonly type: string;
@@ -20,46 +21,46 @@
   readonly address: string;
 }
 
-/** An earlier holder that may still live and command. */
+/** An earlier holder that may still be running and sending commands. */
 export interface PreviousHolder {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
 }
 
-/** The value of a shard's key: who holds it, and the block of machines leased to it. */
+/** The value of a shard's key: its holder, and the block of machines that is leased to it. */
 export interface ShardValue {
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
-  /** The holder gave it up by this very write and commands nothing any more. */
+  /** The holder released the shard with this very write and sends no commands any more. */
   readonly released: boolean;
-  /** Who should claim it at once after that; null: whoever finds it. */
+  /** The node that should claim a released shard at once; null: any node may. */
   readonly next: NodeName | null;
-  /** Holders before this one that nobody has yet known to have stopped. */
+  /** Previous holders that are not yet known to have stopped. */
   readonly earlier: readonly PreviousHolder[];
   readonly machines: readonly BlockMachine[];
   /**
-   * null: the machines stand in the record itself. Otherwise this is a head, and they stand in the pages of this epoch:
-   * the version that the record had when its machines were put into pages.
+   * null: the machines are in the record itself. Otherwise this is a head, and they are in the pages of this epoch, which is
+   * the version that the record had when its machines were moved to pages.
    */
   readonly epoch: number | null;
-  /** Releases that know nothing of quota shares can't hold it. */
+  /** Sealed: releases that don't support quota shares can't hold it. */
   readonly sealed?: boolean;
-  /** What a later release has added to the record; it is kept. */
+  /** Fields that a later release has added to the record; they are preserved. */
   readonly rest?: Fields;
 }
 
 /**
- * The newest version of a shard's record that this program reads: 1 holds its machines, 2 is a head and has them in
- * pages, 3 is either, sealed. See docs/rollout-design.md.
+ * The newest format of a shard's record that this program reads: 1 has the machines in the record, 2 is a head with the
+ * machines in pages, and 3 is a sealed record of either kind. See docs/rollout-design.md.
  */
 export const SHARD_FORMAT = 3;
 const HEAD_FORMAT = 2;
 /**
- * Whom a sealed record names as its holder, for the first release, which doesn't look at versions: its key never goes, so
- * that such a program takes the shard for held. Who truly holds it stands under `seal`.
+ * The nominal holder of a sealed record. It is meant for the first release, which ignores formats: the key of this node is
+ * never removed, so that release sees the shard as held. The actual holder is in the field `seal`.
  */
 export const SEALED_HOLDER = nodeName('sealed');
-const KNOWN: ReadonlySet<string> = new Set([
+const KNOWN_FIELDS: ReadonlySet<string> = new Set([
   'holder',
   'incarnation',
   'released',
@@ -71,8 +72,8 @@
 ]);
 
 /**
- * As it is stored. Machines are grouped by kind, each as its name and address in one text: a block
- * of a thousand must stay below what the state service takes as one value.
+ * A shard's record as it is stored. Machines are grouped by kind, each as its name and address in one string, to keep a
+ * block of a thousand machines below the largest value that the state service takes.
  */
 interface StoredShard extends Fields {
   readonly holder: string;
@@ -84,6 +85,7 @@
   readonly kinds?: readonly StoredKind[];
 }
 
+/** Machines of the same type, zone and spot flag as they are stored, each as "ID ADDRESS". */
 export interface StoredKind {
   readonly type: string;
   readonly zone: string;
@@ -91,6 +93,7 @@
   readonly machines: readonly string[];
 }
 
+/** Groups machines by kind as they are stored. */
 export function encodeKinds(machines: readonly BlockMachine[]): StoredKind[] {
   const kinds = new Map<string, { type: string; zone: string; spot: boolean; machines: string[] }>();
   for (const { id, type, zone, spot, address } of machines) {
@@ -102,23 +105,23 @@
   return [...kinds.values()];
 }
 
-/** The record of a shard, or its head alone when its machines stand in pages. */
+/** Encodes the record of a shard, or only its head if its machines are in pages. */
 export function encodeShard(value: ShardValue): StoredShard {
   const { holder, released, earlier, next, epoch } = value;
-  const named = next === null ? {} : { next };
-  const fields = { holder, incarnation: value.incarnation, released, ...named, earlier };
+  const nextField = next === null ? {} : { next };
+  const fields = { holder, incarnation: value.incarnation, released, ...nextField, earlier };
   const machines = epoch === null ? { kinds: encodeKinds(value.machines) } : { epoch };
-  if (value.sealed === true) return { ...value.rest, v: SHARD_FORMAT, ...SEALED, ...machines, seal: fields };
+  if (value.sealed === true) return { ...value.rest, v: SHARD_FORMAT, ...SEALED_FIELDS, ...machines, seal: fields };
   return { ...value.rest, ...(epoch === null ? {} : { v: HEAD_FORMAT }), ...fields, ...machines };
 }
 
-/** What the first release reads of a sealed record. */
-const SEALED = {
+/** The fields that the first release reads of a sealed record. */
+const SEALED_FIELDS = {
   ...{ holder: SEALED_HOLDER as string, incarnation: SEALED_HOLDER as string, released: false },
   earlier: [] as readonly PreviousHolder[],
 };
 
-/** null: not of that form. */
+/** Decodes machines that are grouped by kind; null if the value has another form. */
 export function decodeKinds(value: unknown): BlockMachine[] | null {
   const machines: BlockMachine[] = [];
   for (const kind of asList(value)) {
@@ -136,33 +139,36 @@
 }
 
 /**
- * Who may still command when this node claims the shard. Seen on a day with a restart of every
- * controller: whoever claims after a claimant that never had the proof inherits the doubt, or it
- * would count the workers' leases from the wrong holder's end.
+ * Returns the earlier holders that may still send commands when this node claims the shard. A claimant inherits those that
+ * the previous claimant had no proof against. Otherwise, after a restart of all controllers, it would count the workers'
+ * leases from the end of the wrong holder.
  */
 export function earlierHolders(value: ShardValue | null, self: NodeName): PreviousHolder[] {
   if (value === null) return [];
-  // An earlier life of this very node has ended, or we would not be here.
-  const doubtful = value.earlier.filter((holder) => holder.node !== self);
-  if (value.released || value.holder === self) return doubtful;
-  return [...doubtful.filter((h) => h.node !== value.holder), { node: value.holder, incarnation: value.incarnation }];
+  // An earlier incarnation of this node has ended, since this one is running.
+  const unconfirmed = value.earlier.filter((holder) => holder.node !== self);
+  if (value.released || value.holder === self) return unconfirmed;
+  return [
+    ...unconfirmed.filter((h) => h.node !== value.holder),
+    { node: value.holder, incarnation: value.incarnation },
+  ];
 }
 
-function decodeEarlier(value: unknown): PreviousHolder[] {
+function decodePreviousHolders(value: unknown): PreviousHolder[] {
   const earlier: PreviousHolder[] = [];
   for (const item of asList(value)) {
     const node = isObject(item) ? asString(item['node']) : undefined;
-    const life = isObject(item) ? asString(item['incarnation']) : undefined;
-    if (node !== undefined && life !== undefined)
-      earlier.push({ node: nodeName(node), incarnation: incarnation(life) });
+    const holderIncarnation = isObject(item) ? asString(item['incarnation']) : undefined;
+    if (node !== undefined && holderIncarnation !== undefined)
+      earlier.push({ node: nodeName(node), incarnation: incarnation(holderIncarnation) });
   }
   return earlier;
 }
 
 /**
- * null: this program can't read it. That says nothing about the shard: another release may hold it, and machines
- * and jobs of it may be at work. Only a key that is not there at all is a shard that nobody ever held. Of a head, the
- * machines are not here but in its pages: the directory puts them together.
+ * Decodes a shard's record; null if this program can't read it. An unreadable record doesn't mean that the shard is free:
+ * another release may hold it, with machines and jobs at work. Only a missing key means that nobody ever held the shard.
+ * The machines of a head are not part of the result: the directory adds them from its pages.
  */
 export function decodeShard(value: unknown): ShardValue | null {
   if (!isObject(value) || isForeign(value, SHARD_FORMAT)) return null;
@@ -171,9 +177,9 @@
   const fields = sealed ? value['seal'] : value;
   if (!isObject(fields)) return null;
   const holder = asString(fields['holder']);
-  const life = asString(fields['incarnation']);
+  const holderIncarnation = asString(fields['incarnation']);
   const next = asString(fields['next']);
-  if (holder === undefined || life === undefined) return null;
+  if (holder === undefined || holderIncarnation === undefined) return null;
   const paged = format === HEAD_FORMAT || (sealed && value['epoch'] !== undefined);
   const epoch = paged ? asCount(value['epoch']) : null;
   const machines = paged ? [] : decodeKinds(value['kinds']);
@@ -181,20 +187,20 @@
   return {
     epoch,
     holder: nodeName(holder),
-    incarnation: incarnation(life),
+    incarnation: incarnation(holderIncarnation),
     released: fields['released'] === true,
     next: next === undefined ? null : nodeName(next),
-    earlier: decodeEarlier(fields['earlier']),
+    earlier: decodePreviousHolders(fields['earlier']),
     machines,
     ...(sealed ? { sealed } : {}),
-    rest: unknownFields(value, KNOWN),
+    rest: unknownFields(value, KNOWN_FIELDS),
   };
 }
 
-/** How many bytes of a value one machine takes at most, quotes and comma included. */
-const BYTES_FOR_MACHINE = 48;
-const BYTES_FOR_REST = 2048;
+/** Upper limit of the bytes that one machine takes in a value, quotes and comma included. */
+const MAX_BYTES_PER_MACHINE = 48;
+const MAX_BYTES_OF_OTHER_FIELDS = 2048;
 
-/** How many machines a block may have so that its record stays a value that the state service takes. */
+/** Returns how many machines a block may have so that the state service still takes its record as one value. */
 export const blockLimit = (valueKb: number): number =>
-  Math.max(1, Math.floor((valueKb * 1024 - BYTES_FOR_REST) / BYTES_FOR_MACHINE));
+  Math.max(1, Math.floor((valueKb * 1024 - MAX_BYTES_OF_OTHER_FIELDS) / MAX_BYTES_PER_MACHINE));
--- a/test/carry.test.ts
+++ b/test/carry.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { answersForMs, leftoverForMs, missingFor, reassuredAt, standingOf, startsForMs } from '../src/carry/index.js';
+import {
+  answerGraceMs,
+  leftoverForMs,
+  unacknowledgedHolders,
+  ownershipConfirmedAt,
+  holderModeAt,
+  startGraceMs,
+} from '../src/carry/index.js';
 import { incarnation, millis, nodeName, shardName, type Millis } from '../src/kernel/index.js';
 import { Carrying, FACTS, type Fault, type LeftOut } from './standins/carrying.js';
 
@@ -95,25 +102,33 @@
 
 test('a holder is reassured by its own lease or by a majority, whichever is later', () => {
   const lease = FACTS.nodeLeaseMs;
-  assert.equal(reassuredAt(millis(1000), at(null, null), lease), 1000);
-  assert.equal(reassuredAt(millis(1000), at(9000, null), lease), 5000, 'one of two others makes two of three');
-  assert.equal(reassuredAt(millis(7000), at(9000, null), lease), 7000);
-  assert.equal(reassuredAt(millis(0), at(9000, null, null, null), lease), 0, 'one other of four is no majority');
-  assert.equal(reassuredAt(millis(0), at(9000, 20_000, null, null), lease), 5000, 'the second of two');
-  assert.equal(reassuredAt(millis(0), [], lease), Number.POSITIVE_INFINITY, 'alone, nobody can take its shards');
+  assert.equal(ownershipConfirmedAt(millis(1000), at(null, null), lease), 1000);
+  assert.equal(ownershipConfirmedAt(millis(1000), at(9000, null), lease), 5000, 'one of two others makes two of three');
+  assert.equal(ownershipConfirmedAt(millis(7000), at(9000, null), lease), 7000);
+  assert.equal(
+    ownershipConfirmedAt(millis(0), at(9000, null, null, null), lease),
+    0,
+    'one other of four is no majority',
+  );
+  assert.equal(ownershipConfirmedAt(millis(0), at(9000, 20_000, null, null), lease), 5000, 'the second of two');
+  assert.equal(
+    ownershipConfirmedAt(millis(0), [], lease),
+    Number.POSITIVE_INFINITY,
+    'alone, nobody can take its shards',
+  );
 });
 
 test('a holder that nobody reassures starts nothing, then answers nobody, in time for the workers’ leases', () => {
   const since = millis(100_000);
-  const after = (ms: number) => standingOf(millis(since + ms), since, FACTS);
-  assert.deepEqual([after(0), after(startsForMs(FACTS)), after(startsForMs(FACTS) + 1)], ['all', 'all', 'answers']);
-  assert.equal(after(answersForMs(FACTS) + 1), 'nothing');
+  const after = (ms: number) => holderModeAt(millis(since + ms), since, FACTS);
+  assert.deepEqual([after(0), after(startGraceMs(FACTS)), after(startGraceMs(FACTS) + 1)], ['all', 'all', 'answers']);
+  assert.equal(after(answerGraceMs(FACTS) + 1), 'nothing');
   // The earliest moment at which somebody else can have told a user, the workers' lease behind the last answer.
   const earliestToldMs = FACTS.nodeLeaseMs / 1.002;
-  assert.ok(answersForMs(FACTS) + FACTS.leaseMs < earliestToldMs + FACTS.cancelMs);
+  assert.ok(answerGraceMs(FACTS) + FACTS.leaseMs < earliestToldMs + FACTS.cancelMs);
   assert.ok(leftoverForMs(FACTS) + FACTS.leaseMs < FACTS.cancelMs);
   const tight = { cancelMs: 10_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
-  assert.ok(answersForMs(tight) > 0, 'settings that nobody can keep: it goes on for a while all the same');
+  assert.ok(answerGraceMs(tight) > 0, 'settings that nobody can keep: it goes on for a while all the same');
 });
 
 test('who must still be told: holders whose life has neither heard, nor seen, nor ended', () => {
@@ -122,16 +137,24 @@
   const held = { shard: shardName('n-1'), holder: other, incarnation: now, released: false };
   const never = (): boolean => false;
   const lives = {
-    ...{ self, acknowledges: () => true },
-    ...{ hasAcknowledged: never, hasSeen: never, hasEnded: never },
+    ...{ self, mayAcknowledge: () => true },
+    ...{ hasAcknowledged: never, watchHasReached: never, hasEnded: never },
   };
-  assert.deepEqual(missingFor([held], lives), [{ shard: 'n-1', node: 'n-1' }]);
-  assert.deepEqual(missingFor([{ ...held, released: true }], lives), []);
-  assert.deepEqual(missingFor([{ ...held, holder: self, incarnation: before }], lives), []);
-  assert.deepEqual(missingFor([held], { ...lives, acknowledges: never }), [], 'an earlier release only hears it');
-  for (const way of ['hasAcknowledged', 'hasSeen', 'hasEnded'] as const) {
+  assert.deepEqual(unacknowledgedHolders([held], lives), [{ shard: 'n-1', node: 'n-1' }]);
+  assert.deepEqual(unacknowledgedHolders([{ ...held, released: true }], lives), []);
+  assert.deepEqual(unacknowledgedHolders([{ ...held, holder: self, incarnation: before }], lives), []);
+  assert.deepEqual(
+    unacknowledgedHolders([held], { ...lives, mayAcknowledge: never }),
+    [],
+    'an earlier release only hears it',
+  );
+  for (const way of ['hasAcknowledged', 'watchHasReached', 'hasEnded'] as const) {
     const knows = { ...lives, [way]: (_node: unknown, life: unknown) => life === now };
-    assert.deepEqual(missingFor([held], knows), []);
-    assert.equal(missingFor([{ ...held, incarnation: before }], knows).length, 1, 'another life says nothing of it');
+    assert.deepEqual(unacknowledgedHolders([held], knows), []);
+    assert.equal(
+      unacknowledgedHolders([{ ...held, incarnation: before }], knows).length,
+      1,
+      'another life says nothing of it',
+    );
   }
 });
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -8,9 +8,9 @@
   encodePage,
   encodeShard,
   enter,
-  flipGuards,
+  moveToPagesGuards,
   foldGuards,
-  layOut,
+  layOutPages,
   leave,
   ShardDirectory,
   stageChanges,
@@ -204,7 +204,7 @@
       if (!write(view, { ...change, purpose: 'stage' }, i === lateOne)) return;
     }
     const there = [...view.directory.pagesOf(shard).values()].filter((page) => page !== null);
-    const guards = flipGuards(shard, known.version, there, MOST_CONDITIONS);
+    const guards = moveToPagesGuards(shard, known.version, there, MOST_CONDITIONS);
     const value = encodeShard({ ...known.value, incarnation: incarnation(life), epoch: known.version });
     const ops = [{ put: shardKey(shard), value }];
     write(view, { guards, ops, purpose: 'flip' }, lateOne === changes.length);
@@ -323,8 +323,8 @@
     ...machine(`host-${String(i).padStart(6, '0')}`),
     ...{ address: `10.1.${i >> 8}.${i & 255}:9000`, type: i % 3 === 0 ? 'dispensary' : 'theatre', spot: i % 2 === 0 },
   }));
-  const pages = layOut(7, machines, 2048);
-  assert.deepEqual(layOut(7, [...machines].reverse(), 2048), pages);
+  const pages = layOutPages(7, machines, 2048);
+  assert.deepEqual(layOutPages(7, [...machines].reverse(), 2048), pages);
   for (const page of pages) assert.ok(valueBytes(encodePage(7, page)) <= 2048);
   assert.equal(pages.flat().length, 1077);
   assert.ok(pages.length < 32, String(pages.length));
