--- a/src/carry/bound.ts
+++ b/src/carry/bound.ts
@@ -32,14 +32,14 @@
 /** Returns how long a holder keeps starting tasks after the last confirmation that it still owns its shards. */
 export const startGraceMs = (timings: BoundFacts): number => answerGraceMs(timings) - START_CUTOFF_LEAD_MS;
 
-/** Returns how long a machine is answered that still lists tasks of a job which its holder knows to have ended. */
+/** Returns how long a machine is still answered while it lists tasks of a job that its holder knows to have ended. */
 export const leftoverForMs = ({ cancelMs, leaseMs }: BoundFacts): number =>
   Math.max(2000, (cancelMs - withDrift(leaseMs) - PROPAGATION_MARGIN_MS) / 2);
 
 /**
  * Returns the latest time at which this node's ownership of its shards was confirmed. Either its own lease was renewed, or
  * a majority of all controllers, this one included, report no other holder. The second case is nearly as certain as the
- * first: the state service may refuse a single node, but if a majority can't reach it, it is down for every node, so nobody
+ * first: the state service may refuse a single node, but if a majority can't reach it, it is down for all, so that nobody
  * can claim the shards. Pure function. `confirmations` holds, for each other controller, the latest time on this node's
  * clock at which it reported no other holder, or null. A renewed lease stays valid for `nodeLeaseMs` after the renewal; a
  * confirmation by other controllers doesn't, so `nodeLeaseMs` is subtracted from its time.
--- a/src/carry/carrier.ts
+++ b/src/carry/carrier.ts
@@ -30,8 +30,9 @@
 const HEARTBEAT_INTERVAL_MS = 1000;
 /** A peer that hasn't echoed any of our heartbeats for this long may not receive our frames. */
 const ECHO_TIMEOUT_MS = 2500;
+/** Shortest interval between two writes of the revision up to which this node has seen the ends of jobs. */
 const SEEN_WRITE_INTERVAL_MS = 1000;
-/** Cancellations that are waiting for acknowledgements; beyond this number the oldest one is dropped. */
+/** Cancellations that are waiting for acknowledgements; beyond this number the least recently checked one is dropped. */
 const MAX_PENDING_CANCELLATIONS = 4000;
 /** Pending cancellations that are checked and resent in one round. */
 const MAX_RECHECKS_PER_ROUND = 200;
@@ -73,7 +74,7 @@
   /** Incarnations that have acknowledged it. */
   readonly acks: Set<Incarnation>;
   /** Requests of users that wait for the result. */
-  readonly waiters: Set<(carried: boolean) => void>;
+  readonly waiters: Set<(acknowledged: boolean) => void>;
 }
 
 /** The latest heartbeat stamp of a peer, on the peer's clock, and the incarnation that sent it. */
@@ -92,7 +93,7 @@
   private readonly pending = new Map<JobId, PendingCancellation>();
   private readonly acknowledgedJobs = new Set<JobId>();
   private readonly peerStamps = new Map<NodeName, PeerStamp>();
-  /** When each peer at the earliest confirmed that it knows of no other holder of our shards, on this node's clock. */
+  /** Earliest time, on this node's clock, at which each peer can have sent its latest confirmation of our shards. */
   private readonly confirmedByPeerAt = new Map<NodeName, Millis>();
   /** Send time of the latest of our heartbeats that each peer is known to have received, on this node's clock. */
   private readonly echoedByPeerAt = new Map<NodeName, Millis>();
@@ -128,7 +129,7 @@
       this.notify(job, pending, deps.others);
     }
     if (!deps.on()) {
-      // Not every controller takes part yet: each one acts on the frame when it arrives, and nobody waits for acknowledgements.
+      // Some controller doesn't take part yet: each one acts on the frame at once, and nobody waits for acknowledgements.
       this.resolvePending(job, pending, true);
       return true;
     }
@@ -145,12 +146,14 @@
     });
   }
 
+  /** Adds a cancellation; at the limit it drops the least recently checked one, whose waiting users have to retry. */
   private addPending(job: JobId, pending: PendingCancellation): void {
     const [oldest] = this.pending;
     if (this.pending.size >= MAX_PENDING_CANCELLATIONS && oldest) this.resolvePending(...oldest, false);
     this.pending.set(job, pending);
   }
 
+  /** Ends a pending cancellation and tells the waiting requests whether all holders have acknowledged it. */
   private resolvePending(job: JobId, pending: PendingCancellation, acknowledged: boolean): void {
     this.pending.delete(job);
     if (acknowledged) {
@@ -209,6 +212,7 @@
     return status?.incarnation !== incarnation || status.features.includes(CARRIED_CANCELLATIONS);
   }
 
+  /** Sends the cancellation to nodes, as a `cancelled` frame to earlier releases, which don't acknowledge it. */
   private notify(job: JobId, { final, version }: PendingCancellation, nodes: Iterable<NodeName>): void {
     const { done, at } = final;
     const { peers } = this.deps;
@@ -248,13 +252,14 @@
     }
   }
 
+  /** Handles a peer's heartbeat: its echo of our heartbeats and its view of who holds the shards. */
   private onHeartbeat(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: Word): void {
     const known = this.peerStamps.get(from);
     if (known?.incarnation !== incarnation || known.stamp < stamp) this.peerStamps.set(from, { incarnation, stamp });
     const { self, incarnation: own } = this.deps;
     if (echo < 0 || echoOf !== own) return;
-    // The peer sent this after it had received our heartbeat, which was sent at `echo`: however late this frame arrives,
-    // what it says holds at least as of that time and is treated as no newer.
+    // The peer sent this frame after it had received the heartbeat that we sent at `echo`. However late the frame arrives,
+    // it therefore counts as a report of that time and no later.
     const sentAt = millis(Math.min(echo, this.deps.runtime.now()));
     if (sentAt > (this.echoedByPeerAt.get(from) ?? NEVER)) this.echoedByPeerAt.set(from, sentAt);
     let confirms = true;
@@ -267,6 +272,7 @@
     if (confirms) this.confirm(from, sentAt);
   }
 
+  /** Notes that a peer confirmed this node's ownership as of `at`. */
   private confirm(node: NodeName, at: Millis): void {
     if (at <= (this.confirmedByPeerAt.get(node) ?? NEVER)) return;
     this.confirmedByPeerAt.set(node, at);
@@ -309,6 +315,7 @@
     await this.writeSeenRevision(now);
   }
 
+  /** Sends every peer our view of who holds the shards, and the echo of its latest stamp. */
   private sendHeartbeats(now: Millis): void {
     const { deps } = this;
     const shards = [...deps.directory.all].map(([shard, { value, version }]) => {
--- a/src/carry/missing.ts
+++ b/src/carry/missing.ts
@@ -1,9 +1,6 @@
 import type { Incarnation, NodeName, ShardName } from '../kernel/index.js';
 
-/**
- * The stored holder of a shard. It is read from a mirror that has reached at least the revision of the job's final record
- * that is being propagated.
- */
+/** The stored holder of a shard, read at or after the revision of the final record that is being propagated. */
 export interface ShardHolder {
   readonly shard: ShardName;
   /** The node that holds the shard. */
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -27,7 +27,9 @@
    * later change of the old block then removed the machine from both, and it was leased a second time.
    */
   private readonly shardsByMachine = new Map<MachineId, readonly ShardName[]>();
+  /** Shards that this program can't read, with the versions of their records. */
   private readonly unreadableRecords = new Map<ShardName, Revision>();
+  /** Generations of the mirror's directories that were last decoded. */
   private generation = '';
   private latestVersion = 0;
 
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,3 +1,5 @@
+// Membership of the cluster: node leases, the leader election, shard ownership, and the stored blocks of machines.
+
 export * from './membership.js';
 export * from './shard.js';
 export * from './settle.js';
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -38,7 +38,7 @@
 export interface MembershipHooks {
   /** The shards that this node holds. */
   held(): readonly ShardName[];
-  /** Reads from the state service whether this node still holds its shards; called after its lease had lapsed. */
+  /** Reads from the state service whether this node still holds its shards. Needed whenever its lease may have lapsed. */
   verify(): Promise<boolean>;
   /** False while another node is better suited to hold shards. */
   mayClaim(): boolean;
@@ -52,7 +52,7 @@
 
 /**
  * Reports whether a shard is free to be claimed: it was never held, its holder has released it, or the holder's key is gone
- * or belongs to a later incarnation of the node. Not to be asked for records that can't be read: some node may hold them.
+ * or belongs to a later incarnation of the node. Must not be called for an unreadable record: some node may hold that shard.
  */
 export function isVacant(value: ShardValue | null, liveIncarnationOf: (node: NodeName) => Incarnation | null): boolean {
   return value === null || value.released || liveIncarnationOf(value.holder) !== value.incarnation;
@@ -66,7 +66,9 @@
   private ownershipVerified = false;
   /** Version of this node's key while it is registered. */
   private nodeVersion: Revision | undefined;
+  /** Possible remaining holders of each shard as of our latest claim. */
   private readonly previousHolders = new Map<ShardName, readonly PreviousHolder[]>();
+  /** When this node first saw each shard vacant. */
   private vacantSince = new Map<ShardName, Millis>();
   /** Unreadable shards that have been logged. */
   private readonly loggedUnreadable = new Set<ShardName>();
@@ -248,7 +250,10 @@
     }
   }
 
-  /** Doesn't claim an unreadable record: overwriting it would lose its machines and run again what runs on them. */
+  /**
+   * Leaves a shard with an unreadable record alone and logs it once. Claiming it would overwrite the record, lose its
+   * machines, and run the tasks on them a second time.
+   */
   private skipUnreadable(shard: ShardName): void {
     this.vacantSince.delete(shard);
     if (this.loggedUnreadable.has(shard)) return;
@@ -279,6 +284,7 @@
     );
   }
 
+  /** Claims a shard at the given version of its record; 0: the shard was never held. */
   private async claimShard(
     shard: ShardName,
     version: number,
@@ -329,7 +335,7 @@
     this.mirror.apply({ key: shardKey(shard), value: encodeShard(next), removed: false, version: result.revision });
   }
 
-  /** Logs a failed claim once for each version of the record, because the claim is retried every round. */
+  /** Logs a failed claim, but only once for each version of the record, because the claim is retried every round. */
   private logRefusedClaim(shard: ShardName, over: number, why: TxnResult['kind']): void {
     if (this.loggedRefusals.get(shard) === over) return;
     this.loggedRefusals.set(shard, over);
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -51,7 +51,7 @@
         log.info({ shard, epoch: known.version, pages: ops.length, revision: result.revision }, 'staged pages');
         continue;
       }
-      // The record has changed, another node has staged the pages, or a write of ours is still in flight: read what is stored.
+      // The record has changed, another node has staged the pages, or our write is in flight: what is stored decides.
       if (result.kind !== 'refused') await rereadGuards(state, mirror, guards);
       log.info({ shard, epoch: known.version, seenUpTo: mirror.seenUpTo, why: result.kind }, 'pages are not staged');
       return false;
@@ -90,6 +90,7 @@
     return done;
   }
 
+  /** Writes a shard's record or head under guards and reports whether that succeeded. */
   private async writeRecord(shard: ShardName, next: ShardValue, guards: readonly Guard[]): Promise<boolean> {
     const { state, mirror } = this.deps;
     const key = shardKey(shard);
--- a/src/membership/settle.ts
+++ b/src/membership/settle.ts
@@ -14,8 +14,8 @@
 ): Promise<void> => settleKey(shardKey(shard), state, mirror, runtime, shouldContinue);
 
 /**
- * Does the same for any key. A value that depends on its own version has to be adapted by `rewrite`, because the write
- * gives the key a new version. Returns early when `shouldContinue` returns false.
+ * Fences off a write of unknown outcome to any key. Since this gives the key a new version, `rewrite` has to put into the
+ * value itself whatever depended on the old version. Gives up when `shouldContinue` returns false.
  */
 export async function settleKey(
   key: string,
--- a/src/membership/shard.ts
+++ b/src/membership/shard.ts
@@ -54,12 +54,14 @@
  * machines in pages, and 3 is a sealed record of either kind. See docs/rollout-design.md.
  */
 export const SHARD_FORMAT = 3;
+/** Format of a head that isn't sealed. */
 const HEAD_FORMAT = 2;
 /**
  * The nominal holder of a sealed record. It is meant for the first release, which ignores formats: the key of this node is
  * never removed, so that release sees the shard as held. The actual holder is in the field `seal`.
  */
 export const SEALED_HOLDER = nodeName('sealed');
+/** Fields that this release understands; all others are preserved in `rest`. */
 const KNOWN_FIELDS: ReadonlySet<string> = new Set([
   'holder',
   'incarnation',
@@ -139,9 +141,9 @@
 }
 
 /**
- * Returns the earlier holders that may still send commands when this node claims the shard. A claimant inherits those that
- * the previous claimant had no proof against. Otherwise, after a restart of all controllers, it would count the workers'
- * leases from the end of the wrong holder.
+ * Returns the earlier holders that may still send commands when this node claims the shard. A claimant inherits the holders
+ * that the previous claimant hadn't proven to have stopped. Otherwise it would count the workers' leases from the end of the
+ * wrong holder, which happened when all controllers were restarted.
  */
 export function earlierHolders(value: ShardValue | null, self: NodeName): PreviousHolder[] {
   if (value === null) return [];
@@ -199,6 +201,7 @@
 
 /** Upper limit of the bytes that one machine takes in a value, quotes and comma included. */
 const MAX_BYTES_PER_MACHINE = 48;
+/** Upper limit of the bytes that all other fields of a record take. */
 const MAX_BYTES_OF_OTHER_FIELDS = 2048;
 
 /** Returns how many machines a block may have so that the state service still takes its record as one value. */
