--- a/src/carry/carrier.ts
+++ b/src/carry/carrier.ts
@@ -24,7 +24,9 @@
   type UnacknowledgedHolder,
 } from './missing.js';
 
-/** How long a user's request waits for acknowledgements. After that the user has to retry; notifying holders goes on. */
+/**
+ * How long a user's request waits for acknowledgements. After that the user has to retry; notifying holders goes on.
+ */
 const USER_ANSWER_TIMEOUT_MS = 700;
 /** Interval of the heartbeats (`word` frames) to the other controllers. */
 const HEARTBEAT_INTERVAL_MS = 1000;
@@ -32,7 +34,9 @@
 const ECHO_TIMEOUT_MS = 2500;
 /** Shortest interval between two writes of the revision up to which this node has seen the ends of jobs. */
 const SEEN_WRITE_INTERVAL_MS = 1000;
-/** Cancellations that are waiting for acknowledgements; beyond this number the least recently checked one is dropped. */
+/**
+ * Cancellations that are waiting for acknowledgements; beyond this number the least recently checked one is dropped.
+ */
 const MAX_PENDING_CANCELLATIONS = 4000;
 /** Pending cancellations that are checked and resent in one round. */
 const MAX_RECHECKS_PER_ROUND = 200;
@@ -115,8 +119,8 @@
   // ---- sending cancellations
 
   /**
-   * Resolves to true when the user may be told that the job is cancelled: every holder has acknowledged it, or doesn't need
-   * to. Resolves to false when that takes longer than the timeout for the user's answer.
+   * Resolves to true when the user may be told that the job is cancelled: every holder has acknowledged it, or doesn't
+   * need to. Resolves to false when that takes longer than the timeout for the user's answer.
    */
   async carried(job: JobId, final: JobFinal, version: Revision): Promise<boolean> {
     if (this.acknowledgedJobs.has(job)) return true;
@@ -129,7 +133,8 @@
       this.notify(job, pending, deps.others);
     }
     if (!deps.on()) {
-      // Some controller doesn't take part yet: each one acts on the frame at once, and nobody waits for acknowledgements.
+      // Some controller doesn't take part yet: each one acts on the frame at once, and nobody waits for
+      // acknowledgements.
       this.resolvePending(job, pending, true);
       return true;
     }
@@ -202,8 +207,8 @@
   }
 
   /**
-   * Reports whether an incarnation may acknowledge cancellations. An unknown incarnation counts as one that does: either
-   * its shard is claimed by another node in time, or it is heard again.
+   * Reports whether an incarnation may acknowledge cancellations. An unknown incarnation counts as one that does:
+   * either its shard is claimed by another node in time, or it is heard again.
    */
   private mayAcknowledge(node: NodeName, incarnation: Incarnation): boolean {
     const announced = decodeAnnouncement(this.deps.mirror.get(nodeKey(node))?.value);
@@ -229,7 +234,10 @@
 
   // ---- receiving frames
 
-  /** Handles the frames of this module: `withdrawn` (a cancellation), `heard` (its acknowledgement), `word` (a heartbeat). */
+  /**
+   * Handles the frames of this module: `withdrawn` (a cancellation), `heard` (its acknowledgement), `word` (a
+   * heartbeat).
+   */
   onPeer(from: NodeName, message: PeerMessage): void {
     switch (message.kind) {
       case 'withdrawn': {
@@ -258,8 +266,8 @@
     if (known?.incarnation !== incarnation || known.stamp < stamp) this.peerStamps.set(from, { incarnation, stamp });
     const { self, incarnation: own } = this.deps;
     if (echo < 0 || echoOf !== own) return;
-    // The peer sent this frame after it had received the heartbeat that we sent at `echo`. However late the frame arrives,
-    // it therefore counts as a report of that time and no later.
+    // The peer sent this frame after it had received the heartbeat that we sent at `echo`. However late the frame
+    // arrives, it therefore counts as a report of that time and no later.
     const sentAt = millis(Math.min(echo, this.deps.runtime.now()));
     if (sentAt > (this.echoedByPeerAt.get(from) ?? NEVER)) this.echoedByPeerAt.set(from, sentAt);
     let confirms = true;
@@ -336,8 +344,8 @@
   }
 
   /**
-   * Records in the state service up to which revision this node has seen the ends of jobs, if some peer may not receive our
-   * frames. The peer reads it there instead of an acknowledgement.
+   * Records in the state service up to which revision this node has seen the ends of jobs, if some peer may not receive
+   * our frames. The peer reads it there instead of an acknowledgement.
    */
   private async writeSeenRevision(now: Millis): Promise<void> {
     const { deps } = this;
--- a/src/carry/missing.ts
+++ b/src/carry/missing.ts
@@ -14,15 +14,17 @@
 export interface IncarnationQueries {
   readonly self: NodeName;
   /**
-   * Reports whether the node's program may acknowledge cancellations. An earlier release may come back at any time, so it
-   * is only notified and never waited for.
+   * Reports whether the node's program may acknowledge cancellations. An earlier release may come back at any time, so
+   * it is only notified and never waited for.
    */
   mayAcknowledge(node: NodeName, incarnation: Incarnation): boolean;
   /** Reports whether this incarnation of the node has itself acknowledged the end of the job. */
   hasAcknowledged(node: NodeName, incarnation: Incarnation): boolean;
   /** Reports whether the state service shows that this incarnation's watch has reached the job's final record. */
   watchHasReached(node: NodeName, incarnation: Incarnation): boolean;
-  /** Reports whether the state service shows a later incarnation of the node: the earlier one is over and never answers. */
+  /**
+   * Reports whether the state service shows a later incarnation of the node: the earlier one is over and never answers.
+   */
   hasEnded(node: NodeName, incarnation: Incarnation): boolean;
 }
 
@@ -33,9 +35,9 @@
 }
 
 /**
- * Returns the holders that may still run a job's tasks without knowing that it has ended. Pure function. A released shard
- * has no holder, and this node needs no acknowledgement for its own shards. An expired lease doesn't prove that a holder
- * has stopped: it continues until another node has claimed the shard.
+ * Returns the holders that may still run a job's tasks without knowing that it has ended. Pure function. A released
+ * shard has no holder, and this node needs no acknowledgement for its own shards. An expired lease doesn't prove that a
+ * holder has stopped: it continues until another node has claimed the shard.
  */
 export function unacknowledgedHolders(
   shards: Iterable<ShardHolder>,
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -11,9 +11,9 @@
 }
 
 /**
- * All shards as the mirror has them: either a record with its machines, or a head with the pages of its epoch. Each value is
- * decoded once per version, because it holds hundreds of machines and every misdirected report looks up which shard its
- * machine belongs to.
+ * All shards as the mirror has them: either a record with its machines, or a head with the pages of its epoch. Each
+ * value is decoded once per version, because it holds hundreds of machines and every misdirected report looks up which
+ * shard its machine belongs to.
  */
 export class ShardDirectory {
   private readonly records = new Map<ShardName, DecodedRecord>();
@@ -22,9 +22,9 @@
   private readonly pageVersions = new Map<string, Revision>();
   private readonly shards = new Map<ShardName, KnownShard>();
   /**
-   * The blocks that name a machine, the latest one last. There may be two for a moment, when the mirror has the block that
-   * the machine moved to and not yet the change of the block that it left. A single name per machine isn't enough: the
-   * later change of the old block then removed the machine from both, and it was leased a second time.
+   * The blocks that name a machine, the latest one last. There may be two for a moment, when the mirror has the block
+   * that the machine moved to and not yet the change of the block that it left. A single name per machine isn't enough:
+   * the later change of the old block then removed the machine from both, and it was leased a second time.
    */
   private readonly shardsByMachine = new Map<MachineId, readonly ShardName[]>();
   /** Shards that this program can't read, with the versions of their records. */
@@ -48,8 +48,8 @@
   }
 
   /**
-   * The revision of the newest change to any block in the mirror. Once the watch has reached it, all blocks together are a
-   * consistent snapshot. Before that, a machine that has moved may seem to be in no block.
+   * The revision of the newest change to any block in the mirror. Once the watch has reached it, all blocks together
+   * are a consistent snapshot. Before that, a machine that has moved may seem to be in no block.
    */
   get newest(): Revision {
     this.refresh();
@@ -124,8 +124,8 @@
 
   /**
    * Shards whose record or pages this program can't read, with the version of the record. Their machines are not known
-   * here, so a controller that sees one doesn't claim it, doesn't become leader, and doesn't touch machines that belong to
-   * no known block.
+   * here, so a controller that sees one doesn't claim it, doesn't become leader, and doesn't touch machines that belong
+   * to no known block.
    */
   get unreadable(): ReadonlyMap<ShardName, Revision> {
     this.refresh();
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -38,7 +38,9 @@
 export interface MembershipHooks {
   /** The shards that this node holds. */
   held(): readonly ShardName[];
-  /** Reads from the state service whether this node still holds its shards. Needed whenever its lease may have lapsed. */
+  /**
+   * Reads from the state service whether this node still holds its shards. Needed whenever its lease may have lapsed.
+   */
   verify(): Promise<boolean>;
   /** False while another node is better suited to hold shards. */
   mayClaim(): boolean;
@@ -51,8 +53,9 @@
 }
 
 /**
- * Reports whether a shard is free to be claimed: it was never held, its holder has released it, or the holder's key is gone
- * or belongs to a later incarnation of the node. Must not be called for an unreadable record: some node may hold that shard.
+ * Reports whether a shard is free to be claimed: it was never held, its holder has released it, or the holder's key is
+ * gone or belongs to a later incarnation of the node. Must not be called for an unreadable record: some node may hold
+ * that shard.
  */
 export function isVacant(value: ShardValue | null, liveIncarnationOf: (node: NodeName) => Incarnation | null): boolean {
   return value === null || value.released || liveIncarnationOf(value.holder) !== value.incarnation;
@@ -106,7 +109,10 @@
     return this.leaseProvenAt;
   }
 
-  /** True while our lease is certain to be valid, clock drift included: until it expires nobody can claim a shard of ours. */
+  /**
+   * True while our lease is certain to be valid, clock drift included: until it expires nobody can claim a shard of
+   * ours.
+   */
   get certain(): boolean {
     return this.clock.now() < this.leaseProvenAt + LEASE_MS / 1.002;
   }
@@ -133,7 +139,9 @@
     return isObject(value) && typeof value['node'] === 'string' ? (value['node'] as NodeName) : null;
   }
 
-  /** The version of the leader's key while this node is the leader, otherwise null. It guards every write of the leader. */
+  /**
+   * The version of the leader's key while this node is the leader, otherwise null. It guards every write of the leader.
+   */
   get leading(): Revision | null {
     const entry = this.mirror.get(LEADER);
     if (!entry || !isObject(entry.value) || entry.value['incarnation'] !== this.incarnation) return null;
@@ -168,8 +176,8 @@
     const key = nodeKey(this.self);
     const known = await this.state.get(key);
     if (known.kind === 'unavailable') return;
-    // Without the guard, a delayed registration of an earlier incarnation could replace this one: its lease may still be
-    // valid for a moment, and our shards would seem vacant while we hold them.
+    // Without the guard, a delayed registration of an earlier incarnation could replace this one: its lease may still
+    // be valid for a moment, and our shards would seem vacant while we hold them.
     const guard = { key, version: known.kind === 'found' ? (known.entry.version as number) : 0 };
     const result = await this.state.txn(Urgency.session, [guard], [{ put: key, value, lease: this.lease }], 1500);
     if (result.kind === 'ok') {
@@ -223,7 +231,9 @@
     this.logTermChange();
   }
 
-  /** Runs one round of claiming vacant shards: this node's own shard at once, others after a delay that depends on rank. */
+  /**
+   * Runs one round of claiming vacant shards: this node's own shard at once, others after a delay that depends on rank.
+   */
   async claim(): Promise<void> {
     const nodeVersion = this.nodeVersion;
     if (nodeVersion === undefined || !this.hooks.mayClaim()) return;
@@ -235,7 +245,8 @@
         continue;
       }
       this.loggedUnreadable.delete(shard);
-      // Taken from the directory: this runs several times a second, and a record with hundreds of machines is decoded once.
+      // Taken from the directory: this runs several times a second, and a record with hundreds of machines is decoded
+      // once.
       const value = this.directory.all.get(shard)?.value ?? null;
       if (!isVacant(value, this.alive)) {
         this.vacantSince.delete(shard);
@@ -301,7 +312,8 @@
     const known = this.directory.all.get(shard);
     const paged = this.hooks.paged();
     const movesToPages = paged && value?.epoch === null && known !== undefined;
-    // The record as a single value may exceed the state service's limit by now, so its machines are staged in pages first.
+    // The record as a single value may exceed the state service's limit by now, so its machines are staged in pages
+    // first.
     if (movesToPages && !(await this.paging.stage(shard, known, Urgency.session))) return;
     const recordGuards = movesToPages
       ? this.paging.moveToPagesGuards(shard, known.version, nodes.length)
--- a/src/membership/pages.ts
+++ b/src/membership/pages.ts
@@ -1,5 +1,5 @@
-// A shard's machines (its block) are stored either in the shard's record, or in several pages with the record reduced to a
-// head that names the epoch of its pages. This module has the pure functions that encode, lay out and change them.
+// A shard's machines (its block) are stored either in the shard's record, or in several pages with the record reduced
+// to a head that names the epoch of its pages. This module has the pure functions that encode, lay out and change them.
 
 import { asCount, isObject, type MachineId, type Revision, type ShardName } from '../kernel/index.js';
 import { isForeign, pageKey, PAGES, shardKey, valueBytes, type Fields, type Guard, type Op } from '../state/index.js';
@@ -63,7 +63,9 @@
 const fitsInPage = (epoch: number, machines: readonly BlockMachine[], maxBytes: number): boolean =>
   valueBytes(encodePage(epoch, machines)) <= maxBytes * PAGE_FILL_RATIO;
 
-/** Distributes machines over pages. Deterministic: every caller with the same machines and limit gets the same pages. */
+/**
+ * Distributes machines over pages. Deterministic: every caller with the same machines and limit gets the same pages.
+ */
 export function layOutPages(epoch: number, machines: readonly BlockMachine[], maxBytes: number): BlockMachine[][] {
   const pages: BlockMachine[][] = [];
   let page: BlockMachine[] = [];
@@ -143,16 +145,16 @@
 }
 
 /**
- * Guards for moving a shard's machines from its pages back into its record: the head, its pages, and the key that the next
- * new page would get. Without the last one, a machine in a page that the holder hadn't seen yet was lost.
+ * Guards for moving a shard's machines from its pages back into its record: the head, its pages, and the key that the
+ * next new page would get. Without the last one, a machine in a page that the holder hadn't seen yet was lost.
  */
 export const foldGuards = (shard: ShardName, { version, pages, spare }: KnownShard): Guard[] =>
   blockGuards(shard, version, [...pages, ...spare]);
 
 /**
- * Guards for turning a record into the head of the pages that were staged for it. `existing` are all pages of the shard, as
- * staged. Guards beyond `maxConditions` are dropped, last pages first: a record that may no longer be a single value has to
- * be moved to pages however many it takes.
+ * Guards for turning a record into the head of the pages that were staged for it. `existing` are all pages of the
+ * shard, as staged. Guards beyond `maxConditions` are dropped, last pages first: a record that may no longer be a
+ * single value has to be moved to pages however many it takes.
  */
 export const moveToPagesGuards = (
   shard: ShardName,
@@ -162,9 +164,9 @@
 ): Guard[] => blockGuards(shard, version, [...existing]).slice(0, maxConditions);
 
 /**
- * Returns the writes that stage a record's machines in pages, one for each page that doesn't hold its machines yet, or null
- * if a page of a later release is in the way. Each write is guarded by the record, too: if the record has changed, its head
- * may now name the very pages that were staged for an older version.
+ * Returns the writes that stage a record's machines in pages, one for each page that doesn't hold its machines yet, or
+ * null if a page of a later release is in the way. Each write is guarded by the record, too: if the record has changed,
+ * its head may now name the very pages that were staged for an older version.
  */
 export function stageChanges(
   shard: ShardName,
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -33,9 +33,10 @@
   constructor(private readonly deps: PagingDeps) {}
 
   /**
-   * Stages pages for the record at its current version, in small writes; resolves to true once all of them are stored. They
-   * are void until a head names their epoch, which is the version of the record. A process that stops halfway therefore
-   * leaves nothing to undo, and another one can continue. If the record changes meanwhile, the pages are staged anew.
+   * Stages pages for the record at its current version, in small writes; resolves to true once all of them are stored.
+   * They are void until a head names their epoch, which is the version of the record. A process that stops halfway
+   * therefore leaves nothing to undo, and another one can continue. If the record changes meanwhile, the pages are
+   * staged anew.
    */
   async stage(shard: ShardName, known: KnownShard, urgency: Urgency): Promise<boolean> {
     const { state, directory, mirror, log } = this.deps;
@@ -68,8 +69,8 @@
   }
 
   /**
-   * Turns a record into a head once all pages are staged, by one small write that is guarded by the record and its pages.
-   * Called by the holder of the shard.
+   * Turns a record into a head once all pages are staged, by one small write that is guarded by the record and its
+   * pages. Called by the holder of the shard.
    */
   async flip(shard: ShardName, known: KnownShard): Promise<void> {
     if (!(await this.stage(shard, known, Urgency.shard))) return;
@@ -79,8 +80,8 @@
   }
 
   /**
-   * Moves the machines back into the record, by one write that is guarded by the head and all pages. Resolves to false if
-   * that takes more guards than a transaction may have, or if the write failed.
+   * Moves the machines back into the record, by one write that is guarded by the head and all pages. Resolves to false
+   * if that takes more guards than a transaction may have, or if the write failed.
    */
   async fold(shard: ShardName, known: KnownShard): Promise<boolean> {
     const guards = foldGuards(shard, known);
--- a/src/membership/seal.ts
+++ b/src/membership/seal.ts
@@ -10,12 +10,15 @@
   readonly log: Logger;
 }
 
-/** Value of the node key of a sealed record's nominal holder. It is never removed, so the first release sees a live node. */
+/**
+ * Value of the node key of a sealed record's nominal holder. It is never removed, so the first release sees a live
+ * node.
+ */
 const SEALED_NODE_VALUE = { incarnation: SEALED_HOLDER as string };
 
 /**
- * Seals a shard's record, which makes releases without quota shares leave it alone, or removes the seal. Only the holder of
- * the shard does this.
+ * Seals a shard's record, which makes releases without quota shares leave it alone, or removes the seal. Only the
+ * holder of the shard does this.
  */
 export class Seals {
   constructor(private readonly deps: ShardSealerDeps) {}
--- a/src/membership/shard.ts
+++ b/src/membership/shard.ts
@@ -39,8 +39,8 @@
   readonly earlier: readonly PreviousHolder[];
   readonly machines: readonly BlockMachine[];
   /**
-   * null: the machines are in the record itself. Otherwise this is a head, and they are in the pages of this epoch, which is
-   * the version that the record had when its machines were moved to pages.
+   * null: the machines are in the record itself. Otherwise this is a head, and they are in the pages of this epoch,
+   * which is the version that the record had when its machines were moved to pages.
    */
   readonly epoch: number | null;
   /** Sealed: releases that don't support quota shares can't hold it. */
@@ -57,8 +57,8 @@
 /** Format of a head that isn't sealed. */
 const HEAD_FORMAT = 2;
 /**
- * The nominal holder of a sealed record. It is meant for the first release, which ignores formats: the key of this node is
- * never removed, so that release sees the shard as held. The actual holder is in the field `seal`.
+ * The nominal holder of a sealed record. It is meant for the first release, which ignores formats: the key of this node
+ * is never removed, so that release sees the shard as held. The actual holder is in the field `seal`.
  */
 export const SEALED_HOLDER = nodeName('sealed');
 /** Fields that this release understands; all others are preserved in `rest`. */
@@ -141,9 +141,9 @@
 }
 
 /**
- * Returns the earlier holders that may still send commands when this node claims the shard. A claimant inherits the holders
- * that the previous claimant hadn't proven to have stopped. Otherwise it would count the workers' leases from the end of the
- * wrong holder, which happened when all controllers were restarted.
+ * Returns the earlier holders that may still send commands when this node claims the shard. A claimant inherits the
+ * holders that the previous claimant hadn't proven to have stopped. Otherwise it would count the workers' leases from
+ * the end of the wrong holder, which happened when all controllers were restarted.
  */
 export function earlierHolders(value: ShardValue | null, self: NodeName): PreviousHolder[] {
   if (value === null) return [];
@@ -168,9 +168,9 @@
 }
 
 /**
- * Decodes a shard's record; null if this program can't read it. An unreadable record doesn't mean that the shard is free:
- * another release may hold it, with machines and jobs at work. Only a missing key means that nobody ever held the shard.
- * The machines of a head are not part of the result: the directory adds them from its pages.
+ * Decodes a shard's record; null if this program can't read it. An unreadable record doesn't mean that the shard is
+ * free: another release may hold it, with machines and jobs at work. Only a missing key means that nobody ever held the
+ * shard. The machines of a head are not part of the result: the directory adds them from its pages.
  */
 export function decodeShard(value: unknown): ShardValue | null {
   if (!isObject(value) || isForeign(value, SHARD_FORMAT)) return null;
