--- a/test/carry.test.ts
+++ b/test/carry.test.ts
@@ -10,24 +10,27 @@
   startGraceMs,
 } from '../src/carry/index.js';
 import { incarnation, millis, nodeName, shardName, type Millis } from '../src/kernel/index.js';
-import { Carrying, FACTS, type Fault, type LeftOut } from './standins/carrying.js';
+import { SimulatedCluster, TIMINGS, type Fault, type OmittedGuard } from './standins/carrying.js';
 
-const CHANGES_END_MS = 70_000;
-const PLAYED_MS = 160_000;
+const FAULTS_END_MS = 70_000;
+const SIMULATED_MS = 160_000;
 
-/** Cuts, ends, pauses and outages that overlap; `node` is also whose machine is out of `other`'s reach. */
+/**
+ * Overlapping network partitions, crashes, pauses and outages. For `out of reach`, the controllers `node` and `other`
+ * can't reach each other's machines.
+ */
 const faults: fc.Arbitrary<Fault[]> = fc.array(
   fc.record({
-    at: fc.integer({ min: 5000, max: CHANGES_END_MS }),
+    at: fc.integer({ min: 5000, max: FAULTS_END_MS }),
     forMs: fc.oneof(fc.integer({ min: 50, max: 5000 }), fc.integer({ min: 5000, max: 80_000 })),
     kind: fc.constantFrom<Fault['kind']>(
       'refused',
       'refused',
       'outage',
       'outage',
-      'apart',
-      'end',
-      'still',
+      'partition',
+      'crash',
+      'pause',
       'out of reach',
     ),
     node: fc.integer({ min: 0, max: 2 }),
@@ -36,125 +39,137 @@
   { minLength: 1, maxLength: 9 },
 );
 
-async function playedWith(
-  leftOut: LeftOut,
+async function simulate(
+  omittedGuard: OmittedGuard,
   schedule: readonly Fault[],
   seed: number,
-  untilMs = PLAYED_MS,
-): Promise<Carrying> {
-  const world = new Carrying(leftOut, schedule, seed);
-  await world.play(untilMs);
-  return world;
+  untilMs = SIMULATED_MS,
+): Promise<SimulatedCluster> {
+  const cluster = new SimulatedCluster(omittedGuard, schedule, seed);
+  await cluster.play(untilMs);
+  return cluster;
 }
 
-test('under random interleavings nothing runs on that a user was told is cancelled, and users are told in the end', async () => {
+test('under random faults no task outlives a reported cancellation, and users are told in the end', async () => {
   await fc.assert(
     fc.asyncProperty(faults, fc.nat(), async (schedule, seed) => {
-      const world = await playedWith('nothing', schedule, seed);
-      assert.deepEqual(world.broken, []);
-      const calmFrom = Math.max(8000, ...schedule.map(({ at, forMs }) => at + forMs));
-      if (calmFrom < PLAYED_MS - 20_000) assert.equal(world.told.size, 3);
+      const cluster = await simulate('nothing', schedule, seed);
+      assert.deepEqual(cluster.violations, []);
+      const faultsEndAtMs = Math.max(8000, ...schedule.map(({ at, forMs }) => at + forMs));
+      if (faultsEndAtMs < SIMULATED_MS - 20_000) assert.equal(cluster.told.size, 3);
     }),
     { seed: 4, numRuns: 80, endOnFailure: true },
   );
 });
 
-/** A schedule for each guard of the argument, in which it alone stands between a word given and a broken rule. */
-const NEEDED: Readonly<Record<Exclude<LeftOut, 'nothing'>, readonly Fault[]>> = {
-  // The operators' gap.
+/** For each guard of the proof, a schedule of faults in which only this guard prevents a violation. */
+const SCHEDULES: Readonly<Record<Exclude<OmittedGuard, 'nothing'>, readonly Fault[]>> = {
+  // The holder is refused by the state service, and then the state service fails altogether: without acknowledgements
+  // the holder never learns of the cancellation that the user was told of.
   acknowledgement: [
     { kind: 'refused', at: 10_000, forMs: 14_000, node: 0, other: 0 },
     { kind: 'outage', at: 13_000, forMs: 70_000, node: 0, other: 0 },
   ],
-  // The holder is cut off from all but a machine that nobody else reaches; another claims and gives its word.
-  bound: [
+  // The holder can reach only its machine, which nobody else reaches. Another node claims the shard and tells the user.
+  deadline: [
     { kind: 'refused', at: 8000, forMs: 90_000, node: 0, other: 0 },
     ...[1, 2].flatMap((node): Fault[] => [
-      { kind: 'apart', at: 8000, forMs: 90_000, node, other: 0 },
+      { kind: 'partition', at: 8000, forMs: 90_000, node, other: 0 },
       { kind: 'out of reach', at: 8000, forMs: 90_000, node, other: 0 },
     ]),
     { kind: 'outage', at: 22_000, forMs: 76_000, node: 1, other: 1 },
   ],
-  // The holder ends before it could tell its machine; its next life claims the shard in the last moment before the outage.
-  'catching up': [
+  // The holder crashes before it could notify its machine. Its next incarnation claims the shard just before the
+  // outage.
+  'watch catch-up': [
     { kind: 'out of reach', at: 8000, forMs: 9500, node: 1, other: 1 },
-    { kind: 'end', at: 15_500, forMs: 1000, node: 1, other: 1 },
+    { kind: 'crash', at: 15_500, forMs: 1000, node: 1, other: 1 },
     { kind: 'outage', at: 16_600, forMs: 80_000, node: 1, other: 1 },
   ],
 };
 
-for (const leftOut of ['acknowledgement', 'bound', 'catching up'] as const) {
-  test(`with every guard the schedule keeps the rule, without this one it is broken: ${leftOut}`, async () => {
-    let [told, broken] = [0, 0];
+for (const omittedGuard of ['acknowledgement', 'deadline', 'watch catch-up'] as const) {
+  test(`a schedule that causes no violation with all guards causes one without: ${omittedGuard}`, async () => {
+    let [toldUsers, failedRuns] = [0, 0];
     for (let seed = 1; seed <= 25; seed++) {
-      const whole = await playedWith('nothing', NEEDED[leftOut], seed, 100_000);
-      assert.deepEqual(whole.broken, []);
-      told += whole.told.size;
-      const without = await playedWith(leftOut, NEEDED[leftOut], seed, 100_000);
-      if (without.broken.length > 0) broken += 1;
+      const guarded = await simulate('nothing', SCHEDULES[omittedGuard], seed, 100_000);
+      assert.deepEqual(guarded.violations, []);
+      toldUsers += guarded.told.size;
+      const unguarded = await simulate(omittedGuard, SCHEDULES[omittedGuard], seed, 100_000);
+      if (unguarded.violations.length > 0) failedRuns += 1;
     }
-    assert.ok(told >= 10, `only ${told} users were told: the schedule shows nothing`);
-    assert.ok(broken > 0, 'left out, nothing broke');
+    assert.ok(toldUsers >= 10, `only ${toldUsers} users were told: too few for the schedule to prove anything`);
+    assert.ok(failedRuns > 0, 'no violation without the guard');
   });
 }
 
-const at = (...moments: (number | null)[]): (Millis | null)[] => moments.map((m) => (m === null ? null : millis(m)));
+const times = (...moments: (number | null)[]): (Millis | null)[] => moments.map((m) => (m === null ? null : millis(m)));
 
-test('a holder is reassured by its own lease or by a majority, whichever is later', () => {
-  const lease = FACTS.nodeLeaseMs;
-  assert.equal(ownershipConfirmedAt(millis(1000), at(null, null), lease), 1000);
-  assert.equal(ownershipConfirmedAt(millis(1000), at(9000, null), lease), 5000, 'one of two others makes two of three');
-  assert.equal(ownershipConfirmedAt(millis(7000), at(9000, null), lease), 7000);
+test('ownership is confirmed by the own lease or by a majority, whichever is later', () => {
+  const lease = TIMINGS.nodeLeaseMs;
+  assert.equal(ownershipConfirmedAt(millis(1000), times(null, null), lease), 1000);
   assert.equal(
-    ownershipConfirmedAt(millis(0), at(9000, null, null, null), lease),
+    ownershipConfirmedAt(millis(1000), times(9000, null), lease),
+    5000,
+    'one of two others makes a majority of three',
+  );
+  assert.equal(ownershipConfirmedAt(millis(7000), times(9000, null), lease), 7000);
+  assert.equal(
+    ownershipConfirmedAt(millis(0), times(9000, null, null, null), lease),
     0,
-    'one other of four is no majority',
+    'one of four others is no majority of five',
   );
-  assert.equal(ownershipConfirmedAt(millis(0), at(9000, 20_000, null, null), lease), 5000, 'the second of two');
+  assert.equal(ownershipConfirmedAt(millis(0), times(9000, 20_000, null, null), lease), 5000, 'the second of two');
   assert.equal(
     ownershipConfirmedAt(millis(0), [], lease),
     Number.POSITIVE_INFINITY,
-    'alone, nobody can take its shards',
+    'without other controllers nobody can claim its shards',
   );
 });
 
-test('a holder that nobody reassures starts nothing, then answers nobody, in time for the workers’ leases', () => {
-  const since = millis(100_000);
-  const after = (ms: number) => holderModeAt(millis(since + ms), since, FACTS);
-  assert.deepEqual([after(0), after(startGraceMs(FACTS)), after(startGraceMs(FACTS) + 1)], ['all', 'all', 'answers']);
-  assert.equal(after(answerGraceMs(FACTS) + 1), 'nothing');
-  // The earliest moment at which somebody else can have told a user, the workers' lease behind the last answer.
-  const earliestToldMs = FACTS.nodeLeaseMs / 1.002;
-  assert.ok(answerGraceMs(FACTS) + FACTS.leaseMs < earliestToldMs + FACTS.cancelMs);
-  assert.ok(leftoverForMs(FACTS) + FACTS.leaseMs < FACTS.cancelMs);
+test('an unconfirmed holder stops starts and then answers in time for the workers’ leases to expire', () => {
+  const confirmedAt = millis(100_000);
+  const modeAfter = (ms: number) => holderModeAt(millis(confirmedAt + ms), confirmedAt, TIMINGS);
+  assert.deepEqual(
+    [modeAfter(0), modeAfter(startGraceMs(TIMINGS)), modeAfter(startGraceMs(TIMINGS) + 1)],
+    ['all', 'all', 'answers'],
+  );
+  assert.equal(modeAfter(answerGraceMs(TIMINGS) + 1), 'nothing');
+  // The earliest time at which another node can have told a user, and the workers' lease after the last answer.
+  const earliestToldMs = TIMINGS.nodeLeaseMs / 1.002;
+  assert.ok(answerGraceMs(TIMINGS) + TIMINGS.leaseMs < earliestToldMs + TIMINGS.cancelMs);
+  assert.ok(leftoverForMs(TIMINGS) + TIMINGS.leaseMs < TIMINGS.cancelMs);
   const tight = { cancelMs: 10_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
-  assert.ok(answerGraceMs(tight) > 0, 'settings that nobody can keep: it goes on for a while all the same');
+  assert.ok(
+    answerGraceMs(tight) > 0,
+    'with limits that are too tight to be met the holder still continues for a while',
+  );
 });
 
-test('who must still be told: holders whose life has neither heard, nor seen, nor ended', () => {
+test('holders are unacknowledged unless their incarnation has acknowledged, has seen the end, or is over', () => {
   const [self, other] = [nodeName('n-0'), nodeName('n-1')];
   const [now, before] = [incarnation('now'), incarnation('before')];
   const held = { shard: shardName('n-1'), holder: other, incarnation: now, released: false };
   const never = (): boolean => false;
-  const lives = {
+  const queries = {
     ...{ self, mayAcknowledge: () => true },
     ...{ hasAcknowledged: never, watchHasReached: never, hasEnded: never },
   };
-  assert.deepEqual(unacknowledgedHolders([held], lives), [{ shard: 'n-1', node: 'n-1' }]);
-  assert.deepEqual(unacknowledgedHolders([{ ...held, released: true }], lives), []);
-  assert.deepEqual(unacknowledgedHolders([{ ...held, holder: self, incarnation: before }], lives), []);
+  assert.deepEqual(unacknowledgedHolders([held], queries), [{ shard: 'n-1', node: 'n-1' }]);
+  assert.deepEqual(unacknowledgedHolders([{ ...held, released: true }], queries), []);
+  assert.deepEqual(unacknowledgedHolders([{ ...held, holder: self, incarnation: before }], queries), []);
   assert.deepEqual(
-    unacknowledgedHolders([held], { ...lives, mayAcknowledge: never }),
+    unacknowledgedHolders([held], { ...queries, mayAcknowledge: never }),
     [],
-    'an earlier release only hears it',
+    'an earlier release is only notified',
   );
-  for (const way of ['hasAcknowledged', 'watchHasReached', 'hasEnded'] as const) {
-    const knows = { ...lives, [way]: (_node: unknown, life: unknown) => life === now };
-    assert.deepEqual(unacknowledgedHolders([held], knows), []);
+  for (const query of ['hasAcknowledged', 'watchHasReached', 'hasEnded'] as const) {
+    const answered = { ...queries, [query]: (_node: unknown, of: unknown) => of === now };
+    assert.deepEqual(unacknowledgedHolders([held], answered), []);
     assert.equal(
-      unacknowledgedHolders([{ ...held, incarnation: before }], knows).length,
+      unacknowledgedHolders([{ ...held, incarnation: before }], answered).length,
       1,
-      'another life says nothing of it',
+      'another incarnation proves nothing',
     );
   }
 });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -8,11 +8,11 @@
 const lab = new Lab();
 const { model: state, at: address } = lab.state();
 const key = nodeKey(nodeName('n-0'));
-let lives = 0;
+let processes = 0;
 
-/** One life of the same controller. */
-function life(name: Incarnation): Membership {
-  const runtime = lab.process(`10.0.1.${++lives}`);
+/** Starts another incarnation of the same controller. */
+function startMembership(name: Incarnation): Membership {
+  const runtime = lab.process(`10.0.1.${++processes}`);
   const client = new StateClient(address, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE, runtime, lab.log);
   const hooks = {
@@ -23,45 +23,45 @@
   return new Membership(nodeName('n-0'), [], name, client, mirror, directory, hooks, runtime, lab.log);
 }
 
-const holder = (): unknown => (state.get(key) as { incarnation?: unknown } | undefined)?.incarnation;
+const registeredIncarnation = (): unknown => (state.get(key) as { incarnation?: unknown } | undefined)?.incarnation;
 
-test('a registration that is carried out after that of the next life does not take its place', async () => {
+test('a delayed registration of an earlier incarnation does not replace that of the next one', async () => {
   const [earlier, later] = [incarnation('earlier'), incarnation('later')];
-  // The first one is lost on its way, and its lease lasts for a moment yet.
+  // The first registration is lost in transit, while its lease is still valid for a moment.
   const lost: unknown[] = [];
   state.spoils = ({ path, body }) => {
     if (path !== '/txn') return null;
     lost.push(body);
     return 'lost-request';
   };
-  const first = life(earlier);
+  const first = startMembership(earlier);
   await lab.settle(first.keep());
   assert.equal(first.registered, false);
   state.spoils = () => null;
-  const next = life(later);
+  const next = startMembership(later);
   await lab.settle(next.keep());
-  assert.ok(next.registered && holder() === later);
+  assert.ok(next.registered && registeredIncarnation() === later);
   const path = '/txn';
   const answer = await lab.ask(lab.process('10.0.1.99'), address, { method: 'POST', path, body: lost[0] as object });
   assert.ok(answer.kind === 'answered' && answer.status === 409);
-  assert.equal(holder(), later);
+  assert.equal(registeredIncarnation(), later);
 });
 
-test('a life whose own registration got no answer and was carried out registers all the same', async () => {
+test('an incarnation whose registration was applied without an answer registers on the next attempt', async () => {
   state.spoils = ({ path }) => {
     if (path !== '/txn') return null;
     state.spoils = () => null;
     return 'lost-answer';
   };
-  const name = incarnation('third');
-  const third = life(name);
+  const own = incarnation('third');
+  const third = startMembership(own);
   await lab.settle(third.keep());
-  assert.equal(third.registered, false, 'not known to be');
+  assert.equal(third.registered, false, 'the outcome is unknown');
   await lab.settle(third.keep());
-  assert.ok(third.registered && holder() === name);
+  assert.ok(third.registered && registeredIncarnation() === own);
 });
 
-test('in a rush of submissions beyond its part of the changes a node is elected all the same', async () => {
+test('a node is elected during a burst of submissions beyond its share of writes', async () => {
   const runtime = lab.process('10.0.1.50');
   const client = new StateClient(address, { rps: 1000, writeRps: 6 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE, runtime, lab.log);
@@ -69,28 +69,28 @@
     ...{ held: () => [], verify: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
     ...{ paged: () => false, announcement: () => ({}) },
   };
-  const name = nodeName('n-rush');
-  const life = incarnation('rush');
+  const self = nodeName('n-rush');
+  const own = incarnation('rush');
   const directory = new ShardDirectory(mirror);
-  const node = new Membership(name, [], life, client, mirror, directory, hooks, runtime, lab.log);
+  const node = new Membership(self, [], own, client, mirror, directory, hooks, runtime, lab.log);
   await lab.settle(node.keep());
   assert.ok(node.registered);
-  // Twenty a second, where it may make six, each as urgent as a submission.
+  // Twenty writes per second with a limit of six, each with the urgency of a submission.
   let refused = 0;
-  const rush = runtime.every(50, () => {
+  const submissions = runtime.every(50, () => {
     const key = `live/rush/${runtime.now()}`;
     void client.txn(Urgency.accept, [], [{ put: key, value: 1 }], 1500).then(({ kind }) => {
       if (kind === 'refused') refused += 1;
     });
   });
-  const kept = runtime.every(1000, () => void node.keep());
+  const leaseRenewal = runtime.every(1000, () => void node.keep());
   await lab.pass(5000);
-  assert.ok(refused > 20, `${refused} submissions found no room`);
+  assert.ok(refused > 20, `${refused} submissions were refused`);
   const since = runtime.now();
   for (let i = 0; i < 3 && !state.get(LEADER); i++) await lab.settle(node.elect());
   const waitedMs = runtime.now() - since;
-  rush.cancel();
-  kept.cancel();
-  assert.deepEqual(state.get(LEADER), { node: name, incarnation: life });
+  submissions.cancel();
+  leaseRenewal.cancel();
+  assert.deepEqual(state.get(LEADER), { node: self, incarnation: own });
   assert.ok(waitedMs < 1000, `${waitedMs} ms`);
 });
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -23,10 +23,10 @@
 
 const SHARDS = ['n-0', 'n-1'].map(shardName);
 const MACHINES = Array.from({ length: 6 }, (_, i) => `m-${i}`);
-/** Two machines fill a page of two of the processes, one that of the third. */
+/** Page limits of the processes: two machines fill a page of the first two, one machine fills a page of the third. */
 const PAGE_BYTES = [150, 150, 115];
-/** The state service takes so many conditions in one transaction. */
-const MOST_CONDITIONS = 20;
+/** Limit of the state service on the conditions in one transaction. */
+const MAX_CONDITIONS = 20;
 const SHARD_KEYS = 'live/shards/';
 const machine = (id: string): BlockMachine => ({
   ...{ id: machineId(id), type: 'desk', zone: 'north', spot: false, address: '10.1.0.1:9000' },
@@ -38,7 +38,7 @@
   readonly version: number;
 }
 
-/** What is stored, plainly. */
+/** Model of the state service: keys with versions, guarded transactions, and the log that the watch delivers. */
 class Store {
   revision = 10;
   readonly keys = new Map<string, Written>();
@@ -56,7 +56,7 @@
     return true;
   }
 
-  /** The machines of each block, as anybody who sees all of it would read them. */
+  /** The machines of each block, as a reader with a complete view decodes them. */
   blocks(): Map<ShardName, string[]> {
     const blocks = new Map<ShardName, string[]>();
     for (const shard of SHARDS) {
@@ -74,35 +74,80 @@
   }
 }
 
-/** Which parts of the argument hold; leaving one out must be caught. */
-interface Rules {
-  readonly settled: boolean;
-  readonly settles: boolean;
+/** The safeguards that the safety of blocks relies on. A run without any one of them must fail the check. */
+interface Safeguards {
+  /** The leader leases machines only after its watch has reached its own election and the newest block it knows. */
+  readonly caughtUp: boolean;
+  /** The leader fences off its writes of unknown outcome before it leases another machine. */
+  readonly fencesPendingWrites: boolean;
+  /** Writes are guarded by the pages that they depend on. */
   readonly pageGuards: boolean;
-  readonly heads: boolean;
+  /** Writes are guarded by the records or heads that they depend on. */
+  readonly recordGuards: boolean;
   /** Staged pages are guarded by the record that they are staged for. */
-  readonly staged: boolean;
-  /** A record becomes a head only of the pages that were staged. */
-  readonly flipped: boolean;
+  readonly stageGuards: boolean;
+  /** The write that turns a record into a head is guarded by the pages that were staged. */
+  readonly moveGuards: boolean;
 }
-const ALL: Rules = { settled: true, settles: true, pageGuards: true, heads: true, staged: true, flipped: true };
+const ALL_SAFEGUARDS: Safeguards = {
+  caughtUp: true,
+  fencesPendingWrites: true,
+  pageGuards: true,
+  recordGuards: true,
+  stageGuards: true,
+  moveGuards: true,
+};
 
-/** What a write is for. */
-type Purpose = 'change' | 'stage' | 'flip';
+/** The purpose of a write, which decides what safeguards apply to it. */
+type WritePurpose = 'change' | 'stage' | 'moveToPages';
 
-interface Pending {
+/** A write that hasn't reached the store yet, or may reach it again. */
+interface PendingWrite {
   readonly guards: readonly Guard[];
   readonly ops: readonly Op[];
-  readonly purpose?: Purpose;
+  readonly purpose?: WritePurpose;
 }
 
-const KINDS = [
-  ...(['see', 'see', 'see', 'read', 'grant', 'grant', 'move', 'move', 'move', 'claim', 'elect', 'forget'] as const),
-  ...(['flip', 'flip', 'fold', 'arrive', 'arrive', 'arrive', 'repeat', 'release', 'claimPaged'] as const),
+const ALL_KINDS = [
+  ...([
+    'watch',
+    'watch',
+    'watch',
+    'read',
+    'grant',
+    'grant',
+    'move',
+    'move',
+    'move',
+    'claim',
+    'elect',
+    'dropPending',
+  ] as const),
+  ...([
+    'moveToPages',
+    'moveToPages',
+    'moveToRecord',
+    'deliver',
+    'deliver',
+    'deliver',
+    'deliverAgain',
+    'release',
+    'claimPaged',
+  ] as const),
+] as const;
+/** Mostly the actions that move machines between records and pages. */
+const MOVE_KINDS = [
+  'watch',
+  'grant',
+  'moveToPages',
+  'moveToPages',
+  'moveToPages',
+  'claimPaged',
+  'deliver',
+  'moveToRecord',
 ] as const;
-/** What happens while records become heads, and little else. */
-const FLIPPING = ['see', 'grant', 'flip', 'flip', 'flip', 'claimPaged', 'arrive', 'fold'] as const;
-type Kind = (typeof KINDS)[number];
+type Kind = (typeof ALL_KINDS)[number];
+/** One step of a run: what happens, in which process, to which shard or machine, and whether the write is delayed. */
 interface Action {
   readonly kind: Kind;
   readonly by: number;
@@ -115,20 +160,26 @@
     ...{ minLength: 60, maxLength: 200 },
   });
 
-const roomOf = ({ pageBytes }: View): { recordMost: number; pageBytes: number } => ({ recordMost: 9, pageBytes });
+const limitsOf = ({ pageBytes }: SimulatedProcess): { recordMost: number; pageBytes: number } => ({
+  recordMost: 9,
+  pageBytes,
+});
 
 const lab = new Lab();
 const { at } = lab.state();
 const client = new StateClient(at, { rps: 1000, writeRps: 1000 }, lab.log, lab.process('10.0.0.1'));
 
-/** One process: it sees the store by a mirror of its own, in order and now and then ahead of it, under limits of its own. */
-class View {
+/**
+ * A process with its own mirror of the store, which follows the log in order and may read keys ahead of it, and its own
+ * page limit.
+ */
+class SimulatedProcess {
   readonly mirror: Mirror;
   readonly directory: ShardDirectory;
-  private seen = 0;
+  private watchPosition = 0;
   seenUpTo = 0;
-  /** Writes of unknown outcome that it has yet to settle as the leader. */
-  unsettled: string[] = [];
+  /** Keys with writes of unknown outcome that this process has yet to fence off as the leader. */
+  unfencedKeys: string[] = [];
 
   constructor(
     readonly node: string,
@@ -139,186 +190,205 @@
     this.directory = new ShardDirectory(this.mirror);
   }
 
-  take({ key, value, version }: Written): void {
+  apply({ key, value, version }: Written): void {
     this.mirror.apply({ key, value, removed: false, version: revision(version) });
   }
 
-  /** The next revision of the watch, whole. */
-  see(): void {
+  /** Applies all changes of the next revision. */
+  advanceWatch(): void {
     const { log } = this.store;
-    const next = log[this.seen];
+    const next = log[this.watchPosition];
     if (!next) return;
-    while (log[this.seen]?.version === next.version) this.take(log[this.seen++] as Written);
+    while (log[this.watchPosition]?.version === next.version) this.apply(log[this.watchPosition++] as Written);
     this.seenUpTo = next.version;
   }
 
   read(key: string): void {
     const written = this.store.keys.get(key);
-    if (written) this.take(written);
+    if (written) this.apply(written);
   }
 }
 
 /**
- * Three processes do what leaders, holders and claimants do, each by what it sees and by the project's own decisions; any
- * of their writes may arrive late, again, or never. After each write no machine is in two blocks, and none that was in
- * one is in none but by a release.
+ * Runs three processes that act as leaders, holders and claimants. Each decides with the production code on what its
+ * mirror shows, and any of its writes may arrive late, repeatedly, or never. Checks after each write that no machine is
+ * in two blocks, and that a machine leaves its block for none only by a release.
  */
-function play(actions: readonly Action[], rules: Rules): void {
+function runActions(actions: readonly Action[], safeguards: Safeguards): void {
   const store = new Store();
-  const views = PAGE_BYTES.map((bytes, i) => new View(`n-${i}`, bytes, store));
+  const processes = PAGE_BYTES.map((bytes, i) => new SimulatedProcess(`n-${i}`, bytes, store));
   const released = new Set<string>();
-  const pending: Pending[] = [];
-  let lives = 0;
+  const pending: PendingWrite[] = [];
+  let incarnations = 0;
   const check = (before: Map<ShardName, string[]>): void => {
     const all = [...store.blocks().values()].flat();
     assert.equal(new Set(all).size, all.length, `in two blocks: ${all.join(' ')}`);
     for (const id of [...before.values()].flat()) assert.ok(all.includes(id) || released.has(id), `${id} is lost`);
   };
-  const keeps = (key: string, purpose: Purpose): boolean => {
-    if (key.startsWith(PAGES)) return rules.pageGuards && (purpose !== 'flip' || rules.flipped);
+  const isEnforced = (key: string, purpose: WritePurpose): boolean => {
+    if (key.startsWith(PAGES)) return safeguards.pageGuards && (purpose !== 'moveToPages' || safeguards.moveGuards);
     if (!key.startsWith(SHARD_KEYS)) return true;
-    return rules.heads && (purpose !== 'stage' || rules.staged);
+    return safeguards.recordGuards && (purpose !== 'stage' || safeguards.stageGuards);
   };
-  const arrive = ({ guards, ops }: Pending): boolean => {
+  const deliver = ({ guards, ops }: PendingWrite): boolean => {
     const before = store.blocks();
     const done = store.txn(guards, ops);
     check(before);
     return done;
   };
-  const write = (view: View, { guards, ops, purpose = 'change' }: Pending, late: boolean): boolean => {
-    const kept = { guards: guards.filter(({ key }) => keeps(key, purpose)), ops };
+  const write = (
+    process: SimulatedProcess,
+    { guards, ops, purpose = 'change' }: PendingWrite,
+    late: boolean,
+  ): boolean => {
+    const enforced = { guards: guards.filter(({ key }) => isEnforced(key, purpose)), ops };
     if (late) {
-      pending.push(kept);
+      pending.push(enforced);
       return false;
     }
-    const done = arrive(kept);
-    // One's own write is known at once, and so is what refused it.
-    if (done) for (const op of ops) if ('put' in op) view.read(op.put);
-    if (!done) for (const { key } of guards) view.read(key);
+    const done = deliver(enforced);
+    // A process knows its own write at once, and rereads the guards of a write that failed.
+    if (done) for (const op of ops) if ('put' in op) process.read(op.put);
+    if (!done) for (const { key } of guards) process.read(key);
     return done;
   };
-  const flip = (view: View, shard: ShardName, known: KnownShard, life: string, pick: number, late: boolean): void => {
-    const changes = stageChanges(shard, known, view.directory.pagesOf(shard), view.pageBytes) ?? [];
-    const lateOne = late ? pick % (changes.length + 1) : -1;
+  const moveToPages = (
+    process: SimulatedProcess,
+    shard: ShardName,
+    known: KnownShard,
+    newIncarnation: string,
+    pick: number,
+    late: boolean,
+  ): void => {
+    const changes = stageChanges(shard, known, process.directory.pagesOf(shard), process.pageBytes) ?? [];
+    const lateIndex = late ? pick % (changes.length + 1) : -1;
     for (const [i, change] of changes.entries()) {
-      if (!write(view, { ...change, purpose: 'stage' }, i === lateOne)) return;
+      if (!write(process, { ...change, purpose: 'stage' }, i === lateIndex)) return;
     }
-    const there = [...view.directory.pagesOf(shard).values()].filter((page) => page !== null);
-    const guards = moveToPagesGuards(shard, known.version, there, MOST_CONDITIONS);
-    const value = encodeShard({ ...known.value, incarnation: incarnation(life), epoch: known.version });
+    const existing = [...process.directory.pagesOf(shard).values()].filter((page) => page !== null);
+    const guards = moveToPagesGuards(shard, known.version, existing, MAX_CONDITIONS);
+    const value = encodeShard({ ...known.value, incarnation: incarnation(newIncarnation), epoch: known.version });
     const ops = [{ put: shardKey(shard), value }];
-    write(view, { guards, ops, purpose: 'flip' }, lateOne === changes.length);
+    write(process, { guards, ops, purpose: 'moveToPages' }, lateIndex === changes.length);
   };
   for (const [i, shard] of SHARDS.entries()) {
-    const made = { holder: nodeName(shard), incarnation: incarnation('a'), released: false, next: null, earlier: [] };
+    const record = { holder: nodeName(shard), incarnation: incarnation('a'), released: false, next: null, earlier: [] };
     const machines = MACHINES.slice(2 * i, 2 * i + 2).map(machine);
-    store.txn([], [{ put: shardKey(shard), value: encodeShard({ ...made, machines, epoch: null }) }]);
+    store.txn([], [{ put: shardKey(shard), value: encodeShard({ ...record, machines, epoch: null }) }]);
   }
   store.txn([], [{ put: LEADER, value: { node: 'n-0' } }]);
 
   for (const { kind, by, pick, late } of actions) {
-    const view = views[by % views.length] as View;
+    const process = processes[by % processes.length] as SimulatedProcess;
     const shard = SHARDS[pick % SHARDS.length] as ShardName;
     const other = SHARDS[(pick + 1) % SHARDS.length] as ShardName;
-    const known: KnownShard | undefined = view.directory.all.get(shard);
-    if (kind === 'see') {
-      for (let n = 0; n <= pick % 8; n++) view.see();
+    const known: KnownShard | undefined = process.directory.all.get(shard);
+    if (kind === 'watch') {
+      for (let n = 0; n <= pick % 8; n++) process.advanceWatch();
     } else if (kind === 'read') {
-      view.read([...store.keys.keys()][pick % store.keys.size] ?? '');
-    } else if (kind === 'arrive') {
-      const [one] = pending.splice(pick % Math.max(1, pending.length), 1);
-      if (one) arrive(one);
-    } else if (kind === 'repeat') {
-      const one = pending[pick % Math.max(1, pending.length)];
-      if (one) arrive(one);
-    } else if (kind === 'forget') {
+      process.read([...store.keys.keys()][pick % store.keys.size] ?? '');
+    } else if (kind === 'deliver') {
+      const [delivered] = pending.splice(pick % Math.max(1, pending.length), 1);
+      if (delivered) deliver(delivered);
+    } else if (kind === 'deliverAgain') {
+      const delivered = pending[pick % Math.max(1, pending.length)];
+      if (delivered) deliver(delivered);
+    } else if (kind === 'dropPending') {
       pending.splice(pick % Math.max(1, pending.length), 1);
     } else if (kind === 'elect') {
-      store.txn([], [{ put: LEADER, value: { node: view.node } }]);
-      // What the leader before has sent is void.
-      for (const one of views) one.unsettled = [];
+      store.txn([], [{ put: LEADER, value: { node: process.node } }]);
+      // Pending writes of the previous leader are void, because they are guarded by its key.
+      for (const each of processes) each.unfencedKeys = [];
     } else if (!known) continue;
     else if (kind === 'claim') {
-      lives += 1;
-      const value = encodeShard({ ...known.value, incarnation: incarnation(`b-${lives}`) });
+      incarnations += 1;
+      const value = encodeShard({ ...known.value, incarnation: incarnation(`b-${incarnations}`) });
       const guards = [{ key: shardKey(shard), version: known.version }];
-      write(view, { guards, ops: [{ put: shardKey(shard), value }] }, late);
+      write(process, { guards, ops: [{ put: shardKey(shard), value }] }, late);
     } else if (kind === 'release') {
       const first = known.value.machines[0];
-      const [left] = first ? leave(shard, known, new Set([first.id])) : [];
-      if (!first || !left) continue;
+      const [removal] = first ? leave(shard, known, new Set([first.id])) : [];
+      if (!first || !removal) continue;
       released.add(first.id);
-      write(view, left.change, late);
+      write(process, removal.change, late);
     } else if (kind === 'move') {
-      const target = view.directory.all.get(other);
+      const target = process.directory.all.get(other);
       const first = known.value.machines[pick % Math.max(1, known.value.machines.length)];
-      const [left] = first ? leave(shard, known, new Set([first.id])) : [];
-      if (!target || !first || !left) continue;
-      const entry = enter(other, target, [first], roomOf(view));
-      if (entry.taken.length === 0) continue;
+      const [removal] = first ? leave(shard, known, new Set([first.id])) : [];
+      if (!target || !first || !removal) continue;
+      const insertion = enter(other, target, [first], limitsOf(process));
+      if (insertion.taken.length === 0) continue;
       const head = { key: shardKey(shard), version: known.version };
-      const guards = [head, ...left.change.guards, ...entry.change.guards];
-      write(view, { guards, ops: [...left.change.ops, ...entry.change.ops] }, late);
+      const guards = [head, ...removal.change.guards, ...insertion.change.guards];
+      write(process, { guards, ops: [...removal.change.ops, ...insertion.change.ops] }, late);
     } else if (kind === 'grant') {
       const leader = store.keys.get(LEADER) as Written;
-      const term = view.mirror.get(LEADER)?.version;
-      if (term !== leader.version || (leader.value as { node: string }).node !== view.node) continue;
-      if (rules.settles) for (const key of view.unsettled.splice(0)) settle(store, key, view);
-      if (rules.settled && (view.directory.newest > view.seenUpTo || view.seenUpTo < term)) continue;
-      const free = MACHINES.find((id) => view.directory.shardOf(machineId(id)) === null);
-      const now = view.directory.all.get(shard);
-      if (free === undefined || !now) continue;
-      const { taken, change } = enter(shard, now, [machine(free)], roomOf(view));
+      const term = process.mirror.get(LEADER)?.version;
+      if (term !== leader.version || (leader.value as { node: string }).node !== process.node) continue;
+      if (safeguards.fencesPendingWrites)
+        for (const key of process.unfencedKeys.splice(0)) fencePendingWrite(store, key, process);
+      if (safeguards.caughtUp && (process.directory.newest > process.seenUpTo || process.seenUpTo < term)) continue;
+      const free = MACHINES.find((id) => process.directory.shardOf(machineId(id)) === null);
+      const current = process.directory.all.get(shard);
+      if (free === undefined || !current) continue;
+      const { taken, change } = enter(shard, current, [machine(free)], limitsOf(process));
       if (taken.length === 0) continue;
       const guards = [...change.guards, { key: LEADER, version: term }];
-      for (const [name, { version }] of view.directory.all) {
+      for (const [name, { version }] of process.directory.all) {
         if (!guards.some(({ key }) => key === shardKey(name))) guards.push({ key: shardKey(name), version });
       }
       released.delete(free);
-      if (!write(view, { guards, ops: change.ops }, late)) {
-        for (const op of change.ops) if ('put' in op) view.unsettled.push(op.put);
+      if (!write(process, { guards, ops: change.ops }, late)) {
+        for (const op of change.ops) if ('put' in op) process.unfencedKeys.push(op.put);
       }
-    } else if ((kind === 'flip' || kind === 'claimPaged') && known.value.epoch === null) {
-      lives += kind === 'claimPaged' ? 1 : 0;
-      const life = kind === 'claimPaged' ? `b-${lives}` : known.value.incarnation;
-      flip(view, shard, known, life, pick, late);
-    } else if (kind === 'fold' && known.value.epoch !== null) {
+    } else if ((kind === 'moveToPages' || kind === 'claimPaged') && known.value.epoch === null) {
+      incarnations += kind === 'claimPaged' ? 1 : 0;
+      const newIncarnation = kind === 'claimPaged' ? `b-${incarnations}` : known.value.incarnation;
+      moveToPages(process, shard, known, newIncarnation, pick, late);
+    } else if (kind === 'moveToRecord' && known.value.epoch !== null) {
       const guards = foldGuards(shard, known);
       const value = encodeShard({ ...known.value, epoch: null });
-      write(view, { guards, ops: [{ put: shardKey(shard), value }] }, late);
+      write(process, { guards, ops: [{ put: shardKey(shard), value }] }, late);
     }
   }
 }
 
-/** A write of unknown outcome is made void, or is seen. */
-function settle(store: Store, key: string, view: View): void {
+/** Rewrites a key, so that a pending write of unknown outcome has either taken effect or can no longer be applied. */
+function fencePendingWrite(store: Store, key: string, process: SimulatedProcess): void {
   const written = store.keys.get(key);
   store.txn([], [{ put: key, value: written?.value ?? encodePage(0, []) }]);
-  view.read(key);
+  process.read(key);
 }
 
-const playAll = (rules: Rules, kinds: readonly Kind[] = KINDS): void => {
+const checkAll = (safeguards: Safeguards, kinds: readonly Kind[] = ALL_KINDS): void => {
   fc.assert(
-    fc.property(actionsOf(kinds), (list) => play(list, rules)),
+    fc.property(actionsOf(kinds), (list) => runActions(list, safeguards)),
     { seed: 21, numRuns: 2000 },
   );
 };
 
-test('no machine is in two blocks and none is lost, in records and pages, flipped, folded, claimed, with late writes', () => {
-  playAll(ALL);
-  playAll(ALL, FLIPPING);
+test('no machine is in two blocks or lost while blocks move between records and pages and writes are late', () => {
+  checkAll(ALL_SAFEGUARDS);
+  checkAll(ALL_SAFEGUARDS, MOVE_KINDS);
 });
 
-for (const left of ['settled', 'settles', 'pageGuards', 'heads', 'staged', 'flipped'] as const) {
-  test(`without "${left}" that is caught`, () => {
+for (const omitted of [
+  'caughtUp',
+  'fencesPendingWrites',
+  'pageGuards',
+  'recordGuards',
+  'stageGuards',
+  'moveGuards',
+] as const) {
+  test(`without the safeguard "${omitted}" the model check fails`, () => {
     assert.throws(
-      () => playAll({ ...ALL, [left]: false }, left === 'flipped' ? FLIPPING : KINDS),
+      () => checkAll({ ...ALL_SAFEGUARDS, [omitted]: false }, omitted === 'moveGuards' ? MOVE_KINDS : ALL_KINDS),
       (error: Error) => /in two blocks|is lost/.test(String(error.cause)),
     );
   });
 }
 
-test('pages are laid out alike by everybody, and each is within the limit', () => {
+test('the layout of pages is deterministic, and each page is within the limit', () => {
   const machines = Array.from({ length: 1077 }, (_, i) => ({
     ...machine(`host-${String(i).padStart(6, '0')}`),
     ...{ address: `10.1.${i >> 8}.${i & 255}:9000`, type: i % 3 === 0 ? 'dispensary' : 'theatre', spot: i % 2 === 0 },
--- a/test/paging.test.ts
+++ b/test/paging.test.ts
@@ -15,16 +15,16 @@
 import { Lab } from '../packages/region/test/lab.js';
 
 const SHARD = shardName('n-0');
-const LATE = '10.0.0.2';
-const NEXT_LIMITS = { writeRps: 1000, valueKb: 2, txnOps: 5 };
-const ROOM = { recordMost: 600, pageBytes: 2048 };
+const LATE_ADDRESS = '10.0.0.2';
+const STATE_LIMITS = { writeRps: 1000, valueKb: 2, txnOps: 5 };
+const BLOCK_LIMITS = { recordMost: 600, pageBytes: 2048 };
 const machine = (n: number): BlockMachine => ({
   ...{ id: machineId(`host-${String(n).padStart(6, '0')}`), type: 'desk', zone: 'north', spot: false },
   address: `10.1.0.${n}:9000`,
 });
 
-/** A process that has read the state once, and whose watch tells it nothing after that. */
-class Unwatched {
+/** A process that has loaded the state once and whose watch delivers nothing afterwards. */
+class ProcessWithoutWatch {
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly directory: ShardDirectory;
@@ -34,7 +34,7 @@
     private readonly lab: Lab,
     ip: string,
     at: { readonly host: string; readonly port: number },
-    next = NEXT_LIMITS,
+    next = STATE_LIMITS,
   ) {
     const process = lab.process(ip);
     this.state = new StateClient(at, { rps: 1000, writeRps: 1000, next }, lab.log, process);
@@ -64,7 +64,7 @@
   }
 
   admit(machines: readonly BlockMachine[]): Promise<void> {
-    return this.change(enter(SHARD, this.known, machines, ROOM).change);
+    return this.change(enter(SHARD, this.known, machines, BLOCK_LIMITS).change);
   }
 
   async remove(id: string): Promise<void> {
@@ -72,26 +72,26 @@
   }
 }
 
-interface Two {
+interface Processes {
   readonly lab: Lab;
-  readonly holder: Unwatched;
-  readonly late: Unwatched;
+  readonly holder: ProcessWithoutWatch;
+  readonly late: ProcessWithoutWatch;
   readonly model: StateModel;
-  /** The machines of the shard as it is stored. */
+  /** The ids of the machines in the stored shard. */
   stored(): Promise<string[]>;
 }
 
-/** A holder, and a process that has seen the shard's record before the holder changes it. */
-async function twoOver(machines: readonly BlockMachine[], lateLimits = NEXT_LIMITS): Promise<Two> {
+/** Starts a holder, and a process that has loaded the shard's record before the holder changes it. */
+async function startProcesses(machines: readonly BlockMachine[], lateLimits = STATE_LIMITS): Promise<Processes> {
   const lab = new Lab();
   const { model, at } = lab.state();
-  const made = { holder: nodeName('n-0'), incarnation: incarnation('a'), released: false, next: null, earlier: [] };
-  model.put(shardKey(SHARD), encodeShard({ ...made, machines, epoch: null }));
-  const holder = new Unwatched(lab, '10.0.0.1', at);
-  const late = new Unwatched(lab, LATE, at, lateLimits);
+  const record = { holder: nodeName('n-0'), incarnation: incarnation('a'), released: false, next: null, earlier: [] };
+  model.put(shardKey(SHARD), encodeShard({ ...record, machines, epoch: null }));
+  const holder = new ProcessWithoutWatch(lab, '10.0.0.1', at);
+  const late = new ProcessWithoutWatch(lab, LATE_ADDRESS, at, lateLimits);
   assert.ok((await holder.load()) && (await late.load()));
   const stored = async (): Promise<string[]> => {
-    const reader = new Unwatched(lab, '10.0.0.3', at);
+    const reader = new ProcessWithoutWatch(lab, '10.0.0.3', at);
     await reader.load();
     return reader.known.value.machines.map(({ id }) => id as string).sort();
   };
@@ -100,39 +100,39 @@
 
 const ids = (...numbers: number[]): string[] => numbers.map((n) => machine(n).id as string);
 
-/** What a process does round after round that takes the shard for vacant, as it once saw it. */
-async function stageAgainAndAgain({ lab, late }: Two, seen: KnownShard): Promise<void> {
-  for (let round = 0; round < 4; round++) await lab.settle(late.paging.stage(SHARD, seen, Urgency.session));
+/** Stages pages in several rounds, as a process does that still takes the shard for vacant. */
+async function stageRepeatedly({ lab, late }: Processes, staleShard: KnownShard): Promise<void> {
+  for (let round = 0; round < 4; round++) await lab.settle(late.paging.stage(SHARD, staleShard, Urgency.session));
 }
 
-test('a late process that stages pages for an older record takes no machine out of the block', async () => {
-  const two = await twoOver([machine(1), machine(2)]);
+test('staging pages for an older record by a late process removes no machine from the block', async () => {
+  const two = await startProcesses([machine(1), machine(2)]);
   const seen = two.late.known;
   await two.holder.admit([machine(3)]);
   await two.holder.flip();
   assert.deepEqual(await two.stored(), ids(1, 2, 3));
-  await stageAgainAndAgain(two, seen);
+  await stageRepeatedly(two, seen);
   assert.deepEqual(await two.stored(), ids(1, 2, 3));
 });
 
-test('a late process that stages pages for the record that became the head changes nothing of them', async () => {
-  const two = await twoOver([machine(1), machine(2)]);
+test('staging pages by a late process for a record that has become the head leaves its pages unchanged', async () => {
+  const two = await startProcesses([machine(1), machine(2)]);
   const seen = two.late.known;
   await two.holder.flip();
   await two.holder.remove('host-000001');
   await two.holder.admit([machine(4)]);
-  await stageAgainAndAgain(two, seen);
+  await stageRepeatedly(two, seen);
   assert.deepEqual(await two.stored(), ids(2, 4));
 });
 
-test('a record does not become the head of pages that another has laid out anew in the meantime', async () => {
+test('a record does not become the head of pages that another process has laid out again meanwhile', async () => {
   const machines = Array.from({ length: 100 }, (_, i) => machine(i + 1));
-  const two = await twoOver(machines, { ...NEXT_LIMITS, valueKb: 0.25 });
+  const two = await startProcesses(machines, { ...STATE_LIMITS, valueKb: 0.25 });
   const { lab, holder, late, model } = two;
   assert.ok(await lab.settle(holder.paging.stage(SHARD, holder.known, Urgency.shard)));
-  // It stages its first pages, by a limit of its own, and ends in the middle.
+  // The late process stages its first pages under its own limit and stops halfway.
   model.spoils = ({ from, body }) =>
-    from === LATE && JSON.stringify(body ?? null).includes(pageKey(SHARD, 5)) ? 'lost-request' : null;
+    from === LATE_ADDRESS && JSON.stringify(body ?? null).includes(pageKey(SHARD, 5)) ? 'lost-request' : null;
   for (let round = 0; round < 2; round++) await lab.settle(late.paging.stage(SHARD, late.known, Urgency.shard));
   await holder.flip();
   assert.equal((await two.stored()).length, machines.length);
--- a/test/standins/carrying.ts
+++ b/test/standins/carrying.ts
@@ -20,23 +20,26 @@
 import { CARRIED_CANCELLATIONS } from '../../src/rollout/index.js';
 import { jobKey, nodeKey, SHARDS, shardKey, type Change, type Entry } from '../../src/state/index.js';
 
-/** Guards of the argument in docs/cancel-design.md that a run may leave out, to see that they are needed. */
-export type LeftOut = 'nothing' | 'acknowledgement' | 'bound' | 'catching up';
+/** Guards of the proof in docs/cancel-design.md, one of which a run may omit to show that it is needed. */
+export type OmittedGuard = 'nothing' | 'acknowledgement' | 'deadline' | 'watch catch-up';
 
+/**
+ * A fault that starts at `at` and lasts `forMs`. Partitions and unreachable machines involve both `node` and `other`.
+ */
 export interface Fault {
   readonly at: number;
   readonly forMs: number;
-  readonly kind: 'refused' | 'outage' | 'apart' | 'end' | 'still' | 'out of reach';
+  readonly kind: 'refused' | 'outage' | 'partition' | 'crash' | 'pause' | 'out of reach';
   readonly node: number;
   readonly other: number;
 }
 
-export const FACTS: BoundFacts = { cancelMs: 48_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
-const STEP_MS = 100;
-const REPORT_MS = 2000;
+export const TIMINGS: BoundFacts = { cancelMs: 48_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
+const TICK_MS = 100;
+const REPORT_INTERVAL_MS = 2000;
 const FEATURES = [CARRIED_CANCELLATIONS];
 
-/** The state service: every change in order, and keys of nodes that run out. */
+/** Model of the state service: the log of all changes, the current keys, and the nodes that it refuses. */
 class Store {
   readonly log: Change[] = [];
   readonly keys = new Map<string, Entry>();
@@ -59,40 +62,41 @@
   }
 }
 
-interface Held {
+/** A shard that the controller holds, and the revision of its claim. */
+interface HeldShard {
   readonly claimedAt: Revision;
 }
 
-/** One life of a controller: the real carrier between a mirror that lags and holders that know what is over. */
-class Life {
+/** One incarnation of a controller: the production code for cancellations on a lagging mirror and modelled holders. */
+class Controller {
   readonly incarnation: Incarnation;
   readonly carrier: Carrier;
-  readonly held = new Map<ShardName, Held>();
+  readonly held = new Map<ShardName, HeldShard>();
   readonly over = new Set<JobId>();
   readonly entries = new Map<string, Entry>();
   readonly changes = new Subject<Change>();
   readonly inbox: { readonly from: number; readonly message: PeerMessage; readonly due: number }[] = [];
   readonly heard = new Map<NodeName, PeerStatus>();
-  seen = revision(0);
+  watchedRevision = revision(0);
   renewedAt = millis(Number.NEGATIVE_INFINITY);
   registered = false;
   private waiters: { readonly upTo: Revision; readonly resolve: (there: boolean) => void }[] = [];
 
   constructor(
-    private readonly world: Carrying,
+    private readonly cluster: SimulatedCluster,
     readonly n: number,
   ) {
-    this.incarnation = incarnation(`life-${world.lives++}`);
+    this.incarnation = incarnation(`incarnation-${cluster.startedControllers++}`);
     const self = nodeName(`n-${n}`);
     this.carrier = new Carrier({
-      ...{ self, incarnation: this.incarnation, facts: FACTS, runtime: world.runtimeOf(n) },
-      others: world.nodes.filter((node) => node !== n).map((node) => nodeName(`n-${node}`)),
+      ...{ self, incarnation: this.incarnation, facts: TIMINGS, runtime: cluster.runtimeOf(n) },
+      others: cluster.nodes.filter((node) => node !== n).map((node) => nodeName(`n-${node}`)),
       log: { info: () => undefined, warn: () => undefined },
-      state: { txn: (_urgency, _guards, ops) => Promise.resolve(this.txn(ops)) },
+      state: { txn: (_urgency, _guards, ops) => Promise.resolve(this.writeToStore(ops)) },
       mirror: this.mirror(),
       directory: this.directory(),
       peers: { send: (to, message) => this.send(to, message), statusOf: (node) => this.heard.get(node) ?? null },
-      on: () => world.leftOut !== 'acknowledgement',
+      on: () => cluster.omittedGuard !== 'acknowledgement',
       renewedAt: () => this.renewedAt,
       held: () => [...this.held].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
       ousted: (shard) => this.held.delete(shard),
@@ -100,24 +104,24 @@
     });
   }
 
-  private txn(ops: readonly object[]): { kind: 'refused' } | { kind: 'ok'; revision: Revision } {
-    if (!this.world.store.serves(this.n)) return { kind: 'refused' };
-    return { kind: 'ok', revision: this.world.store.write(ops.map(renamed)) };
+  private writeToStore(ops: readonly object[]): { kind: 'refused' } | { kind: 'ok'; revision: Revision } {
+    if (!this.cluster.store.serves(this.n)) return { kind: 'refused' };
+    return { kind: 'ok', revision: this.cluster.store.write(ops.map(toStoreChange)) };
   }
 
   private mirror(): ConstructorParameters<typeof Carrier>[0]['mirror'] {
-    const seen = (): Revision => this.seen;
+    const watchedRevision = (): Revision => this.watchedRevision;
     return {
       get: (key) => this.entries.get(key),
       apply: (change) => this.apply(change),
       reach: (upTo) =>
-        this.seen >= upTo
+        this.watchedRevision >= upTo
           ? Promise.resolve(true)
           : new Promise((resolve) => {
               this.waiters.push({ upTo, resolve });
             }),
       get seenUpTo() {
-        return seen();
+        return watchedRevision();
       },
       loaded: true,
       changes: this.changes,
@@ -151,85 +155,97 @@
     this.changes.next(change);
   }
 
-  /** The watch shows what has happened up to here, in order. */
-  follow(upTo: Revision): void {
-    for (const change of this.world.store.log)
-      if (change.version > this.seen && change.version <= upTo) this.apply(change);
-    this.seen = upTo;
-    const there = this.waiters.filter((waiter) => waiter.upTo <= upTo);
+  /** Delivers all changes up to a revision in order, as the watch does. */
+  advanceWatch(upTo: Revision): void {
+    for (const change of this.cluster.store.log)
+      if (change.version > this.watchedRevision && change.version <= upTo) this.apply(change);
+    this.watchedRevision = upTo;
+    const reached = this.waiters.filter((waiter) => waiter.upTo <= upTo);
     this.waiters = this.waiters.filter((waiter) => waiter.upTo > upTo);
-    for (const { resolve } of there) resolve(true);
+    for (const { resolve } of reached) resolve(true);
   }
 
   private send(to: NodeName, message: PeerMessage): boolean {
-    return this.world.carry(this.n, Number(String(to).slice(2)), message);
+    return this.cluster.deliver(this.n, Number(String(to).slice(2)), message);
   }
 
-  receive(from: number, message: PeerMessage, life: Incarnation): void {
+  receive(from: number, message: PeerMessage, senderIncarnation: Incarnation): void {
     const node = nodeName(`n-${from}`);
-    const said = { stateOk: true, fit: true, leaving: false, release: 4, features: FEATURES, limitsFallen: false };
-    this.heard.set(node, { ...said, node, incarnation: life, heardAt: this.world.clockOf(this.n) });
+    const status = { stateOk: true, fit: true, leaving: false, release: 4, features: FEATURES, limitsFallen: false };
+    this.heard.set(node, { ...status, node, incarnation: senderIncarnation, heardAt: this.cluster.clockOf(this.n) });
     this.carrier.onPeer(node, message);
   }
 
-  /** Does this life run the job on, as its holder? */
+  /** Reports whether this incarnation answers workers as the holder of the shard. */
   answersFor(shard: ShardName): boolean {
-    if (this.world.leftOut !== 'bound' && this.carrier.standing === 'nothing') return false;
+    if (this.cluster.omittedGuard !== 'deadline' && this.carrier.standing === 'nothing') return false;
     return this.held.has(shard);
   }
 }
 
-const renamed = (op: object): { key: string; value?: unknown } => {
+const toStoreChange = (op: object): { key: string; value?: unknown } => {
   const { put, value } = op as { put?: string; value?: unknown };
   return put === undefined ? { key: (op as { remove?: string }).remove ?? '' } : { key: put, value };
 };
 
+/** A machine with one long task of a job. It reports to one controller after another until one answers. */
 interface Machine {
   readonly job: JobId;
   readonly shard: ShardName;
   alive: boolean;
-  /** The highest claim that it has seen. */
-  token: number;
-  leasedAt: number;
-  at: number;
-  reportAt: number;
+  /** The highest claim revision that it has seen; it serves as a fencing token. */
+  highestClaim: number;
+  leaseRenewedAt: number;
+  controllerIndex: number;
+  nextReportAt: number;
 }
 
 /**
- * A plain world around the real carriers: three controllers, a store whose watch lags, packets that are held up, one
- * machine with one long task in each shard, and users who cancel all of them. It says what was told and what runs on.
+ * A simulated cluster around the production code for cancellations: three controllers, a store whose watch lags,
+ * delayed packets, one machine with one long task in each shard, and users who cancel all of the jobs. It records which
+ * users were told and which tasks run longer than they may.
  */
-export class Carrying {
+export class SimulatedCluster {
   readonly store = new Store();
   readonly nodes = [0, 1, 2];
-  readonly broken: string[] = [];
+  /** Descriptions of tasks that ran too long after their user was told. */
+  readonly violations: string[] = [];
+  /** When the user of each job was told that it is cancelled. */
   readonly told = new Map<JobId, number>();
-  lives = 0;
+  startedControllers = 0;
   private now = 0;
   private timers: { at: number; run: () => void; cancelled: boolean }[] = [];
-  private readonly running: (Life | null)[] = [];
+  private readonly controllers: (Controller | null)[] = [];
   private readonly machines: Machine[] = [];
-  private readonly asked = new Set<JobId>();
-  private dice = 0;
+  private readonly requestedJobs = new Set<JobId>();
+  private randomState = 0;
 
   constructor(
-    readonly leftOut: LeftOut,
+    readonly omittedGuard: OmittedGuard,
     private readonly faults: readonly Fault[],
-    /** Of what is drawn within the world: lags, and who asks whom. */
+    /** Seed of the random choices within the cluster: lags, and which controller a user asks. */
     private readonly seed: number,
   ) {
-    for (const n of this.nodes) this.running.push(new Life(this, n));
+    for (const n of this.nodes) this.controllers.push(new Controller(this, n));
     for (const n of this.nodes) {
       const shard = shardName(`n-${n}`);
       const job = `j-${n}` as JobId;
       this.store.write([{ key: jobKey(job), value: { job } }]);
-      this.machines.push({ job, shard, alive: true, token: 0, leasedAt: 0, at: n, reportAt: 0 });
+      this.machines.push({
+        job,
+        shard,
+        alive: true,
+        highestClaim: 0,
+        leaseRenewedAt: 0,
+        controllerIndex: n,
+        nextReportAt: 0,
+      });
     }
   }
 
-  private chance(share: number): boolean {
-    this.dice = (Math.imul(this.dice ^ this.seed, 2_654_435_761) + 40_503) >>> 0;
-    return (this.dice >>> 8) / 2 ** 24 < share;
+  private randomly(probability: number): boolean {
+    this.randomState = (Math.imul(this.randomState ^ this.seed, 2_654_435_761) + 40_503) >>> 0;
+    return (this.randomState >>> 8) / 2 ** 24 < probability;
   }
 
   clockOf(n: number): Millis {
@@ -247,141 +263,155 @@
     };
   }
 
-  private is(kind: Fault['kind'], n: number, other = n): boolean {
+  private hasFault(kind: Fault['kind'], n: number, other = n): boolean {
     return this.faults.some((fault) => {
       if (fault.kind !== kind || this.now < fault.at || this.now >= fault.at + fault.forMs) return false;
-      if (kind !== 'apart' && kind !== 'out of reach') return fault.node === n;
+      if (kind !== 'partition' && kind !== 'out of reach') return fault.node === n;
       return (fault.node === n && fault.other === other) || (fault.node === other && fault.other === n);
     });
   }
 
-  /** A packet between controllers; one that is held up comes once the cut is over, however late. */
-  carry(from: number, to: number, message: PeerMessage): boolean {
-    const life = this.running[from];
-    if (!life) return false;
-    const lag = STEP_MS * (1 + (this.chance(0.2) ? 30 : 0));
-    const target = this.running[to];
+  /** Sends a packet between controllers. During a partition it is held back and arrives afterwards, however late. */
+  deliver(from: number, to: number, message: PeerMessage): boolean {
+    const sender = this.controllers[from];
+    if (!sender) return false;
+    const lag = TICK_MS * (1 + (this.randomly(0.2) ? 30 : 0));
+    const target = this.controllers[to];
     target?.inbox.push({ from, message, due: this.now + lag });
     return true;
   }
 
   async play(untilMs: number): Promise<void> {
-    for (; this.now < untilMs; this.now += STEP_MS) {
-      await this.step();
+    for (; this.now < untilMs; this.now += TICK_MS) {
+      await this.tick();
       for (let i = 0; i < 4; i++) await Promise.resolve();
     }
   }
 
-  private async step(): Promise<void> {
+  private async tick(): Promise<void> {
     this.store.down = this.faults.some((f) => f.kind === 'outage' && this.now >= f.at && this.now < f.at + f.forMs);
     for (const n of this.nodes) {
-      if (this.is('refused', n)) this.store.refused.add(n);
+      if (this.hasFault('refused', n)) this.store.refused.add(n);
       else this.store.refused.delete(n);
-      if (this.is('end', n)) this.running[n] = null;
-      else this.running[n] ??= new Life(this, n);
-      const life = this.running[n];
-      if (life && !this.is('still', n)) this.live(life);
+      if (this.hasFault('crash', n)) this.controllers[n] = null;
+      else this.controllers[n] ??= new Controller(this, n);
+      const controller = this.controllers[n];
+      if (controller && !this.hasFault('pause', n)) this.runController(controller);
     }
     const due = this.timers.filter(({ at }) => at <= this.now);
     this.timers = this.timers.filter(({ at }) => at > this.now);
     for (const timer of due) if (!timer.cancelled) timer.run();
-    for (const machine of this.machines) this.report(machine);
+    for (const machine of this.machines) this.reportFromMachine(machine);
     if (this.now % 1000 === 0) {
-      this.cancel();
+      this.requestCancellations();
       await Promise.all(
-        this.running.map((life) => (life && !this.is('still', life.n) ? life.carrier.round() : undefined)),
+        this.controllers.map((each) => (each && !this.hasFault('pause', each.n) ? each.carrier.round() : undefined)),
       );
     }
   }
 
-  private live(life: Life): void {
-    const { n } = life;
-    const arrived = life.inbox.filter(({ from, due }) => due <= this.now && !this.is('apart', n, from));
-    for (const one of arrived) {
-      life.inbox.splice(life.inbox.indexOf(one), 1);
-      life.receive(one.from, one.message, this.running[one.from]?.incarnation ?? incarnation('ended'));
+  private runController(controller: Controller): void {
+    const { n } = controller;
+    const dueMessages = controller.inbox.filter(
+      ({ from, due }) => due <= this.now && !this.hasFault('partition', n, from),
+    );
+    for (const packet of dueMessages) {
+      controller.inbox.splice(controller.inbox.indexOf(packet), 1);
+      controller.receive(
+        packet.from,
+        packet.message,
+        this.controllers[packet.from]?.incarnation ?? incarnation('ended'),
+      );
     }
     if (!this.store.serves(n)) return;
     const key = nodeKey(nodeName(`n-${n}`));
     this.store.keys.set(`lease ${key}`, { key, value: this.now, version: revision(0) });
-    if (!life.registered) {
-      life.registered = true;
-      this.store.write([{ key, value: { incarnation: life.incarnation, release: { features: FEATURES } } }]);
+    if (!controller.registered) {
+      controller.registered = true;
+      this.store.write([{ key, value: { incarnation: controller.incarnation, release: { features: FEATURES } } }]);
     }
-    life.renewedAt = this.clockOf(n);
-    // The watch lags, by a second now and then.
-    if (this.chance(0.3)) life.follow(this.store.log.at(-1)?.version ?? revision(0));
-    for (const { shard } of this.machines) this.claim(life, shard);
+    controller.renewedAt = this.clockOf(n);
+    // The watch is delivered in only some of the ticks, so it sometimes lags by a second.
+    if (this.randomly(0.3)) controller.advanceWatch(this.store.log.at(-1)?.version ?? revision(0));
+    for (const { shard } of this.machines) this.claimIfVacant(controller, shard);
   }
 
-  private vacant(shard: ShardName): boolean {
+  private isVacant(shard: ShardName): boolean {
     const record = this.store.keys.get(shardKey(shard))?.value as KnownShard['value'] | undefined;
     if (!record) return true;
     const key = nodeKey(record.holder);
     const lease = this.store.keys.get(`lease ${key}`)?.value as number | undefined;
-    const life = this.store.keys.get(key)?.value as { incarnation: string } | undefined;
-    return (lease ?? 0) < this.now - FACTS.nodeLeaseMs || life?.incarnation !== record.incarnation;
+    const registration = this.store.keys.get(key)?.value as { incarnation: string } | undefined;
+    return (lease ?? 0) < this.now - TIMINGS.nodeLeaseMs || registration?.incarnation !== record.incarnation;
   }
 
-  private claim(life: Life, shard: ShardName): void {
+  private claimIfVacant(controller: Controller, shard: ShardName): void {
     const key = shardKey(shard);
-    const self = nodeName(`n-${life.n}`);
-    if (this.vacant(shard) && (String(self) === String(shard) || this.now > 6000)) {
-      const value = { holder: self, incarnation: life.incarnation, released: false, machines: [] };
+    const self = nodeName(`n-${controller.n}`);
+    if (this.isVacant(shard) && (String(self) === String(shard) || this.now > 6000)) {
+      const value = { holder: self, incarnation: controller.incarnation, released: false, machines: [] };
       this.store.write([{ key, value }]);
     }
     const entry = this.store.keys.get(key);
     const value = entry?.value as KnownShard['value'] | undefined;
     if (!entry || !value) return;
-    const mine = value.holder === self && value.incarnation === life.incarnation;
-    if (mine && !life.held.has(shard)) {
-      if (this.leftOut === 'catching up' || life.seen >= entry.version)
-        life.held.set(shard, { claimedAt: entry.version });
-    } else if (!mine && life.seen >= entry.version) life.held.delete(shard);
+    const mine = value.holder === self && value.incarnation === controller.incarnation;
+    if (mine && !controller.held.has(shard)) {
+      if (this.omittedGuard === 'watch catch-up' || controller.watchedRevision >= entry.version)
+        controller.held.set(shard, { claimedAt: entry.version });
+    } else if (!mine && controller.watchedRevision >= entry.version) controller.held.delete(shard);
   }
 
-  private report(machine: Machine): void {
-    if (machine.alive && this.now - machine.leasedAt > FACTS.leaseMs) machine.alive = false;
-    const { told, broken } = this;
+  private reportFromMachine(machine: Machine): void {
+    if (machine.alive && this.now - machine.leaseRenewedAt > TIMINGS.leaseMs) machine.alive = false;
+    const { told, violations } = this;
     const toldAt = told.get(machine.job);
-    if (machine.alive && toldAt !== undefined && this.now > toldAt + FACTS.cancelMs)
-      broken.push(`${machine.job} was told at ${toldAt} and runs at ${this.now}`);
-    if (this.now < machine.reportAt) return;
-    machine.reportAt = this.now + REPORT_MS;
-    const life = this.running[machine.at];
-    const held = life?.held.get(machine.shard);
-    const reached = life && !this.is('still', life.n) && !this.outOfReach(machine, life.n);
-    if (!life || !reached || !held || held.claimedAt < machine.token || !life.answersFor(machine.shard)) {
-      machine.at = (machine.at + 1) % this.nodes.length;
-      machine.reportAt = this.now + 1000;
+    if (machine.alive && toldAt !== undefined && this.now > toldAt + TIMINGS.cancelMs)
+      violations.push(`${machine.job} was told at ${toldAt} and runs at ${this.now}`);
+    if (this.now < machine.nextReportAt) return;
+    machine.nextReportAt = this.now + REPORT_INTERVAL_MS;
+    const controller = this.controllers[machine.controllerIndex];
+    const held = controller?.held.get(machine.shard);
+    const reached = controller && !this.hasFault('pause', controller.n) && !this.outOfReach(machine, controller.n);
+    if (
+      !controller ||
+      !reached ||
+      !held ||
+      held.claimedAt < machine.highestClaim ||
+      !controller.answersFor(machine.shard)
+    ) {
+      machine.controllerIndex = (machine.controllerIndex + 1) % this.nodes.length;
+      machine.nextReportAt = this.now + 1000;
       return;
     }
-    machine.token = held.claimedAt;
-    machine.leasedAt = this.now;
-    if (life.over.has(machine.job)) machine.alive = false;
+    machine.highestClaim = held.claimedAt;
+    machine.leaseRenewedAt = this.now;
+    if (controller.over.has(machine.job)) machine.alive = false;
   }
 
   private outOfReach({ shard }: Machine, n: number): boolean {
-    return this.is('out of reach', n, Number(String(shard).slice(2)));
+    return this.hasFault('out of reach', n, Number(String(shard).slice(2)));
   }
 
-  /** Users ask any node, again and again, until they are told. */
-  private cancel(): void {
+  /** Users ask random controllers repeatedly until they are told that their job is cancelled. */
+  private requestCancellations(): void {
     if (this.now < 8000) return;
     for (const { job } of this.machines) {
-      if (this.told.has(job) || !this.chance(0.3)) continue;
-      const life = this.running[this.nodes.find(() => this.chance(0.4)) ?? 0];
-      if (!life || this.is('still', life.n) || !this.store.serves(life.n)) continue;
+      if (this.told.has(job) || !this.randomly(0.3)) continue;
+      const controller = this.controllers[this.nodes.find(() => this.randomly(0.4)) ?? 0];
+      if (!controller || this.hasFault('pause', controller.n) || !this.store.serves(controller.n)) continue;
       const final = `finals/${job}`;
-      if (!this.asked.has(job)) {
-        this.asked.add(job);
+      if (!this.requestedJobs.has(job)) {
+        this.requestedJobs.add(job);
         this.store.write([{ key: jobKey(job) }, { key: final, value: { phase: 'cancelled' } }]);
       }
       const version = this.store.keys.get(final)?.version ?? revision(0);
-      const { n } = life;
-      void life.carrier.carried(job, { phase: 'cancelled', done: 0, at: wallMillis(0) }, version).then((carried) => {
-        if (carried && this.running[n] === life && !this.told.has(job)) this.told.set(job, this.now);
-      });
+      const { n } = controller;
+      void controller.carrier
+        .carried(job, { phase: 'cancelled', done: 0, at: wallMillis(0) }, version)
+        .then((acknowledged) => {
+          if (acknowledged && this.controllers[n] === controller && !this.told.has(job)) this.told.set(job, this.now);
+        });
     }
   }
 }
