--- a/src/carry/bound.ts
+++ b/src/carry/bound.ts
@@ -25,6 +25,7 @@
  * is told of a cancellation only after the holder knows of it or another node has claimed the shard. A cancellation
  * that the holder can't know of is therefore reported, at the earliest, when the holder's node lease may have expired.
  * From then on it has to take effect within `cancelMs`, and the workers' leases need the last `leaseMs` of that time.
+ * The factor 1.002 allows for clock drift.
  */
 export function answerGraceMs({ cancelMs, leaseMs, nodeLeaseMs }: BoundFacts): number {
   const minimumMs = nodeLeaseMs + withDrift(leaseMs) / 2;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -276,7 +276,11 @@
     );
   }
 
-  /** How long a shard must be vacant before this node claims it. */
+  /**
+   * How long a shard must be vacant before this node claims it. Its own shard and a shard that was handed over to it
+   * are claimed at once. Otherwise the delay grows if the node that the shard is named after is alive, if the shard was
+   * released, by 150 ms for each live node with a smaller name, and with the number of shards that this node holds.
+   */
   private claimDelayMs(shard: ShardName, exists: boolean, value: ShardValue | null, now: Millis): number {
     if ((shard as string) === (this.self as string)) return 0;
     // The previous holder has handed the shard over to this node.
--- a/test/carry.test.ts
+++ b/test/carry.test.ts
@@ -46,7 +46,7 @@
   untilMs = SIMULATED_MS,
 ): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster(omittedGuard, schedule, seed);
-  await cluster.play(untilMs);
+  await cluster.run(untilMs);
   return cluster;
 }
 
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -32,6 +32,7 @@
   ...{ id: machineId(id), type: 'desk', zone: 'north', spot: false, address: '10.1.0.1:9000' },
 });
 
+/** A stored value and the revision that wrote it. */
 interface Written {
   readonly key: string;
   readonly value: unknown;
@@ -108,6 +109,7 @@
   readonly purpose?: WritePurpose;
 }
 
+/** Actions of a run; those that are listed repeatedly are drawn more often. */
 const ALL_KINDS = [
   ...([
     'watch',
@@ -135,7 +137,7 @@
     'claimPaged',
   ] as const),
 ] as const;
-/** Mostly the actions that move machines between records and pages. */
+/** Mostly actions that move machines between records and pages. */
 const MOVE_KINDS = [
   'watch',
   'grant',
--- a/test/paging.test.ts
+++ b/test/paging.test.ts
@@ -53,7 +53,7 @@
     return known;
   }
 
-  flip(): Promise<void> {
+  moveToPages(): Promise<void> {
     return this.lab.settle(this.paging.flip(SHARD, this.known));
   }
 
@@ -63,11 +63,11 @@
     if (result.kind === 'ok') this.mirror.wrote(change.ops, result.revision);
   }
 
-  admit(machines: readonly BlockMachine[]): Promise<void> {
+  addMachines(machines: readonly BlockMachine[]): Promise<void> {
     return this.change(enter(SHARD, this.known, machines, BLOCK_LIMITS).change);
   }
 
-  async remove(id: string): Promise<void> {
+  async removeMachine(id: string): Promise<void> {
     for (const { change } of leave(SHARD, this.known, new Set([machineId(id)]))) await this.change(change);
   }
 }
@@ -78,7 +78,7 @@
   readonly late: ProcessWithoutWatch;
   readonly model: StateModel;
   /** The ids of the machines in the stored shard. */
-  stored(): Promise<string[]>;
+  storedIds(): Promise<string[]>;
 }
 
 /** Starts a holder, and a process that has loaded the shard's record before the holder changes it. */
@@ -95,10 +95,10 @@
     await reader.load();
     return reader.known.value.machines.map(({ id }) => id as string).sort();
   };
-  return { lab, holder, late, model, stored };
+  return { lab, holder, late, model, storedIds: stored };
 }
 
-const ids = (...numbers: number[]): string[] => numbers.map((n) => machine(n).id as string);
+const idsOf = (...numbers: number[]): string[] => numbers.map((n) => machine(n).id as string);
 
 /** Stages pages in several rounds, as a process does that still takes the shard for vacant. */
 async function stageRepeatedly({ lab, late }: Processes, staleShard: KnownShard): Promise<void> {
@@ -106,37 +106,37 @@
 }
 
 test('staging pages for an older record by a late process removes no machine from the block', async () => {
-  const two = await startProcesses([machine(1), machine(2)]);
-  const seen = two.late.known;
-  await two.holder.admit([machine(3)]);
-  await two.holder.flip();
-  assert.deepEqual(await two.stored(), ids(1, 2, 3));
-  await stageRepeatedly(two, seen);
-  assert.deepEqual(await two.stored(), ids(1, 2, 3));
+  const processes = await startProcesses([machine(1), machine(2)]);
+  const staleShard = processes.late.known;
+  await processes.holder.addMachines([machine(3)]);
+  await processes.holder.moveToPages();
+  assert.deepEqual(await processes.storedIds(), idsOf(1, 2, 3));
+  await stageRepeatedly(processes, staleShard);
+  assert.deepEqual(await processes.storedIds(), idsOf(1, 2, 3));
 });
 
 test('staging pages by a late process for a record that has become the head leaves its pages unchanged', async () => {
-  const two = await startProcesses([machine(1), machine(2)]);
-  const seen = two.late.known;
-  await two.holder.flip();
-  await two.holder.remove('host-000001');
-  await two.holder.admit([machine(4)]);
-  await stageRepeatedly(two, seen);
-  assert.deepEqual(await two.stored(), ids(2, 4));
+  const processes = await startProcesses([machine(1), machine(2)]);
+  const staleShard = processes.late.known;
+  await processes.holder.moveToPages();
+  await processes.holder.removeMachine('host-000001');
+  await processes.holder.addMachines([machine(4)]);
+  await stageRepeatedly(processes, staleShard);
+  assert.deepEqual(await processes.storedIds(), idsOf(2, 4));
 });
 
 test('a record does not become the head of pages that another process has laid out again meanwhile', async () => {
   const machines = Array.from({ length: 100 }, (_, i) => machine(i + 1));
-  const two = await startProcesses(machines, { ...STATE_LIMITS, valueKb: 0.25 });
-  const { lab, holder, late, model } = two;
+  const processes = await startProcesses(machines, { ...STATE_LIMITS, valueKb: 0.25 });
+  const { lab, holder, late, model } = processes;
   assert.ok(await lab.settle(holder.paging.stage(SHARD, holder.known, Urgency.shard)));
   // The late process stages its first pages under its own limit and stops halfway.
   model.spoils = ({ from, body }) =>
     from === LATE_ADDRESS && JSON.stringify(body ?? null).includes(pageKey(SHARD, 5)) ? 'lost-request' : null;
   for (let round = 0; round < 2; round++) await lab.settle(late.paging.stage(SHARD, late.known, Urgency.shard));
-  await holder.flip();
-  assert.equal((await two.stored()).length, machines.length);
-  for (let round = 0; round < 4; round++) await holder.flip();
+  await holder.moveToPages();
+  assert.equal((await processes.storedIds()).length, machines.length);
+  for (let round = 0; round < 4; round++) await holder.moveToPages();
   assert.notEqual(holder.known.value.epoch, null);
-  assert.equal((await two.stored()).length, machines.length);
+  assert.equal((await processes.storedIds()).length, machines.length);
 });
--- a/test/standins/carrying.ts
+++ b/test/standins/carrying.ts
@@ -34,8 +34,11 @@
   readonly other: number;
 }
 
+/** Time limits of the simulated cluster: cancellations, workers' leases, and node leases. */
 export const TIMINGS: BoundFacts = { cancelMs: 48_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
+/** Step of the simulated time. */
 const TICK_MS = 100;
+/** Interval at which a machine reports to the controller that answers it. */
 const REPORT_INTERVAL_MS = 2000;
 const FEATURES = [CARRIED_CANCELLATIONS];
 
@@ -57,6 +60,7 @@
     return version;
   }
 
+  /** Reports whether the state service answers a node. */
   serves(node: number): boolean {
     return !this.down && !this.refused.has(node);
   }
@@ -72,11 +76,11 @@
   readonly incarnation: Incarnation;
   readonly carrier: Carrier;
   readonly held = new Map<ShardName, HeldShard>();
-  readonly over = new Set<JobId>();
+  readonly endedJobs = new Set<JobId>();
   readonly entries = new Map<string, Entry>();
   readonly changes = new Subject<Change>();
   readonly inbox: { readonly from: number; readonly message: PeerMessage; readonly due: number }[] = [];
-  readonly heard = new Map<NodeName, PeerStatus>();
+  readonly peerStatuses = new Map<NodeName, PeerStatus>();
   watchedRevision = revision(0);
   renewedAt = millis(Number.NEGATIVE_INFINITY);
   registered = false;
@@ -93,14 +97,14 @@
       others: cluster.nodes.filter((node) => node !== n).map((node) => nodeName(`n-${node}`)),
       log: { info: () => undefined, warn: () => undefined },
       state: { txn: (_urgency, _guards, ops) => Promise.resolve(this.writeToStore(ops)) },
-      mirror: this.mirror(),
-      directory: this.directory(),
-      peers: { send: (to, message) => this.send(to, message), statusOf: (node) => this.heard.get(node) ?? null },
+      mirror: this.createMirror(),
+      directory: this.createDirectory(),
+      peers: { send: (to, message) => this.send(to, message), statusOf: (node) => this.peerStatuses.get(node) ?? null },
       on: () => cluster.omittedGuard !== 'acknowledgement',
       renewedAt: () => this.renewedAt,
       held: () => [...this.held].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
       ousted: (shard) => this.held.delete(shard),
-      over: (id) => this.over.add(id),
+      over: (id) => this.endedJobs.add(id),
     });
   }
 
@@ -109,7 +113,7 @@
     return { kind: 'ok', revision: this.cluster.store.write(ops.map(toStoreChange)) };
   }
 
-  private mirror(): ConstructorParameters<typeof Carrier>[0]['mirror'] {
+  private createMirror(): ConstructorParameters<typeof Carrier>[0]['mirror'] {
     const watchedRevision = (): Revision => this.watchedRevision;
     return {
       get: (key) => this.entries.get(key),
@@ -128,7 +132,7 @@
     };
   }
 
-  private directory(): { readonly all: ReadonlyMap<ShardName, KnownShard> } {
+  private createDirectory(): { readonly all: ReadonlyMap<ShardName, KnownShard> } {
     const shards = (): Map<ShardName, KnownShard> => {
       const found = [...this.entries.values()].filter(({ key }) => key.startsWith(SHARDS));
       return new Map(
@@ -150,7 +154,7 @@
     if (known && known.version >= change.version) return;
     if (change.removed) {
       this.entries.delete(change.key);
-      this.over.add(change.key.slice(jobKey('' as JobId).length) as JobId);
+      this.endedJobs.add(change.key.slice(jobKey('' as JobId).length) as JobId);
     } else this.entries.set(change.key, { ...change });
     this.changes.next(change);
   }
@@ -166,13 +170,18 @@
   }
 
   private send(to: NodeName, message: PeerMessage): boolean {
-    return this.cluster.deliver(this.n, Number(String(to).slice(2)), message);
+    return this.cluster.sendPacket(this.n, Number(String(to).slice(2)), message);
   }
 
   receive(from: number, message: PeerMessage, senderIncarnation: Incarnation): void {
     const node = nodeName(`n-${from}`);
     const status = { stateOk: true, fit: true, leaving: false, release: 4, features: FEATURES, limitsFallen: false };
-    this.heard.set(node, { ...status, node, incarnation: senderIncarnation, heardAt: this.cluster.clockOf(this.n) });
+    this.peerStatuses.set(node, {
+      ...status,
+      node,
+      incarnation: senderIncarnation,
+      heardAt: this.cluster.clockOf(this.n),
+    });
     this.carrier.onPeer(node, message);
   }
 
@@ -243,11 +252,13 @@
     }
   }
 
+  /** Draws from a generator that depends only on the seed: true with the given probability. */
   private randomly(probability: number): boolean {
     this.randomState = (Math.imul(this.randomState ^ this.seed, 2_654_435_761) + 40_503) >>> 0;
     return (this.randomState >>> 8) / 2 ** 24 < probability;
   }
 
+  /** The clock of a controller, which drifts against those of the others. */
   clockOf(n: number): Millis {
     return millis(this.now * (1 + 0.0004 * (n - 1)));
   }
@@ -263,6 +274,7 @@
     };
   }
 
+  /** Reports whether a fault of this kind is active now for a node, or between two nodes. */
   private hasFault(kind: Fault['kind'], n: number, other = n): boolean {
     return this.faults.some((fault) => {
       if (fault.kind !== kind || this.now < fault.at || this.now >= fault.at + fault.forMs) return false;
@@ -272,7 +284,7 @@
   }
 
   /** Sends a packet between controllers. During a partition it is held back and arrives afterwards, however late. */
-  deliver(from: number, to: number, message: PeerMessage): boolean {
+  sendPacket(from: number, to: number, message: PeerMessage): boolean {
     const sender = this.controllers[from];
     if (!sender) return false;
     const lag = TICK_MS * (1 + (this.randomly(0.2) ? 30 : 0));
@@ -281,13 +293,14 @@
     return true;
   }
 
-  async play(untilMs: number): Promise<void> {
+  async run(untilMs: number): Promise<void> {
     for (; this.now < untilMs; this.now += TICK_MS) {
       await this.tick();
       for (let i = 0; i < 4; i++) await Promise.resolve();
     }
   }
 
+  /** Runs one step: faults, controllers, timers and machines, and once a second the users and the rounds. */
   private async tick(): Promise<void> {
     this.store.down = this.faults.some((f) => f.kind === 'outage' && this.now >= f.at && this.now < f.at + f.forMs);
     for (const n of this.nodes) {
@@ -310,6 +323,7 @@
     }
   }
 
+  /** Delivers the packets of a controller, renews its lease, advances its watch, and lets it claim vacant shards. */
   private runController(controller: Controller): void {
     const { n } = controller;
     const dueMessages = controller.inbox.filter(
@@ -362,6 +376,7 @@
     } else if (!mine && controller.watchedRevision >= entry.version) controller.held.delete(shard);
   }
 
+  /** Checks a machine for a violation and lets it report, which renews its lease or moves it to the next controller. */
   private reportFromMachine(machine: Machine): void {
     if (machine.alive && this.now - machine.leaseRenewedAt > TIMINGS.leaseMs) machine.alive = false;
     const { told, violations } = this;
@@ -372,7 +387,7 @@
     machine.nextReportAt = this.now + REPORT_INTERVAL_MS;
     const controller = this.controllers[machine.controllerIndex];
     const held = controller?.held.get(machine.shard);
-    const reached = controller && !this.hasFault('pause', controller.n) && !this.outOfReach(machine, controller.n);
+    const reached = controller && !this.hasFault('pause', controller.n) && !this.isOutOfReach(machine, controller.n);
     if (
       !controller ||
       !reached ||
@@ -386,10 +401,10 @@
     }
     machine.highestClaim = held.claimedAt;
     machine.leaseRenewedAt = this.now;
-    if (controller.over.has(machine.job)) machine.alive = false;
+    if (controller.endedJobs.has(machine.job)) machine.alive = false;
   }
 
-  private outOfReach({ shard }: Machine, n: number): boolean {
+  private isOutOfReach({ shard }: Machine, n: number): boolean {
     return this.hasFault('out of reach', n, Number(String(shard).slice(2)));
   }
 
