--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -17,70 +17,82 @@
   decodeRevision,
   encodeLease,
   encodeTxn,
-  paths,
+  requestPaths,
   type Change,
   type Entry,
   type Guard,
   type Op,
 } from './wire.js';
 
-/** Which write goes first when changes a second are scarce. Lower goes first. */
+/** Priority of a queued write while the rate of changes is limited; the lowest value is sent first. */
 export const Urgency = { session: 0, final: 1, accept: 2, shard: 3, progress: 4 } as const;
 export type Urgency = (typeof Urgency)[keyof typeof Urgency];
 
+/** Outcome of reading one key; `unavailable` says nothing about whether the key exists. */
 export type ReadResult =
   { readonly kind: 'found'; readonly entry: Entry } | { readonly kind: 'absent' } | { readonly kind: 'unavailable' };
 
+/** Outcome of a guarded write. */
 export type TxnResult =
   | { readonly kind: 'ok'; readonly revision: Revision }
+  /** Not executed: a guarded key has another version. */
   | { readonly kind: 'conflict' }
+  /** Not executed: a put is bound to a lease that the service rejects. */
   | { readonly kind: 'no-lease' }
-  /** Certainly not executed; too large: it never will be, as it is. */
+  /** Not executed. With `tooLarge`, sending the same transaction again can't succeed. */
   | { readonly kind: 'refused'; readonly tooLarge?: true }
-  /** Executed, not executed, or yet to be executed: read back under guard before deciding. */
+  /** Executed, not executed, or still to be executed: read the guarded keys again before deciding. */
   | { readonly kind: 'unknown' };
 
+/** Outcome of renewing a lease; `gone`: the service no longer has it. */
 export type RenewResult = 'ok' | 'gone' | 'unavailable';
 
-interface Queued {
+/** A write that waits for its turn. */
+interface QueuedWrite {
   readonly urgency: Urgency;
   readonly guards: readonly Guard[];
   readonly ops: readonly Op[];
+  /** The write is refused if it has not been sent by then. */
   readonly deadline: Millis;
   readonly resolve: (result: TxnResult) => void;
 }
 
 const REQUEST_TIMEOUT_MS = 1500;
-const MAX_QUEUE = 400;
+const MAX_QUEUED_WRITES = 400;
 const TOO_LARGE: TxnResult = { kind: 'refused', tooLarge: true };
-/** No key begins like this: an empty list costs least and tells the revision. */
-const NOTHING = 'none/';
+/** No key has this prefix. Listing it is the cheapest request that returns the current revision. */
+const EMPTY_PREFIX = 'none/';
 
 /**
- * How much of this process's part must be left for a write. Progress waits for its turn; what users
- * wait for may draw on the others' unused parts, and no write is too large to be sent at all.
+ * The allowance, in changes, that a write needs before it is sent. Progress writes wait until their whole size is
+ * covered, or a full burst, so that a write of any size can be sent. Writes that users wait for may overdraw the
+ * allowance and so use what the other controllers leave unused.
  */
-function allowanceFor(write: Queued, burst: number): number {
+function requiredAllowance(write: QueuedWrite, burst: number): number {
   if (write.urgency === Urgency.progress) return Math.min(write.ops.length, burst);
   if (write.urgency === Urgency.shard) return 0;
   return write.urgency === Urgency.session ? -3 * burst : -burst;
 }
 
 /**
- * The state service's client. Writes pass through one queue, ordered by urgency and held to this
- * process's part of the service's changes a second; nothing waits past its deadline.
+ * Client of the state service. Writes pass through one queue that is ordered by urgency and limited to this process's
+ * share of the service's changes per second. A write that waits past its deadline is refused.
  */
 export class StateClient {
   private readonly http: HttpClient;
   private readonly watchHttp: HttpClient;
-  private readonly queue: Queued[] = [];
+  private readonly queue: QueuedWrite[] = [];
   private inFlight = 0;
+  /** Token bucket of changes; negative while overdrawn. */
   private allowance: number;
-  private allowanceAt: Millis;
-  private pumping = false;
+  private allowanceUpdatedAt: Millis;
+  private processingQueue = false;
+  /** Consecutive requests without an answer, or answered with 503. */
   private failures = 0;
-  private lastOk: Millis;
+  private lastSuccessAt: Millis;
+  /** Reads that are queued and not yet sent, by key. */
   private readonly reads = new Map<string, Promise<ReadResult>>();
+  /** Number of controllers that share the service's rate of changes. */
   writers = 1;
   readonly limits: StateLimits;
 
@@ -94,25 +106,27 @@
     this.watchHttp = new HttpClient(address, 2, runtime);
     this.limits = new StateLimits(facts);
     this.allowance = facts.writeRps / 2;
-    this.allowanceAt = runtime.now();
-    this.lastOk = runtime.now();
+    this.allowanceUpdatedAt = runtime.now();
+    this.lastSuccessAt = runtime.now();
   }
 
+  /** Closes all connections. */
   close(): void {
     this.http.close();
     this.watchHttp.close();
   }
 
-  /** False while the service gives this node no answers. */
+  /** False after two consecutive failed requests, until a request succeeds. */
   get available(): boolean {
     return this.failures < 2;
   }
 
+  /** When a request was last answered, other than with 503. */
   get lastAnswerAt(): Millis {
-    return this.lastOk;
+    return this.lastSuccessAt;
   }
 
-  /** A fresh read; the same key asked for while a read is only queued shares its answer. */
+  /** Reads a key. Calls for the same key share one request as oversized as that request has not been sent. */
   async get(key: string): Promise<ReadResult> {
     const shared = this.reads.get(key);
     if (shared) return shared;
@@ -126,11 +140,11 @@
 
   private async read(key: string): Promise<ReadResult> {
     for (let tries = 0; tries < 2; tries++) {
-      const answer = await this.send('GET', paths.get(key));
+      const answer = await this.send('GET', requestPaths.get(key));
       if (answer.kind === 'answered' && answer.status === 200) {
         const entry = decodeEntry(answer.body);
         if (entry) return { kind: 'found', entry };
-        this.log.warn({ key }, 'the state service gave a read answer of no valid form');
+        this.log.warn({ key }, 'the state service answered a read with a malformed entry');
         return { kind: 'unavailable' };
       }
       if (answer.kind === 'answered' && answer.status === 404) return { kind: 'absent' };
@@ -143,26 +157,27 @@
     return { kind: 'unavailable' };
   }
 
-  /** The service's present revision. */
+  /** The service's current revision; null when it is unavailable. */
   async revision(): Promise<Revision | null> {
-    const answer = await this.send('GET', paths.list(NOTHING, ''));
+    const answer = await this.send('GET', requestPaths.list(EMPTY_PREFIX, ''));
     if (answer.kind !== 'answered' || answer.status !== 200) return null;
     return decodeList(answer.body)?.revision ?? null;
   }
 
+  /** All entries under a prefix, and a revision from which a watch misses nothing; null when a page fails. */
   async list(prefix: string): Promise<{ entries: Entry[]; revision: Revision } | null> {
     const entries: Entry[] = [];
     let after = '';
     let first: Revision | undefined;
     for (;;) {
-      const answer = await this.send('GET', paths.list(prefix, after));
+      const answer = await this.send('GET', requestPaths.list(prefix, after));
       if (answer.kind !== 'answered' || answer.status !== 200) return null;
       const page = decodeList(answer.body);
       if (!page) {
-        this.log.warn({ prefix }, 'the state service gave a list of no valid form');
+        this.log.warn({ prefix }, 'the state service answered a list request with a malformed page');
         return null;
       }
-      // The watch goes on from the oldest page's revision: changes seen twice do no harm.
+      // The watch continues from the first page's revision. Changes that it repeats are harmless.
       first ??= page.revision;
       entries.push(...page.entries);
       const last = page.entries.at(-1);
@@ -171,7 +186,10 @@
     }
   }
 
-  /** Waits for changes: null when the service gave none of use, 'gone' when the past is lost. */
+  /**
+   * Waits for changes after a revision: null when there is no valid answer, 'gone' when the service no longer keeps
+   * the changes since that revision.
+   */
   async follow(
     prefix: string,
     after: Revision,
@@ -179,7 +197,7 @@
   ): Promise<{ changes: Change[]; revision: Revision } | 'gone' | null> {
     const answer = await this.watchHttp.call({
       method: 'GET',
-      path: paths.follow(prefix, after, waitMs),
+      path: requestPaths.follow(prefix, after, waitMs),
       timeoutMs: waitMs + 4000,
       maxBytes: 32 * 1024 * 1024,
     });
@@ -189,22 +207,24 @@
     return decodeLog(answer.body);
   }
 
+  /** Creates a lease and returns its id; null when that failed. */
   async grantLease(ttlMs: number): Promise<number | null> {
-    const answer = await this.send('POST', paths.leases, encodeLease(ttlMs));
+    const answer = await this.send('POST', requestPaths.leases, encodeLease(ttlMs));
     return answer.kind === 'answered' && answer.status === 200 ? decodeLease(answer.body) : null;
   }
 
+  /** Extends a lease by its time to live. */
   async renewLease(id: number): Promise<RenewResult> {
-    const answer = await this.send('POST', paths.renew(id), {}, 1000);
+    const answer = await this.send('POST', requestPaths.renew(id), {}, 1000);
     if (answer.kind !== 'answered') return 'unavailable';
     if (answer.status === 200) return 'ok';
     return answer.status === 404 ? 'gone' : 'unavailable';
   }
 
-  /** Queues a guarded write. What cannot be sent before `waitMs` is over is refused. */
+  /** Queues a guarded write. It is refused when the queue is full or when it can't be sent within `waitMs`. */
   txn(urgency: Urgency, guards: readonly Guard[], ops: readonly Op[], waitMs = 2000): Promise<TxnResult> {
     return new Promise((resolve) => {
-      if (this.queue.length >= MAX_QUEUE) {
+      if (this.queue.length >= MAX_QUEUED_WRITES) {
         resolve({ kind: 'refused' });
         return;
       }
@@ -212,13 +232,14 @@
       let at = this.queue.length;
       while (at > 0 && (this.queue[at - 1]?.urgency ?? 0) > urgency) at -= 1;
       this.queue.splice(at, 0, { urgency, guards, ops, deadline, resolve });
-      void this.pump();
+      void this.processQueue();
     });
   }
 
-  private async pump(): Promise<void> {
-    if (this.pumping) return;
-    this.pumping = true;
+  /** Sends queued writes as the allowance permits and refuses those past their deadline, until the queue is empty. */
+  private async processQueue(): Promise<void> {
+    if (this.processingQueue) return;
+    this.processingQueue = true;
     while (this.queue.length > 0) {
       const now = this.runtime.now();
       for (let i = this.queue.length - 1; i >= 0; i--) {
@@ -230,11 +251,11 @@
       }
       const share = this.limits.writeRps / Math.max(1, this.writers);
       const burst = Math.max(4, share);
-      this.allowance = Math.min(burst, this.allowance + ((now - this.allowanceAt) / 1000) * share * 0.9);
-      this.allowanceAt = now;
+      this.allowance = Math.min(burst, this.allowance + ((now - this.allowanceUpdatedAt) / 1000) * share * 0.9);
+      this.allowanceUpdatedAt = now;
       const next = this.queue[0];
       if (!next) break;
-      if (this.inFlight >= 6 || this.allowance < allowanceFor(next, burst)) {
+      if (this.inFlight >= 6 || this.allowance < requiredAllowance(next, burst)) {
         await this.runtime.sleep(this.inFlight >= 6 ? 10 : 25);
         continue;
       }
@@ -245,19 +266,23 @@
         this.inFlight -= 1;
       });
     }
-    this.pumping = false;
+    this.processingQueue = false;
   }
 
-  private async execute(queued: Queued): Promise<void> {
+  /** Sends one write, and sends it again after a 429 until its deadline. */
+  private async execute(queued: QueuedWrite): Promise<void> {
     const body = encodeTxn(queued.guards, queued.ops);
-    const long = queued.ops.find((op) => 'put' in op && valueBytes(op.value) > this.limits.presentValueKb * 1024);
-    if (long) {
-      this.log.warn({ key: 'put' in long ? long.put : '' }, 'a value is longer than the state service takes');
+    const oversized = queued.ops.find((op) => 'put' in op && valueBytes(op.value) > this.limits.presentValueKb * 1024);
+    if (oversized) {
+      this.log.warn(
+        { key: 'put' in oversized ? oversized.put : '' },
+        'a value exceeds the size limit of the state service',
+      );
       queued.resolve(TOO_LARGE);
       return;
     }
     for (;;) {
-      const answer = await this.send('POST', paths.txn, body);
+      const answer = await this.send('POST', requestPaths.txn, body);
       if (answer.kind === 'failed') {
         queued.resolve({ kind: 'unknown' });
         return;
@@ -274,21 +299,21 @@
       if (answer.status === 400) {
         this.log.warn(
           { body: answer.body, keys: queued.ops.map((op) => ('put' in op ? op.put : op.remove)) },
-          'the state service refused a transaction',
+          'the state service rejected a transaction as invalid',
         );
-        const leased = queued.ops.some((op) => 'put' in op && op.lease !== undefined);
-        // Whatever we send is lawful by the limits that we know: they have fallen.
-        if (!leased) this.fallen();
-        queued.resolve(leased ? { kind: 'no-lease' } : TOO_LARGE);
+        const hasLease = queued.ops.some((op) => 'put' in op && op.lease !== undefined);
+        // Every transaction keeps to the known limits, so a rejection without a lease means that lower ones are in force.
+        if (!hasLease) this.fallen();
+        queued.resolve(hasLease ? { kind: 'no-lease' } : TOO_LARGE);
         return;
       }
-      // 429 was not executed; guards make sending it again harmless all the same.
+      // A 429 was not executed. Even if it had been, the guards would make sending it again harmless.
       if (answer.status === 429 && this.runtime.now() + 150 < queued.deadline) {
         const before = this.limits.fallen;
-        if (this.allowance >= 0) this.limits.refusedRate(this.runtime.now());
-        if (this.limits.fallen && !before) this.tellFallen();
+        if (this.allowance >= 0) this.limits.recordRateRefusal(this.runtime.now());
+        if (this.limits.fallen && !before) this.logLowerLimits();
         this.allowance = Math.min(this.allowance, 0);
-        // Not all at once: whoever finalizes or keeps a lease goes first.
+        // Staggered retries: session and final writes are sent before the others.
         await this.runtime.sleep(queued.urgency <= Urgency.final ? 100 : 200);
         continue;
       }
@@ -297,15 +322,15 @@
     }
   }
 
-  /** The lower limits are in force: noticed here, or told by a peer. */
+  /** Switches to the announced lower limits, which are in force as noticed here or reported by a peer. */
   fallen(): void {
     if (this.limits.fallen) return;
-    this.limits.fall();
-    if (this.limits.fallen) this.tellFallen();
+    this.limits.lower();
+    if (this.limits.fallen) this.logLowerLimits();
   }
 
-  private tellFallen(): void {
-    this.log.info({ writeRps: this.limits.writeRps }, "the state service's limits have fallen to those announced");
+  private logLowerLimits(): void {
+    this.log.info({ writeRps: this.limits.writeRps }, "the state service's lower limits are in force");
   }
 
   private async send(
@@ -318,7 +343,7 @@
     if (answer.kind === 'failed' || answer.status === 503) this.failures += 1;
     else {
       this.failures = 0;
-      this.lastOk = this.runtime.now();
+      this.lastSuccessAt = this.runtime.now();
     }
     return answer;
   }
--- a/src/state/freshness.ts
+++ b/src/state/freshness.ts
@@ -2,15 +2,15 @@
 import type { StateClient } from './client.js';
 import type { Mirror } from './mirror.js';
 
-/** Questions that come this close together share one request. */
-const SHARE_MS = 120;
-/** The watch usually follows within a tenth of a second; whoever waits longer reads the key itself. */
-const FOLLOW_MS = 700;
+/** Least time between two requests; checks that start in between share the next one. */
+const MIN_REQUEST_INTERVAL_MS = 120;
+/** The watch usually catches up within 100 ms. After this long the check fails and the caller reads the key itself. */
+const WATCH_TIMEOUT_MS = 700;
 
 /**
- * Tells when the mirror is as fresh as a read made now: it has come up to a revision that the state
- * service gave after the question. Hundreds of polls then cost a few requests a second instead of
- * one each, out of a rate that all controllers share.
+ * Checks that the mirror is as fresh as a read made now: it has reached a revision that the state service returned
+ * after the check began. Hundreds of polls thus cost a few requests per second instead of one each, from a rate limit
+ * that all controllers share.
  */
 export class Freshness {
   private next: Promise<boolean> | undefined;
@@ -21,10 +21,10 @@
     private readonly mirror: Mirror,
     private readonly runtime: Runtime,
   ) {
-    this.sentAt = (runtime.now() - SHARE_MS) as Millis;
+    this.sentAt = (runtime.now() - MIN_REQUEST_INTERVAL_MS) as Millis;
   }
 
-  /** False: not known to be fresh, the key must be read. */
+  /** True once the mirror is fresh. False when that is not known: the caller must read the key. */
   ensure(): Promise<boolean> {
     if (!this.mirror.loaded) return Promise.resolve(false);
     this.next ??= this.ask();
@@ -32,12 +32,12 @@
   }
 
   private async ask(): Promise<boolean> {
-    const pauseMs = this.sentAt + SHARE_MS - this.runtime.now();
+    const pauseMs = this.sentAt + MIN_REQUEST_INTERVAL_MS - this.runtime.now();
     await (pauseMs > 0 ? this.runtime.sleep(pauseMs) : Promise.resolve());
-    // Whoever comes from here on needs a later answer.
+    // A check that starts from here on needs a revision from a later request.
     this.next = undefined;
     this.sentAt = this.runtime.now();
     const revision = await this.state.revision();
-    return revision !== null && (await this.mirror.reach(revision, FOLLOW_MS));
+    return revision !== null && (await this.mirror.reach(revision, WATCH_TIMEOUT_MS));
   }
 }
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -1,25 +1,25 @@
 import type { JobId, NodeName, ShardName } from '../kernel/index.js';
 
 /**
- * Everything that is alive lies under one prefix, so that one watch shows a node all of it in the
- * order it happened. Finals are kept for ever and are read one by one.
+ * All mutable keys share one prefix, so that a node's single watch shows their changes in commit order. Final records
+ * of jobs (`finals/`) are kept forever and are read one by one.
  */
 export const LIVE = 'live/';
 export const JOBS = 'live/jobs/';
 export const SHARDS = 'live/shards/';
-/** Machines of shards in the paged form: `<shard>.<n>`. */
+/** Machine lists of shards that are stored in pages; keys end with `<shard>.<n>`. */
 export const PAGES = 'live/pages/';
 export const NODES = 'live/nodes/';
-/** Up to which revision a node's watch has come, where it can't say so to its peers. */
+/** The revision that a node's watch has reached, stored when the node can't tell its peers. */
 export const SEEN = 'live/seen/';
 export const LEADER = 'live/leader';
 export const SETTINGS = 'live/settings';
 export const TYPES = 'live/types';
-/** What a holder knows to be done beyond what its jobs' own records say, one key for each shard. */
+/** Finished tasks that a shard's holder has recorded beyond the job records, one key per shard. */
 export const PROGRESS = 'live/progress/';
-/** How a limited team's quota is shared out between shards, one key for each team. */
+/** How the quota of a limited team is divided between shards, one key per team. */
 export const QUOTAS = 'live/quotas/';
-/** Which features are on, and what operators want of them. Releases from before there were any ignore both. */
+/** Which features are on, and which of them operators want on. Releases older than the first feature ignore both keys. */
 export const ROLLOUT_STATE = 'live/rollout/state';
 export const ROLLOUT_WISHES = 'live/rollout/wishes';
 
@@ -28,7 +28,7 @@
 export const shardKey = (name: ShardName): string => `${SHARDS}${name}`;
 export const pageKey = (name: ShardName, n: number): string => `${PAGES}${name}.${n}`;
 export const progressKey = (name: ShardName): string => `${PROGRESS}${name}`;
-/** A team's name may have characters that keys may not. */
+/** The team name is encoded because it may contain characters that are not allowed in keys. */
 export const quotaKey = (team: string): string => `${QUOTAS}${encodeURIComponent(team)}`;
 export const nodeKey = (name: NodeName): string => `${NODES}${name}`;
 export const seenKey = (name: NodeName): string => `${SEEN}${name}`;
--- a/src/state/limits.ts
+++ b/src/state/limits.ts
@@ -1,25 +1,25 @@
 import type { Millis } from '../kernel/index.js';
 
-/** What the state service takes: changes and requests a second, KiB a value, changes a transaction. */
+/** The state service's configured limits: requests and changes per second, KiB per value, changes per transaction. */
 export interface StateFacts {
   readonly rps: number;
   readonly writeRps: number;
   readonly valueKb?: number;
   readonly txnOps?: number;
-  /** What it will take from some moment on, which it doesn't announce. */
+  /** Lower limits that come into force at a time that the service doesn't announce. */
   readonly next?: { readonly writeRps: number; readonly valueKb: number; readonly txnOps: number };
 }
 
-/** By the state service's protocol. */
-const CONDITIONS_PER_CHANGE = 4;
-const WINDOW_MS = 10_000;
-/** So many refusals of changes that were within our own part, in that time, are no burst any more. */
-const REFUSALS = 4;
+/** Fixed by the state service's protocol. */
+const MAX_GUARDS_PER_CHANGE = 4;
+const REFUSAL_WINDOW_MS = 10_000;
+/** This many refusals within the window, of changes within this process's share, are more than a burst explains. */
+const REFUSALS_TO_LOWER = 4;
 
 /**
- * The one place that knows the state service's limits. Values and transactions keep to the lower ones from the
- * start, so that nothing has to be noticed in time. Changes a second are scarce: the present rate is used until the
- * service refuses what should have been within it, here or at a peer. Limits only ever fall.
+ * The state service's limits that apply now. Values and transactions keep to the lower limits from the start, so that
+ * they don't depend on noticing the switch in time. Changes per second are scarce: the higher rate is used until the
+ * service refuses changes within it, here or at a peer. Limits never rise again.
  */
 export class StateLimits {
   private refusals: Millis[] = [];
@@ -27,49 +27,51 @@
 
   constructor(private readonly facts: StateFacts) {}
 
-  /** The lower limits are in force, as far as is known. */
+  /** True once the lower limits are known to be in force. */
   get fallen(): boolean {
     return this.lowered;
   }
 
+  /** Requests per second. */
   get rps(): number {
     return this.facts.rps;
   }
 
+  /** Changes per second, over all controllers. */
   get writeRps(): number {
     const { writeRps, next } = this.facts;
     return this.lowered && next ? Math.min(writeRps, next.writeRps) : writeRps;
   }
 
-  /** Bytes of a value, for whatever is to be written now and later. */
+  /** Largest value in bytes that is valid under the current and the lower limits. */
   get valueBytes(): number {
     return 1024 * Math.min(this.presentValueKb, this.facts.next?.valueKb ?? Infinity);
   }
 
-  /** KiB that a value may have at this moment; for forms that older releases must read. */
+  /** Largest value in KiB under the current limits, for records that older releases must read. */
   get presentValueKb(): number {
     const { valueKb = Infinity, next } = this.facts;
     return this.lowered && next ? Math.min(valueKb, next.valueKb) : valueKb;
   }
 
-  /** Changes of one transaction, now and later. */
+  /** Changes per transaction that are valid under the current and the lower limits. */
   get txnOps(): number {
     return Math.min(this.facts.txnOps ?? Infinity, this.facts.next?.txnOps ?? Infinity);
   }
 
-  /** Conditions of one transaction, now and later. */
+  /** Guards per transaction that are valid under the current and the lower limits. */
   get conditions(): number {
-    return CONDITIONS_PER_CHANGE * this.txnOps;
+    return MAX_GUARDS_PER_CHANGE * this.txnOps;
   }
 
-  /** 429 for changes that were within this process's part. */
-  refusedRate(now: Millis): void {
-    this.refusals = [...this.refusals.filter((at) => now - at < WINDOW_MS), now].slice(-REFUSALS);
-    if (this.refusals.length >= REFUSALS) this.fall();
+  /** Counts a 429 for changes that were within this process's share; several in the window lower the limits. */
+  recordRateRefusal(now: Millis): void {
+    this.refusals = [...this.refusals.filter((at) => now - at < REFUSAL_WINDOW_MS), now].slice(-REFUSALS_TO_LOWER);
+    if (this.refusals.length >= REFUSALS_TO_LOWER) this.lower();
   }
 
-  /** A value or transaction of lawful size was refused, or a peer has noticed. */
-  fall(): void {
+  /** Applies the lower limits: the service refused a value or transaction of valid size, or a peer has noticed. */
+  lower(): void {
     if (this.facts.next) this.lowered = true;
   }
 }
--- a/src/state/mirror.ts
+++ b/src/state/mirror.ts
@@ -1,28 +1,31 @@
 import { Subject } from 'rxjs';
 import { revision, type Logger, type Revision, type Runtime } from '../kernel/index.js';
 import type { StateClient } from './client.js';
-import { WatchLag, type LagStatus } from './watch-lag.js';
+import { WatchLag, type WatchLagStatus } from './watch-lag.js';
 import type { Change, Entry, Op } from './wire.js';
 
-/** Every opened watch counts as a request: changes that follow each other closely share one. */
-const REOPEN_MS = 100;
-/** After so many changes of a page everything else gets a turn. */
-const CHANGES_AT_ONCE = 200;
-const NONE: ReadonlyMap<string, Entry> = new Map();
+/** Every watch request counts against the rate limit, so changes in quick succession share one. */
+const WATCH_REOPEN_DELAY_MS = 100;
+/** After this many changes of a page, the mirror yields to the event loop. */
+const MAX_CHANGES_PER_TURN = 200;
+const NO_ENTRIES: ReadonlyMap<string, Entry> = new Map();
 
-/** Keys are kept by directory, so that whoever wants the shards doesn't walk through the jobs. */
+/** Entries are grouped by directory, so that listing the shards doesn't iterate over the jobs. */
 const directoryOf = (key: string): string => key.slice(0, key.lastIndexOf('/') + 1);
 
 /**
- * What is alive, as this node has seen it so far: one list, then one watch. It may lag; whoever
- * needs the present reads the key itself.
+ * Local copy of all keys under a prefix, kept by one list request and then one watch. It may lag behind the state
+ * service; code that needs the current value reads the key itself.
  */
 export class Mirror {
+  /** Emits every change that is applied. */
   readonly changes = new Subject<Change>();
   private readonly directories = new Map<string, Map<string, Entry>>();
-  /** Removals that the watch has not reached yet: without them an older put would bring a key back. */
-  private readonly graves = new Map<string, Revision>();
-  private readonly touched = new Map<string, number>();
+  /** Removals that the watch has not reached yet. Without them an older put would restore a removed key. */
+  private readonly tombstones = new Map<string, Revision>();
+  /** Number of changes applied to each directory. */
+  private readonly generations = new Map<string, number>();
+  /** The watch has shown every change up to this revision; undefined before the first load. */
   private at: Revision | undefined;
   private stopped = false;
   private readonly watchLag: WatchLag;
@@ -37,38 +40,40 @@
     this.watchLag = new WatchLag(log);
   }
 
-  /** How far this view is behind what reads and writes of this node have told. */
-  get lag(): LagStatus {
+  /** How far the mirror is behind the revisions that this node's reads and writes have returned. */
+  get lag(): WatchLagStatus {
     return this.watchLag.status(this.runtime.now());
   }
 
+  /** True once the first list is complete. */
   get loaded(): boolean {
     return this.at !== undefined;
   }
 
-  /** Up to here the watch has shown every change, in order. */
+  /** The watch has shown every change up to this revision, in order. */
   get seenUpTo(): Revision {
     return this.at ?? revision(0);
   }
 
+  /** The entry of a key, if the mirror has one. */
   get(key: string): Entry | undefined {
     return this.directories.get(directoryOf(key))?.get(key);
   }
 
-  /** All entries of one directory, which ends with a slash. */
+  /** All entries of one directory. The directory name ends with a slash. */
   under(directory: string): Iterable<Entry> {
-    return (this.directories.get(directory) ?? NONE).values();
+    return (this.directories.get(directory) ?? NO_ENTRIES).values();
   }
 
-  /** Grows with every change in a directory. */
+  /** A number that grows with every change in a directory. */
   generationOf(directory: string): number {
-    return this.touched.get(directory) ?? 0;
+    return this.generations.get(directory) ?? 0;
   }
 
-  /** Waits until the watch has shown everything up to a revision; false when that takes too long. */
+  /** Waits until the watch has shown every change up to a revision; false when that takes longer than `withinMs`. */
   reach(upTo: Revision, withinMs: number): Promise<boolean> {
     if (this.at !== undefined && this.at >= upTo) return Promise.resolve(true);
-    this.watchLag.note(upTo, this.runtime.now());
+    this.watchLag.observe(upTo, this.runtime.now());
     return new Promise((resolve) => {
       const waiter = {
         upTo,
@@ -85,63 +90,72 @@
     });
   }
 
-  private arrive(): void {
+  /** Updates the lag and resolves the waiters whose revision has been reached. */
+  private onRevisionReached(): void {
     const { at } = this;
     if (at === undefined) return;
-    this.watchLag.shown(at, this.runtime.now());
+    this.watchLag.advance(at, this.runtime.now());
     if (this.waiters.length === 0) return;
-    const there = this.waiters.filter((w) => w.upTo <= at);
-    if (there.length === 0) return;
+    const reached = this.waiters.filter((w) => w.upTo <= at);
+    if (reached.length === 0) return;
     this.waiters = this.waiters.filter((w) => w.upTo > at);
-    for (const waiter of there) waiter.resolve(true);
+    for (const waiter of reached) waiter.resolve(true);
   }
 
+  /** Lists everything and replaces what is known; false when the state service is unavailable. */
   async load(): Promise<boolean> {
     const listed = await this.client.list(this.prefix);
     if (!listed) return false;
     const fresh = new Set(listed.entries.map((entry) => entry.key));
     for (const directory of [...this.directories.values()]) {
       for (const key of [...directory.keys()]) {
-        if (!fresh.has(key)) this.take({ key, value: undefined, removed: true, version: listed.revision });
+        if (!fresh.has(key)) this.applyIfNewer({ key, value: undefined, removed: true, version: listed.revision });
       }
     }
-    await this.takeIn(listed.entries.map((e) => ({ key: e.key, value: e.value, removed: false, version: e.version })));
-    // Only now: whoever finds it loaded must find all of it.
+    await this.applyAll(
+      listed.entries.map((e) => ({ key: e.key, value: e.value, removed: false, version: e.version })),
+    );
+    // Set only after everything is applied: `loaded` promises a complete mirror.
     this.at = listed.revision;
-    this.arrive();
+    this.onRevisionReached();
     return true;
   }
 
-  private async takeIn(changes: readonly Change[]): Promise<void> {
+  /** Applies changes in order. A change whose subscriber fails is logged and doesn't hold up the others. */
+  private async applyAll(changes: readonly Change[]): Promise<void> {
     for (const [i, change] of changes.entries()) {
-      if (i > 0 && i % CHANGES_AT_ONCE === 0) await this.runtime.sleep(0);
+      if (i > 0 && i % MAX_CHANGES_PER_TURN === 0) await this.runtime.sleep(0);
       try {
-        this.take(change);
+        this.applyIfNewer(change);
       } catch (error) {
-        this.log.error({ err: error, key: change.key }, 'a change could not be taken in');
+        this.log.error({ err: error, key: change.key }, 'a change of the state service could not be applied');
       }
     }
   }
 
   /**
-   * Takes in a change that this node made or read itself, ahead of the watch. What the watch has passed says nothing
-   * any more: the answer to a read or to a write of this node's own may be so late that the key has been removed since,
-   * and would bring back a job that users have been told is over.
+   * Applies a change that this node made or read itself, ahead of the watch. A change at or before the watch's revision
+   * is ignored: the answer to this node's own read or write may come so late that the key has been removed since, and
+   * applying it would restore a job that users have been told is over.
    */
   apply(change: Change): void {
     if (this.at !== undefined && change.version <= this.at) return;
-    this.watchLag.note(change.version, this.runtime.now());
-    this.take(change);
+    this.watchLag.observe(change.version, this.runtime.now());
+    this.applyIfNewer(change);
   }
 
-  private take(change: Change): void {
+  /**
+   * Applies a change unless the mirror has the key, or a removal of it, at the same or a newer version. A removal also
+   * replaces an entry of the same version.
+   */
+  private applyIfNewer(change: Change): void {
     const known = this.get(change.key);
     if (known && known.version >= change.version && !(change.removed && known.version === change.version)) return;
     const name = directoryOf(change.key);
-    const buried = this.graves.get(change.key);
-    if (buried !== undefined && buried >= change.version) return;
+    const removedAt = this.tombstones.get(change.key);
+    if (removedAt !== undefined && removedAt >= change.version) return;
     if (change.removed) {
-      this.graves.set(change.key, change.version);
+      this.tombstones.set(change.key, change.version);
       if (!known) return;
       this.directories.get(name)?.delete(change.key);
     } else {
@@ -149,11 +163,11 @@
       if (!directory) this.directories.set(name, (directory = new Map()));
       directory.set(change.key, { key: change.key, value: change.value, version: change.version });
     }
-    this.touched.set(name, this.generationOf(name) + 1);
+    this.generations.set(name, this.generationOf(name) + 1);
     this.changes.next(change);
   }
 
-  /** Takes in a transaction of this node's own that was executed, ahead of the watch. */
+  /** Applies an executed transaction of this node, ahead of the watch. */
   wrote(ops: readonly Op[], version: Revision): void {
     for (const op of ops) {
       if ('put' in op) this.apply({ key: op.put, value: op.value, removed: false, version });
@@ -161,6 +175,7 @@
     }
   }
 
+  /** Loads the mirror and follows the watch until `stop` is called; reloads when the watch has fallen too far behind. */
   async run(): Promise<void> {
     while (!this.stopped) {
       if (this.at === undefined) {
@@ -169,7 +184,7 @@
       }
       const page = await this.client.follow(this.prefix, this.at, 10_000);
       if (page === 'gone') {
-        this.log.info('the watch is too far behind, reading everything again');
+        this.log.info('the watch is too far behind, listing all keys again');
         if (!(await this.load())) await this.runtime.sleep(300);
         continue;
       }
@@ -177,14 +192,15 @@
         await this.runtime.sleep(300);
         continue;
       }
-      await this.takeIn(page.changes);
+      await this.applyAll(page.changes);
       if (page.revision > this.at) this.at = page.revision;
-      this.arrive();
-      for (const [key, at] of this.graves) if (at <= this.at) this.graves.delete(key);
-      if (page.changes.length > 0) await this.runtime.sleep(REOPEN_MS);
+      this.onRevisionReached();
+      for (const [key, at] of this.tombstones) if (at <= this.at) this.tombstones.delete(key);
+      if (page.changes.length > 0) await this.runtime.sleep(WATCH_REOPEN_DELAY_MS);
     }
   }
 
+  /** Ends `run` after the current request. */
   stop(): void {
     this.stopped = true;
   }
--- a/src/state/reread.ts
+++ b/src/state/reread.ts
@@ -2,7 +2,7 @@
 import type { Mirror } from './mirror.js';
 import type { Guard } from './wire.js';
 
-/** Reads a key afresh and takes what is there into the mirror, ahead of the watch. */
+/** Reads a key from the state service and applies the entry to the mirror, ahead of the watch. */
 export async function reread(
   state: Pick<StateClient, 'get'>,
   mirror: Pick<Mirror, 'apply'>,
@@ -16,7 +16,7 @@
   return read;
 }
 
-/** The same for all that a write was guarded by: the watch may be too far behind to show what has refused it. */
+/** Rereads all guarded keys of a refused write, because the watch may not have shown the conflicting change yet. */
 export async function rereadGuards(
   state: Pick<StateClient, 'get'>,
   mirror: Pick<Mirror, 'apply'>,
--- a/test/mirror.test.ts
+++ b/test/mirror.test.ts
@@ -6,16 +6,16 @@
 import { Lab } from '../packages/region/test/lab.js';
 
 const KEYS = ['live/jobs/a', 'live/jobs/b'];
-const REST_MS = 150;
+const WATCH_REOPEN_WAIT_MS = 150;
 
-/** What is under way comes to rest, and the watch is opened again. */
+/** Waits until pending work has finished and the mirror has reopened its watch. */
 async function followed(lab: Lab): Promise<void> {
   await lab.settle(Promise.resolve());
-  await lab.pass(REST_MS);
+  await lab.pass(WATCH_REOPEN_WAIT_MS);
   await lab.settle(Promise.resolve());
 }
 
-/** The state service as far as a mirror sees it: every change in order, shown by the watch when the test says so. */
+/** A stand-in for the state service: keeps all changes in order and lets the test decide when the watch shows them. */
 class Store {
   readonly log: Change[] = [];
   private shown = 0;
@@ -43,7 +43,7 @@
     return change;
   }
 
-  /** What a read gets now, as whoever made it would take it into its mirror; null: nothing is there. */
+  /** The change that a read made now would apply to the mirror; null when the key does not exist. */
   read(key: string): Change | null {
     const last = [...this.log].reverse().find((change) => change.key === key);
     return last && !last.removed ? last : null;
@@ -55,7 +55,7 @@
     if (this.shown > after) this.answer(after);
   }
 
-  /** As the plain model says: the state as of a revision, or any later one. */
+  /** Reference model: true when the key had this version (null: absent) at revision `from` or at a later one. */
   mayShow(key: string, version: number | null, from: number): boolean {
     const before = this.log
       .slice(0, from)
@@ -72,7 +72,7 @@
   nth: fc.nat(8),
 });
 
-test('however late answers to reads and to own writes come, the mirror shows nothing older than its watch has passed', async () => {
+test('late answers to reads and own writes never make the mirror show a state older than the revision of its watch', async () => {
   await fc.assert(
     fc.asyncProperty(fc.array(event, { minLength: 30, maxLength: 40, size: 'max' }), async (events) => {
       const lab = new Lab();
@@ -80,7 +80,7 @@
       const mirror = new Mirror(store, 'live/', lab.process('10.0.0.1'), lab.log);
       void mirror.run();
       await followed(lab);
-      /** Answers that are still on their way. */
+      /** Answers that have not arrived yet. */
       const held: Change[] = [];
       for (const { kind, key, nth } of events) {
         if (kind === 'write') store.write(key, false);
@@ -104,7 +104,7 @@
   );
 });
 
-test('an own acceptance whose answer comes after the job has ended and the watch has shown it does not bring it back', async () => {
+test('a late answer to the write that accepted a job does not restore the job after the watch has shown its removal', async () => {
   const lab = new Lab();
   const store = new Store();
   const mirror = new Mirror(store, 'live/', lab.process('10.0.0.1'), lab.log);
@@ -118,27 +118,27 @@
   mirror.changes.subscribe((change) => changes.push(change));
   mirror.apply(accepted);
   assert.equal(mirror.get('live/jobs/a'), undefined);
-  assert.deepEqual(changes, [], 'and no holder hears of it');
+  assert.deepEqual(changes, [], 'no change is emitted, so no holder acts on it');
   mirror.stop();
 });
 
-test('a watch that is behind what reads and writes have told is told of once, and so is that it goes on', () => {
+test('a watch that lags behind known revisions is logged once, and so is that it advances again', () => {
   const lines: string[] = [];
-  const note = (_fields: unknown, text: string): void => void lines.push(text);
-  const lag = new WatchLag({ info: note, warn: note } as unknown as Logger);
-  lag.shown(revision(10), millis(0));
-  lag.note(revision(10), millis(0));
-  lag.note(revision(12), millis(100));
-  lag.note(revision(15), millis(2000));
+  const logLine = (_fields: unknown, text: string): void => void lines.push(text);
+  const lag = new WatchLag({ info: logLine, warn: logLine } as unknown as Logger);
+  lag.advance(revision(10), millis(0));
+  lag.observe(revision(10), millis(0));
+  lag.observe(revision(12), millis(100));
+  lag.observe(revision(15), millis(2000));
   assert.deepEqual(lag.status(millis(2000)), { seenUpTo: 10, newest: 15, behindMs: 1900 });
   assert.deepEqual(lines, []);
-  lag.note(revision(16), millis(2700));
-  lag.note(revision(17), millis(2800));
+  lag.observe(revision(16), millis(2700));
+  lag.observe(revision(17), millis(2800));
   assert.equal(lines.length, 1);
-  lag.shown(revision(14), millis(3000));
-  // It has shown what it owed first, and owes what came since.
+  lag.advance(revision(14), millis(3000));
+  // The first missing revision has been shown; the revisions observed since are still missing.
   assert.deepEqual(lag.status(millis(3100)), { seenUpTo: 14, newest: 17, behindMs: 100 });
-  lag.shown(revision(17), millis(3200));
+  lag.advance(revision(17), millis(3200));
   assert.equal(lag.status(millis(9000)).behindMs, 0);
   assert.equal(lines.length, 2);
 });
