--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -302,7 +302,8 @@
           'the state service rejected a transaction as invalid',
         );
         const hasLease = queued.ops.some((op) => 'put' in op && op.lease !== undefined);
-        // Every transaction keeps to the known limits, so a rejection without a lease means that lower ones are in force.
+        // Every transaction keeps to the known limits, so a rejection without a lease shows that lower limits are in
+        // force.
         if (!hasLease) this.fallen();
         queued.resolve(hasLease ? { kind: 'no-lease' } : TOO_LARGE);
         return;
--- a/src/state/format.ts
+++ b/src/state/format.ts
@@ -4,7 +4,7 @@
  * Format rules for stored records, which controllers of several releases share:
  *
  * - `v` is the format version of a record. A record without it has version 1, which the first release writes.
- * - A field may be added at the top level of a record without a new version. Controllers preserve fields they don't know.
+ * - A field may be added at the top level of a record without a new version. Controllers keep fields they don't know.
  * - A change to the meaning of a field needs a new version, which is written only once every controller can read it.
  * - A record whose version this program can't read is left unchanged: it is neither absent nor damaged.
  */
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -19,7 +19,7 @@
 export const PROGRESS = 'live/progress/';
 /** How the quota of a limited team is divided between shards, one key per team. */
 export const QUOTAS = 'live/quotas/';
-/** Which features are on, and which of them operators want on. Releases older than the first feature ignore both keys. */
+/** Which features are on, and what operators want of them. Releases older than the first feature ignore both keys. */
 export const ROLLOUT_STATE = 'live/rollout/state';
 export const ROLLOUT_WISHES = 'live/rollout/wishes';
 
--- a/src/state/mirror.ts
+++ b/src/state/mirror.ts
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Loads the mirror and follows the watch until `stop` is called; reloads when the watch has fallen too far behind. */
+  /** Loads the mirror and follows the watch until `stop` is called. Reloads when the watch is too far behind. */
   async run(): Promise<void> {
     while (!this.stopped) {
       if (this.at === undefined) {
--- a/src/workers/belief.ts
+++ b/src/workers/belief.ts
@@ -16,61 +16,76 @@
 import type { Mentions } from './task-index.js';
 import type { ListedTask, WorkerMessage } from './wire.js';
 
+/** True when a message is newer than a position: of a later session, or later in the same session. */
 const isAfter = (
   message: Pick<WorkerMessage, 'session' | 'sequence'>,
   at: { readonly session: Session; readonly sequence: Sequence },
 ): boolean => message.session > at.session || (message.session === at.session && message.sequence > at.sequence);
 
-/** Local bumps between two revisions of the shard key. */
-export const BUMPS = 2 ** 20;
+/** Fencing tokens per revision of the shard key: a holder can raise its token this often between two revisions. */
+export const TOKENS_PER_REVISION = 2 ** 20;
 
-/** Revisions only grow, so whoever holds a machine later has the higher token. */
-export const tokenOf = (base: Revision, bump: number): Token => token(base * BUMPS + bump);
+/** The fencing token of a machine's holder. Revisions only grow, so a later holder always has the higher token. */
+export const tokenOf = (base: Revision, increment: number): Token => token(base * TOKENS_PER_REVISION + increment);
 
-interface Start {
+/** A start that was sent, or is about to be, and whose outcome is not known yet. */
+interface PendingStart {
   readonly attempt: Attempt;
   readonly token: Token;
   readonly session: Session;
 }
 
+/** What became of a message: applied, ignored as old, or evidence that another holder has a higher token. */
 export type Verdict = 'taken' | 'stale' | 'superseded';
 
-/** How far a worker was known at some moment. */
-export interface Position {
+/** The newest message that was known of a worker at some moment. */
+export interface MessagePosition {
   readonly session: Session;
   readonly sequence: Sequence;
-  /** The highest token that it has shown. */
+  /** The highest token that the worker has acknowledged. */
   readonly token: Token;
 }
 
-/** One old message is a copy, or was overtaken; several in a row, and nothing newer, may be all that there is. */
-const DOUBTED_AFTER = 2;
+/**
+ * Stale messages in a row before the worker is probed. A single one is a delayed copy or was overtaken; several without
+ * a newer one may be all that the worker sends, because it has restarted.
+ */
+const STALE_MESSAGES_TO_PROBE = 2;
 
 /**
- * What may be on one machine. A start is possibly there from before it is sent until a newer
- * message, an acknowledged higher token, a new session or the machine's end settles it. Pure: no
- * clock, no network; compared with a slow model under random interleavings.
+ * Tracks which tasks may be on one machine. A started task may be there from before its command is sent until a newer
+ * message, an acknowledged higher token, a new session or the end of the lease settles it. Pure: it uses neither clock
+ * nor network. A test compares it with a reference model under random interleavings.
  */
 export class MachineBelief {
-  private bump = 0;
-  private listing = new Map<TaskKey, ListedTask>();
-  private readonly starts = new Map<TaskKey, Start>();
-  private acked = token(0);
+  /** How often the token has been raised since `base`. */
+  private increment = 0;
+  /** The tasks that the worker's newest message lists. */
+  private listedTasks = new Map<TaskKey, ListedTask>();
+  private readonly starts = new Map<TaskKey, PendingStart>();
+  /** The highest token that the worker has acknowledged in its present life. */
+  private ackedToken = token(0);
+  /** Session and sequence of the newest message. */
   private at: { session: Session; sequence: Sequence } = { session: session(0), sequence: sequence(0) };
-  private expired = session(0);
-  /** The latest moment at which the worker's lease can have begun or have been renewed, by whomever. */
+  /** The newest session whose lease is over, 0 when there is none; messages up to it are ignored. */
+  private expiredSession = session(0);
+  /** The latest time at which the worker's lease can have begun or been renewed, by any controller. */
   lastAnswerAt: Millis;
+  /** When a report or an answer was last applied. */
   lastHeardAt: Millis;
-  /** When a report was last taken in: answers to commands tell nothing of whether its lease can last. */
+  /** When a report was last applied. Answers to commands don't show whether the worker can renew its lease. */
   lastReportAt: Millis;
   private changes = 0;
-  private oldOnes = 0;
+  /** Stale messages since the last newer one. */
+  private staleMessages = 0;
+  /** Reports with a lower token are ignored: they are copies from before the worker restarted. */
   private floor = token(0);
 
   constructor(
+    /** The revision of the shard key from which the token is derived. */
     private base: Revision,
     now: Millis,
-    /** Kept up to date with every task that this belief names. */
+    /** Kept up to date with every task that is listed or pending here. */
     private readonly index: { readonly mentions: Mentions; readonly machine: MachineId } | null = null,
   ) {
     this.lastAnswerAt = now;
@@ -78,163 +93,182 @@
     this.lastReportAt = millis(now);
   }
 
-  /** Grows with whatever changes what may be here. */
+  /** A number that grows with every change to what may be on the machine. */
   get generation(): number {
     return this.changes;
   }
 
+  /** Removes a task from the index unless it is still listed or pending. */
   private drop(key: TaskKey): void {
     if (!this.names(key)) this.index?.mentions.leave(key, this.index.machine);
   }
 
-  private mention(key: TaskKey): void {
+  private addToIndex(key: TaskKey): void {
     this.index?.mentions.enter(key, this.index.machine);
   }
 
+  /** True when the task is listed, exited tasks included, or a start of it is pending. */
   private names(key: TaskKey): boolean {
-    return this.starts.has(key) || this.listing.has(key);
+    return this.starts.has(key) || this.listedTasks.has(key);
   }
 
+  /** The holder's present fencing token for this machine. */
   get token(): Token {
-    return tokenOf(this.base, this.bump);
+    return tokenOf(this.base, this.increment);
   }
 
+  /** The worker's newest known session; 0 when none is known. */
   get session(): Session {
     return this.at.session;
   }
 
-  /** True once the worker has shown our present token: nothing older can be executed any more. */
+  /** True once the worker has acknowledged the present token: it no longer executes a command with a lower one. */
   get fenced(): boolean {
-    return this.acked === this.token;
+    return this.ackedToken === this.token;
   }
 
+  /** True once a message of the worker's present life has been applied. */
   get heard(): boolean {
     return this.at.session > 0;
   }
 
+  /** The tasks that the worker's newest message lists, exited ones included. */
   get tasks(): ReadonlyMap<TaskKey, ListedTask> {
-    return this.listing;
+    return this.listedTasks;
   }
 
-  get pendingStarts(): ReadonlyMap<TaskKey, Start> {
+  /** Starts whose outcome is not known yet. */
+  get pendingStarts(): ReadonlyMap<TaskKey, PendingStart> {
     return this.starts;
   }
 
-  /** May this task be on the machine? Exited tasks are not. */
+  /** True when this task may be on the machine. An exited task is not. */
   possibly(key: TaskKey): boolean {
     if (this.starts.has(key)) return true;
-    const listed = this.listing.get(key);
+    const listed = this.listedTasks.get(key);
     return listed !== undefined && listed.state !== 'exited';
   }
 
+  /** True when no task can be on the machine. Exited tasks don't count. */
   get empty(): boolean {
     if (this.starts.size > 0) return false;
-    for (const listed of this.listing.values()) if (listed.state !== 'exited') return false;
+    for (const listed of this.listedTasks.values()) if (listed.state !== 'exited') return false;
     return true;
   }
 
-  get position(): Position {
-    return { ...this.at, token: this.acked };
+  /** The newest known message; an answer to a command sent now must not precede it. */
+  get position(): MessagePosition {
+    return { ...this.at, token: this.ackedToken };
   }
 
-  /** Only old messages have come for a while: asked, the worker would tell whether it has begun anew. */
+  /** True when only stale messages have come for a while. A probe then shows whether the worker has restarted. */
   get doubted(): boolean {
-    return this.oldOnes >= DOUBTED_AFTER;
+    return this.staleMessages >= STALE_MESSAGES_TO_PROBE;
   }
 
+  /** Records a start. Must be called before the command is sent. */
   noteStart(key: TaskKey, attempt: Attempt): void {
     this.changes += 1;
-    if (!this.names(key)) this.mention(key);
+    if (!this.names(key)) this.addToIndex(key);
     this.starts.set(key, { attempt, token: this.token, session: this.at.session });
   }
 
-  /** The command with these starts was answered: what the worker lists now is all there is of them. */
+  /** Settles the starts of an answered command: from now on the worker's list alone says which of them are there. */
   settleStarts(keys: readonly TaskKey[]): void {
     for (const key of keys) if (this.starts.delete(key)) this.drop(key);
     this.changes += 1;
   }
 
-  /** A command's fate is unknown. It may be executed minutes later unless a higher token comes first. */
+  /**
+   * Raises the token after a command whose outcome is unknown. The command may be executed minutes later unless a
+   * higher token reaches the worker first.
+   */
   raiseToken(): void {
-    this.bump += 1;
+    this.increment += 1;
   }
 
-  /** The machine has come in by a change of this revision: its token is above all that others had for it in between. */
+  /**
+   * The machine has returned to the shard by a change of this revision. The new token is higher than any that other
+   * holders have used for it in between.
+   */
   rebase(base: Revision): void {
-    if (base > this.base) [this.base, this.bump] = [base, 0];
+    if (base > this.base) [this.base, this.increment] = [base, 0];
     else this.raiseToken();
     this.changes += 1;
   }
 
   /**
-   * Takes in the answer to a command that was sent when the worker was known up to `sent`. A worker that goes on answers
-   * with something newer than all that it has said before, under no lower token. One that doesn't has begun anew, with
-   * session and sequence from the start: all that was there before is gone, and its connections with it.
+   * Applies the answer to a command that was sent when the newest known message was `sent`. A worker that has not
+   * restarted answers with a newer message and no lower token. Otherwise it has restarted and counts sessions and
+   * sequence numbers from the start again: its earlier tasks and connections are gone.
    */
-  takeAnswer(message: WorkerMessage, sent: Position, now: Millis): Verdict {
-    if (message.token <= this.token && (!isAfter(message, sent) || message.token < sent.token)) this.beginAnew(now);
-    return this.takeNewer(message, now);
+  takeAnswer(message: WorkerMessage, sent: MessagePosition, now: Millis): Verdict {
+    if (message.token <= this.token && (!isAfter(message, sent) || message.token < sent.token)) this.handleRestart(now);
+    return this.applyIfNewer(message, now);
   }
 
-  private beginAnew(now: Millis): void {
+  /** Discards what is known of the worker's earlier life. */
+  private handleRestart(now: Millis): void {
     this.expire();
-    this.expired = session(0);
+    this.expiredSession = session(0);
     this.at = { session: session(0), sequence: sequence(0) };
-    this.acked = token(0);
-    // Copies of what the earlier life has said come under lower tokens than any report that counts from here on.
+    this.ackedToken = token(0);
+    // Delayed copies of messages from before the restart have lower tokens than any report that is valid from now on.
     this.raiseToken();
     this.floor = this.token;
     this.answered(now);
   }
 
-  /** Takes in a report, or whatever else may be a copy that comes late. */
+  /** Applies a report, or another message that may be a delayed copy. */
   take(message: WorkerMessage, now: Millis): Verdict {
-    if (message.token >= this.floor && !this.misses(message)) {
-      const verdict = this.takeNewer(message, now);
-      if (verdict === 'taken') this.lastReportAt = now;
-      return verdict;
+    if (message.token >= this.floor && !this.omitsLiveTask(message)) {
+      const outcome = this.applyIfNewer(message, now);
+      if (outcome === 'taken') this.lastReportAt = now;
+      return outcome;
     }
-    this.oldOnes += 1;
+    this.staleMessages += 1;
     return 'stale';
   }
 
   /**
-   * Within one session a task that runs doesn't vanish: it exits, and is listed until it is forgotten. A report that says
-   * otherwise is of another life, and the worker has to be asked.
+   * True when a message of the present session omits a task that has not exited. Within one session a task exits and
+   * stays listed until the worker is told to forget it, so the message is from another life of the worker, and the
+   * worker has to be probed.
    */
-  private misses({ session: of, tasks }: WorkerMessage): boolean {
-    if (of !== this.at.session || this.lists(tasks)) return false;
+  private omitsLiveTask({ session: of, tasks }: WorkerMessage): boolean {
+    if (of !== this.at.session || this.listsSameTasks(tasks)) return false;
     const listed = new Set(tasks.map(({ key }) => key));
-    for (const [key, { state }] of this.listing) {
+    for (const [key, { state }] of this.listedTasks) {
       if (state === 'exited' || listed.has(key)) continue;
-      this.oldOnes += DOUBTED_AFTER;
+      this.staleMessages += STALE_MESSAGES_TO_PROBE;
       return true;
     }
     return false;
   }
 
-  private takeNewer(message: WorkerMessage, now: Millis): Verdict {
+  /** Applies a message if it is newer than the newest known one. */
+  private applyIfNewer(message: WorkerMessage, now: Millis): Verdict {
     if (message.token > this.token) return 'superseded';
-    // Within one life tokens never fall: such a message is of another one, whatever its numbers say.
-    const contradicts = message.token < this.acked;
-    if (message.session <= this.expired || contradicts || !isAfter(message, this.at)) {
-      this.oldOnes += 1;
+    // A worker's token never falls until it restarts: such a message is from another life, whatever its session is.
+    const tokenFell = message.token < this.ackedToken;
+    if (message.session <= this.expiredSession || tokenFell || !isAfter(message, this.at)) {
+      this.staleMessages += 1;
       return 'stale';
     }
-    this.oldOnes = 0;
-    // A new session's lease runs from its beginning, which lies no later than now, whoever answers reports: a
-    // session known from a command's answer alone would be taken for over while tasks run in it.
+    this.staleMessages = 0;
+    // The lease of a new session began no later than now, whichever controller answers its reports. Without this, the
+    // lease of a session known only from a command's answer would be considered over while tasks run in the session.
     if (message.session > this.at.session) this.answered(now);
     this.at = { session: message.session, sequence: message.sequence };
-    this.acked = message.token;
+    this.ackedToken = message.token;
     this.lastHeardAt = now;
-    if (this.starts.size === 0 && this.lists(message.tasks)) return 'taken';
-    const before = this.listing;
-    this.listing = new Map(message.tasks.map((task) => [task.key, task]));
-    for (const key of this.listing.keys()) if (!before.has(key) && !this.starts.has(key)) this.mention(key);
+    if (this.starts.size === 0 && this.listsSameTasks(message.tasks)) return 'taken';
+    const before = this.listedTasks;
+    this.listedTasks = new Map(message.tasks.map((task) => [task.key, task]));
+    for (const key of this.listedTasks.keys()) if (!before.has(key) && !this.starts.has(key)) this.addToIndex(key);
     for (const key of before.keys()) this.drop(key);
     for (const [key, start] of this.starts) {
-      const listed = this.listing.get(key);
+      const listed = this.listedTasks.get(key);
       const settled =
         (listed !== undefined && listed.attempt === start.attempt) ||
         message.token > start.token ||
@@ -245,30 +279,31 @@
     return 'taken';
   }
 
-  /** Most reports say nothing new, and nothing follows from them. */
-  private lists(tasks: readonly ListedTask[]): boolean {
-    if (tasks.length !== this.listing.size) return false;
+  /** True when the tasks are those already listed, as in most reports; such a message changes nothing. */
+  private listsSameTasks(tasks: readonly ListedTask[]): boolean {
+    if (tasks.length !== this.listedTasks.size) return false;
     return tasks.every((task) => {
-      const known = this.listing.get(task.key);
+      const known = this.listedTasks.get(task.key);
       return known?.attempt === task.attempt && known.state === task.state && known.why === task.why;
     });
   }
 
+  /** Records that the worker's lease may have been renewed now. */
   answered(now: Millis): void {
     if (now > this.lastAnswerAt) this.lastAnswerAt = now;
   }
 
-  /** From when on the worker has killed all its tasks, if nobody else could answer it meanwhile. */
+  /** The time by which the worker has killed all its tasks, provided that no other controller renewed its lease. */
   expiresAt(leaseMs: number): Millis {
     return millis(this.lastAnswerAt + withDrift(leaseMs) + 250);
   }
 
-  /** The worker's lease is over: everything there is gone, and commands for its session are void. */
+  /** The worker's lease is over: its tasks are gone, and it ignores commands for its old session. */
   expire(): void {
-    const before = new Set([...this.listing.keys(), ...this.starts.keys()]);
-    this.listing.clear();
+    const before = new Set([...this.listedTasks.keys(), ...this.starts.keys()]);
+    this.listedTasks.clear();
     this.starts.clear();
-    this.expired = this.at.session;
+    this.expiredSession = this.at.session;
     for (const key of before) this.drop(key);
     this.changes += 1;
   }
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -10,54 +10,62 @@
 import type { MachineBelief } from './belief.js';
 import { decodeMessage, encodeCommands, type Order, type WorkerMessage } from './wire.js';
 
-const TIMEOUT_MS = 2500;
-/** A command without orders only asks whether the worker is there. */
+const COMMAND_TIMEOUT_MS = 2500;
+/** Timeout of a command without orders, which only asks whether the worker answers. */
 const PROBE_TIMEOUT_MS = 1000;
-const MAX_ORDERS = 200;
-const NO_SOCKET = /\b(?:EMFILE|ENFILE|EADDRNOTAVAIL|ENOBUFS)\b/;
+const MAX_ORDERS_PER_COMMAND = 200;
+/** Error codes of a process that has run out of sockets or ports. */
+const LOCAL_SOCKET_ERROR = /\b(?:EMFILE|ENFILE|EADDRNOTAVAIL|ENOBUFS)\b/;
 
+/** Callbacks of a command sender. */
 export interface CommandSenderHooks {
-  /** A newer message was taken in. */
+  /** The worker answered, and its token is not above ours. */
   heard(message: WorkerMessage): void;
+  /** The worker has acknowledged a higher token: another holder has the machine. */
   superseded(): void;
 }
 
-/** Direct commands to one worker: one request at a time, so that their order is plain. */
+/** Sends commands to one worker, one request at a time, so that the worker receives them in order. */
 export class CommandSender {
   private client: HttpClient | undefined;
   private busy = false;
   private address = '';
   private failedAt: Millis | undefined;
+  /** Commands in a row without a valid answer. A lack of local sockets doesn't count. */
   failures = 0;
 
   constructor(
     readonly machine: MachineId,
-    private readonly belief: MachineBelief,
+    private readonly tracker: MachineBelief,
     private readonly runtime: Runtime,
     private readonly log: Logger,
     private readonly hooks: CommandSenderHooks,
     private readonly sockets: SocketBudget,
   ) {}
 
+  /** True while no command is in flight. */
   get idle(): boolean {
     return !this.busy;
   }
 
+  /** True when the worker's address is known and the sender is not closed. */
   get reachable(): boolean {
     return this.client !== undefined;
   }
 
+  /** The worker's address; empty when none is known. */
   get knownAddress(): string {
     return this.address;
   }
 
-  /** May be called again after a failure only after a short pause. */
+  /** True when no command is in flight, a connection can be used, and the backoff after a failure is over. */
   ready(): boolean {
     if (this.busy || !this.client || !(this.client.connected || this.sockets.room)) return false;
     if (this.failedAt === undefined) return true;
     return this.runtime.now() - this.failedAt > Math.min(2000, 200 * 2 ** Math.min(4, this.failures));
   }
 
+  /** Sets the worker's address; an unchanged or malformed one is ignored. */
   setAddress(text: string): void {
     if (text === this.address) return;
     const address = parseAddress(text);
@@ -67,51 +75,58 @@
     this.client = new HttpClient(address, 1, this.runtime, this.sockets);
   }
 
+  /** Closes the connection; nothing is sent until an address is set. */
   close(): void {
     this.client?.close();
     this.client = undefined;
   }
 
-  /** Sends orders. Starts must have been noted in the belief before. */
+  /** Sends orders as one command. Their starts must have been recorded in the tracker before. */
   async send(orders: readonly Order[]): Promise<void> {
     const client = this.client;
     if (!client || this.busy) return;
-    const batch = orders.slice(0, MAX_ORDERS);
+    const batch = orders.slice(0, MAX_ORDERS_PER_COMMAND);
     const starts = batch.filter((o) => o.op === 'start').map((o) => o.key);
-    const sent = this.belief.position;
+    const sent = this.tracker.position;
     this.busy = true;
     try {
       const answer = await client.call({
         method: 'POST',
         path: '/commands',
-        body: encodeCommands(this.belief.token, this.belief.session, batch),
-        timeoutMs: batch.length > 0 ? TIMEOUT_MS : PROBE_TIMEOUT_MS,
+        body: encodeCommands(this.tracker.token, this.tracker.session, batch),
+        timeoutMs: batch.length > 0 ? COMMAND_TIMEOUT_MS : PROBE_TIMEOUT_MS,
       });
       const message = answer.kind === 'answered' ? decodeMessage(answer.body) : null;
       if (answer.kind === 'failed' || !message || (answer.status !== 200 && answer.status !== 409)) {
-        // A process without a free socket has learned nothing about the machine.
-        const ours = answer.kind === 'failed' && NO_SOCKET.test(answer.reason);
-        if (!ours) this.failures += 1;
+        // A lack of local sockets says nothing about the worker.
+        const localError = answer.kind === 'failed' && LOCAL_SOCKET_ERROR.test(answer.reason);
+        if (!localError) this.failures += 1;
         this.failedAt = this.runtime.now();
         const reason = answer.kind === 'failed' ? answer.reason : `status ${answer.status}`;
-        this.log.debug({ machine: this.machine, reason, starts: starts.length }, 'a command got no answer');
-        // It may be executed minutes later: only a higher token that is acknowledged makes it void.
-        if (starts.length > 0) this.belief.raiseToken();
+        this.log.debug(
+          { machine: this.machine, reason, starts: starts.length },
+          'a worker gave no valid answer to a command',
+        );
+        // The command may be executed minutes later. Only a higher token that the worker acknowledges rules that out.
+        if (starts.length > 0) this.tracker.raiseToken();
         return;
       }
       this.failures = 0;
       this.failedAt = undefined;
       if (message.machine !== this.machine) {
-        this.log.warn({ machine: this.machine, says: message.machine }, 'another worker answers at this address');
-        if (starts.length > 0) this.belief.raiseToken();
+        this.log.warn(
+          { machine: this.machine, says: message.machine },
+          'another worker answers at the address of this machine',
+        );
+        if (starts.length > 0) this.tracker.raiseToken();
         return;
       }
-      const verdict = this.belief.takeAnswer(message, sent, this.runtime.now());
-      // Answered: executed as a whole (200) or not at all (409), so these starts are settled. Not by an answer that
-      // something else has overtaken: if that was a copy of an earlier life, it doesn't list what was started now.
-      if (verdict !== 'stale') this.belief.settleStarts(starts);
-      else if (starts.length > 0) this.belief.raiseToken();
-      if (verdict === 'superseded') this.hooks.superseded();
+      const outcome = this.tracker.takeAnswer(message, sent, this.runtime.now());
+      // An answered command was executed as a whole (200) or not at all (409), which settles its starts. A stale answer
+      // doesn't settle them: the message that overtook it may be a copy from before a restart, which doesn't list them.
+      if (outcome !== 'stale') this.tracker.settleStarts(starts);
+      else if (starts.length > 0) this.tracker.raiseToken();
+      if (outcome === 'superseded') this.hooks.superseded();
       else this.hooks.heard(message);
     } finally {
       this.busy = false;
--- a/src/workers/index.ts
+++ b/src/workers/index.ts
@@ -8,7 +8,7 @@
   encodeCommands,
   encodeRedirect,
   encodeReply,
-  type ExitWhy,
+  type ExitReason,
   type ListedTask,
   type Order,
   type TaskState,
--- a/src/workers/prober.ts
+++ b/src/workers/prober.ts
@@ -1,16 +1,16 @@
 import { HttpClient, parseAddress, type Runtime } from '../kernel/index.js';
 import { decodeMessage } from './wire.js';
 
-const TIMEOUT_MS = 1000;
+const PROBE_TIMEOUT_MS = 1000;
 
-/** Asks some workers whether they are there, each on a connection of its own; tells how many answered. */
+/** Requests the status of some workers, each over its own connection, and returns how many answered. */
 export async function probeWorkers(addresses: readonly string[], runtime: Runtime): Promise<number> {
   const answers = await Promise.all(
     addresses.map(async (text): Promise<number> => {
       const address = parseAddress(text);
       if (!address) return 0;
       const client = new HttpClient(address, 1, runtime);
-      const answer = await client.call({ method: 'GET', path: '/status', timeoutMs: TIMEOUT_MS });
+      const answer = await client.call({ method: 'GET', path: '/status', timeoutMs: PROBE_TIMEOUT_MS });
       client.close();
       return answer.kind === 'answered' && decodeMessage(answer.body) ? 1 : 0;
     }),
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -1,71 +1,76 @@
 import { millis, type Millis } from '../kernel/index.js';
 
-/** So many reports are expected in a silence before it means anything. */
-const REPORTS_EXPECTED = 12;
-const SHORTEST_SILENCE_MS = 800;
-/** A process that did not run has not listened either: no more of a gap than this counts. */
-const MOST_A_LOOK_MS = 400;
-/** Machines that are asked before this node takes itself for cut off. */
+/** A silence counts only once this many reports should have arrived in it. */
+const MIN_EXPECTED_REPORTS = 12;
+const MIN_SILENCE_MS = 800;
+/** Most that the time between two checks adds to a silence: a process that was suspended has not listened either. */
+const MAX_COUNTED_GAP_MS = 400;
+/** Machines that are probed per round, to find out whether this node is cut off. */
 export const PROBES = 5;
-/** Successful rounds of probes before it takes itself for reachable again. */
-const ROUNDS_BACK = 2;
+/** Successful rounds of probes in a row before this node is no longer considered cut off. */
+const ROUNDS_TO_RECOVER = 2;
 
+/** Whether a round of probes is due. */
 export type ProbeNeed = 'nothing' | 'probe';
 
 /**
- * Does this node reach the workers? One silent machine is the machine's trouble; when all are silent
- * for as long as a dozen reports should have taken, and those that are asked don't answer either, it
- * is ours. Counted is time spent listening, so that a process that was stopped for a minute does
- * not blame the network. Pure: told what happens, with the time.
+ * Decides whether this node can reach the workers. A single silent machine has failed itself. When all are silent for
+ * as long as twelve reports should take, and the probed ones don't answer either, this node is cut off. Only time spent
+ * listening counts, so that a process that was suspended for a minute doesn't take the network for failed. Pure: events
+ * and times are passed in.
  */
 export class WorkerReachability {
-  private quietMs = 0;
-  private lookedAt: Millis;
+  private silenceMs = 0;
+  private lastCheckAt: Millis;
   private cutOff = false;
-  private good = 0;
+  private goodRounds = 0;
 
   constructor(now: Millis) {
-    this.lookedAt = now;
+    this.lastCheckAt = now;
   }
 
+  /** False while this node is considered cut off from the workers. */
   get ok(): boolean {
     return !this.cutOff;
   }
 
-  /** A report, or a command's answer, came in. */
+  /** A report, or the answer to a command, has arrived. */
   heard(): void {
-    this.quietMs = 0;
+    this.silenceMs = 0;
   }
 
-  /** Looked at every now and then: is it time to ask some workers? */
+  /** Called periodically; says whether some workers should be probed now. */
   look(now: Millis, machines: number, reportMs: number): ProbeNeed {
-    this.quietMs += Math.min(MOST_A_LOOK_MS, now - this.lookedAt);
-    this.lookedAt = millis(now);
+    this.silenceMs += Math.min(MAX_COUNTED_GAP_MS, now - this.lastCheckAt);
+    this.lastCheckAt = millis(now);
     if (this.cutOff) return 'probe';
     if (machines < 2) return 'nothing';
-    const longest = 2.5 * reportMs + 1500;
-    const patience = Math.max(SHORTEST_SILENCE_MS, Math.min(longest, (REPORTS_EXPECTED * reportMs) / machines));
-    return this.quietMs > patience ? 'probe' : 'nothing';
+    const maxSilenceMs = 2.5 * reportMs + 1500;
+    const silenceLimitMs = Math.max(
+      MIN_SILENCE_MS,
+      Math.min(maxSilenceMs, (MIN_EXPECTED_REPORTS * reportMs) / machines),
+    );
+    return this.silenceMs > silenceLimitMs ? 'probe' : 'nothing';
   }
 
-  /** What a round of probes found. Returns true when the verdict has changed. */
+  /** Evaluates a round of probes. Returns true when `ok` has changed. */
   probed(asked: number, answered: number): boolean {
     if (asked === 0) return false;
     if (!this.cutOff) {
       if (answered * 5 > asked) {
-        this.quietMs = 0;
+        this.silenceMs = 0;
         return false;
       }
-      // A report that came in meanwhile speaks against it.
-      if (this.quietMs === 0) return false;
+      // A report that arrived during the probes shows that the workers can be reached.
+      if (this.silenceMs === 0) return false;
       this.cutOff = true;
-      this.good = 0;
+      this.goodRounds = 0;
       return true;
     }
-    this.good = answered * 2 > asked ? this.good + 1 : 0;
-    if (this.good < ROUNDS_BACK) return false;
+    this.goodRounds = answered * 2 > asked ? this.goodRounds + 1 : 0;
+    if (this.goodRounds < ROUNDS_TO_RECOVER) return false;
     this.cutOff = false;
-    this.quietMs = 0;
+    this.silenceMs = 0;
     return true;
   }
 }
--- a/src/workers/task-index.ts
+++ b/src/workers/task-index.ts
@@ -1,16 +1,18 @@
 import { parseTaskKey, type JobId, type MachineId, type TaskKey } from '../kernel/index.js';
 
-/** Told by each machine's belief which tasks it names from now on, or no more. */
+/** Receives from each machine's tracker which tasks are listed or pending there. */
 export interface Mentions {
+  /** The machine lists the task, or a start of it is pending there. */
   enter(key: TaskKey, machine: MachineId): void;
+  /** The task is neither listed nor pending on the machine any more. */
   leave(key: TaskKey, machine: MachineId): void;
 }
 
-const NOBODY: ReadonlySet<MachineId> = new Set();
+const NO_MACHINES: ReadonlySet<MachineId> = new Set();
 
 /**
- * Which machines of a block name a task, exited or pending ones included: asked for every start and
- * for every job that ends, so it must not be found by a walk through the block.
+ * Index from tasks to the machines of a block that list them or have a start of them pending. Exited tasks
+ * are included. It is queried for every start and for every job that ends, so a query must not iterate over the block.
  */
 export class TaskIndex implements Mentions {
   private readonly jobs = new Map<JobId, Map<TaskKey, Set<MachineId>>>();
@@ -34,16 +36,18 @@
     if (tasks.size === 0) this.jobs.delete(job);
   }
 
+  /** The machines that list a task or have a start of it pending. */
   machinesOf(key: TaskKey): ReadonlySet<MachineId> {
     const job = parseTaskKey(key)?.job;
-    return (job === undefined ? undefined : this.jobs.get(job)?.get(key)) ?? NOBODY;
+    return (job === undefined ? undefined : this.jobs.get(job)?.get(key)) ?? NO_MACHINES;
   }
 
+  /** True when any machine lists a task of the job or has a start of one pending. */
   names(job: JobId): boolean {
     return this.jobs.has(job);
   }
 
-  /** The machines that name any task of a job. */
+  /** The machines that list any task of a job or have a start of one pending. */
   machinesOfJob(job: JobId): ReadonlySet<MachineId> {
     const all = new Set<MachineId>();
     for (const machines of this.jobs.get(job)?.values() ?? []) for (const id of machines) all.add(id);
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -20,18 +20,25 @@
   type Token,
 } from '../kernel/index.js';
 
-/** The workers' words. */
+/**
+ * Wire format of the workers. Its names differ from ours: `drifter` is a machine, `tide` a session, `tally` a sequence
+ * number, `helm` a fencing token, `piece` a task, `launch` an attempt, `hull` a machine type, `berth` a zone, `flotsam`
+ * says that the machine is a spot machine, and `harbour` is the controller to report to.
+ */
+
+/** State of a task on its worker. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-export type ExitWhy = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no-room' | 'busy' | 'unknown';
+/** Why a task has exited. */
+export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no-room' | 'busy' | 'unknown';
 
-const STATES: Record<string, TaskState> = {
+const TASK_STATES: Record<string, TaskState> = {
   fetching: 'fetching',
   gathering: 'waiting',
   running: 'running',
   flushing: 'saving',
   exited: 'exited',
 };
-const WHYS: Record<string, ExitWhy> = {
+const EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   stopped: 'stopped',
   mates_gone: 'peers',
@@ -42,18 +49,20 @@
   no_such: 'unknown',
 };
 
+/** A task in a worker's message. */
 export interface ListedTask {
   readonly key: TaskKey;
-  /** The key's parts: read once for each report, asked for many times. */
+  /** Job and index are parsed from the key once per message, because they are used many times. */
   readonly job: JobId;
   readonly index: number;
   readonly attempt: Attempt;
   readonly state: TaskState;
-  readonly why: ExitWhy | null;
+  /** Null unless the task has exited. */
+  readonly why: ExitReason | null;
   readonly saved: boolean;
 }
 
-/** What a worker says of itself, in a report or in the answer to a command. */
+/** State of a worker, sent in a report or in the answer to a command. */
 export interface WorkerMessage {
   readonly machine: MachineId;
   readonly address: string;
@@ -62,16 +71,20 @@
   readonly spot: boolean;
   readonly session: Session;
   readonly sequence: Sequence;
+  /** The highest fencing token that the worker has received. */
   readonly token: Token;
+  /** Seconds until the cloud reclaims the machine; null without a notice. */
   readonly noticeS: number | null;
   readonly tasks: readonly ListedTask[];
 }
 
+/** An instruction to a worker about one attempt of a task. */
 export type Order =
   | { readonly op: 'start'; readonly key: TaskKey; readonly attempt: Attempt }
   | { readonly op: 'stop'; readonly key: TaskKey; readonly attempt: Attempt; readonly graceS: number }
   | { readonly op: 'forget'; readonly key: TaskKey; readonly attempt: Attempt };
 
+/** Decodes a worker's message; null when it is malformed. */
 export function decodeMessage(body: unknown): WorkerMessage | null {
   if (!isObject(body)) return null;
   const machine = asString(body['drifter']);
@@ -86,14 +99,14 @@
     const key = asString(item['piece']) ?? '';
     const named = parseTaskKey(key);
     const launch = asCount(item['launch']);
-    const state = STATES[asString(item['phase']) ?? ''];
+    const state = TASK_STATES[asString(item['phase']) ?? ''];
     if (!named || launch === undefined || state === undefined) return null;
     tasks.push({
       key: key as TaskKey,
       ...named,
       attempt: attempt(launch),
       state,
-      why: state === 'exited' ? (WHYS[asString(item['cause']) ?? ''] ?? 'error') : null,
+      why: state === 'exited' ? (EXIT_REASONS[asString(item['cause']) ?? ''] ?? 'error') : null,
       saved: item['stored'] === true,
     });
   }
@@ -111,20 +124,24 @@
   };
 }
 
+/** Encodes one order of a reply or a command. */
 export function encodeOrder(order: Order): unknown {
   const named = { piece: order.key, launch: order.attempt };
   return order.op === 'stop' ? { verb: 'stop', ...named, moor_s: order.graceS } : { verb: order.op, ...named };
 }
 
+/** Body of the answer to a report, which renews the worker's lease. */
 export const encodeReply = (helm: Token, orders: readonly Order[]): unknown => ({
   helm,
   orders: orders.map(encodeOrder),
 });
 
+/** Body of a command, which the worker executes only in this session and under no higher token. */
 export const encodeCommands = (helm: Token, tide: Session, orders: readonly Order[]): unknown => ({
   helm,
   tide,
   orders: orders.map(encodeOrder),
 });
 
+/** Body that sends a worker to another controller; empty when none is known. */
 export const encodeRedirect = (to: NodeName | null): unknown => (to === null ? {} : { harbour: to });
--- a/test/belief.test.ts
+++ b/test/belief.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { attempt, jobId, millis, revision, taskKey, type TaskKey, type Token } from '../src/kernel/index.js';
-import { MachineBelief, type Order, type Position, type WorkerMessage } from '../src/workers/index.js';
+import { MachineBelief, type Order, type MessagePosition, type WorkerMessage } from '../src/workers/index.js';
 import { StandInWorker } from './standins/worker.js';
 
-const LEASE = 10_000;
-const REPORT = 500;
+const LEASE_MS = 10_000;
+const REPORT_MS = 500;
 const KEYS = [taskKey(jobId('j-1'), 0), taskKey(jobId('j-1'), 1)];
 
 interface Packet {
@@ -14,30 +14,30 @@
   readonly helm: Token;
   readonly tide: number;
   readonly orders: readonly Order[];
-  readonly sent: Position;
-  /** Given up by its sender: it may still be delivered, unanswered. */
+  readonly sent: MessagePosition;
+  /** The sender has timed out: the packet may still be delivered, but its answer is ignored. */
   abandoned: boolean;
 }
 
 /**
- * A small world: workers, commands that are delayed or lost, reports that come late, and holders
- * that claim one after the other. The holder follows the rule that the real one follows: a task is
- * started only if it is possibly nowhere, and after a claim only once every machine is fenced.
+ * A simulation of workers, delayed and lost commands, late reports, and holders that claim the shard one after the
+ * other. The holder follows the rule of the real one: a task is started only if it can't be on any machine, and after a
+ * claim only once every machine is fenced.
  */
-class World {
+class Simulation {
   readonly workers = [new StandInWorker('m0'), new StandInWorker('m1')];
-  beliefs: MachineBelief[] = [];
-  fence = new Set<number>();
+  trackers: MachineBelief[] = [];
+  unfenced = new Set<number>();
   packets: Packet[] = [];
   late: { machine: number; message: WorkerMessage }[] = [];
   revision = 10;
   attempts = 0;
   now = 0;
   readonly answeredAt = [0, 0];
-  readonly reborn = new Set<number>();
-  /** Nothing is started where the lease was taken for over and nothing has been heard since. */
+  readonly restarted = new Set<number>();
+  /** Machines whose lease is considered over and that have not been heard since: nothing is started there. */
   readonly lost = new Set<number>();
-  /** In no block, or in another holder's, while what the holder has started there may run. */
+  /** Machines in no block or in another holder's, while tasks that this holder started may run there. */
   readonly missing = new Set<number>();
 
   constructor() {
@@ -45,21 +45,22 @@
   }
 
   claim(): void {
-    // Not kept: a claimant doesn't know of machines that are missing from the block (docs/incidents/ran-twice-pages.md).
+    // Left out, because the guarantee does not hold there: a new holder doesn't know of machines that are missing from
+    // the block (docs/incidents/ran-twice-pages.md).
     if (this.missing.size > 0) return;
     this.revision += 1;
     for (const packet of this.packets) packet.abandoned = true;
     this.lost.clear();
-    this.beliefs = this.workers.map(() => new MachineBelief(revision(this.revision), millis(this.now)));
-    this.fence = new Set([0, 1]);
+    this.trackers = this.workers.map(() => new MachineBelief(revision(this.revision), millis(this.now)));
+    this.unfenced = new Set([0, 1]);
   }
 
-  vanish(machine: number): void {
+  removeFromBlock(machine: number): void {
     this.missing.add(machine);
   }
 
-  /** Another holder has it: it answers a report under its own token, and stops what it doesn't know. */
-  another(machine: number): void {
+  /** Another holder has the machine: it answers a report under its own token and stops the tasks it doesn't know. */
+  answerFromOtherHolder(machine: number): void {
     const worker = this.workers[machine];
     if (!worker || !this.missing.has(machine)) return;
     this.revision += 1;
@@ -72,36 +73,36 @@
   back(machine: number): void {
     if (!this.missing.delete(machine)) return;
     this.revision += 1;
-    this.beliefs[machine]?.rebase(revision(this.revision));
+    this.trackers[machine]?.rebase(revision(this.revision));
   }
 
   take(machine: number, message: WorkerMessage): void {
-    const belief = this.beliefs[machine];
-    assert.ok(belief);
+    const tracker = this.trackers[machine];
+    assert.ok(tracker);
     if (this.missing.has(machine)) return;
-    if (belief.take(message, millis(this.now)) === 'taken') this.lost.delete(machine);
-    if (belief.fenced) this.fence.delete(machine);
+    if (tracker.take(message, millis(this.now)) === 'taken') this.lost.delete(machine);
+    if (tracker.fenced) this.unfenced.delete(machine);
   }
 
   start(machine: number, key: TaskKey): void {
-    const belief = this.beliefs[machine];
+    const tracker = this.trackers[machine];
     if (
-      !belief?.fenced ||
+      !tracker?.fenced ||
       this.lost.has(machine) ||
       this.missing.has(machine) ||
-      this.fence.size > 0 ||
+      this.unfenced.size > 0 ||
       this.packets.some((p) => p.machine === machine && !p.abandoned)
     )
       return;
-    if (this.beliefs.some((b) => b.possibly(key) || b.tasks.get(key)?.why === 'done')) return;
+    if (this.trackers.some((b) => b.possibly(key) || b.tasks.get(key)?.why === 'done')) return;
     this.attempts += 1;
     const number = attempt(this.revision * 2 ** 20 + this.attempts);
-    belief.noteStart(key, number);
+    tracker.noteStart(key, number);
     this.send(machine, [{ op: 'start', key, attempt: number }]);
   }
 
   stop(machine: number, key: TaskKey): void {
-    const listed = this.beliefs[machine]?.tasks.get(key);
+    const listed = this.trackers[machine]?.tasks.get(key);
     if (!listed || this.packets.some((p) => p.machine === machine && !p.abandoned)) return;
     this.send(machine, [
       { op: listed.state === 'exited' ? 'forget' : 'stop', key, attempt: listed.attempt, graceS: 0 },
@@ -109,10 +110,10 @@
   }
 
   send(machine: number, orders: readonly Order[]): void {
-    const belief = this.beliefs[machine];
-    if (!belief || this.missing.has(machine)) return;
+    const tracker = this.trackers[machine];
+    if (!tracker || this.missing.has(machine)) return;
     if (this.packets.some((p) => p.machine === machine && !p.abandoned)) return;
-    const { token: helm, session: tide, position: sent } = belief;
+    const { token: helm, session: tide, position: sent } = tracker;
     this.packets.push({ machine, helm, tide, orders, sent, abandoned: false });
   }
 
@@ -122,23 +123,23 @@
     this.packets = this.packets.filter((p) => p !== packet);
     const answer = this.workers[packet.machine]?.onCommands(packet.helm, packet.tide, packet.orders);
     if (packet.abandoned || !answer) return;
-    const belief = this.beliefs[packet.machine];
-    assert.ok(belief);
+    const tracker = this.trackers[packet.machine];
+    assert.ok(tracker);
     const starts = packet.orders.filter((o) => o.op === 'start').map((o) => o.key);
-    // As the commandSender does.
-    const verdict = belief.takeAnswer(answer.message, packet.sent, millis(this.now));
+    // As in CommandSender.send.
+    const verdict = tracker.takeAnswer(answer.message, packet.sent, millis(this.now));
     if (verdict === 'taken') this.lost.delete(packet.machine);
-    if (verdict !== 'stale') belief.settleStarts(starts);
-    else if (starts.length > 0) belief.raiseToken();
-    if (belief.fenced) this.fence.delete(packet.machine);
+    if (verdict !== 'stale') tracker.settleStarts(starts);
+    else if (starts.length > 0) tracker.raiseToken();
+    if (tracker.fenced) this.unfenced.delete(packet.machine);
   }
 
-  /** The machine ends and is back at once: session and sequence begin anew, and what is under way to it never arrives. */
+  /** The machine restarts at once: session and sequence start again, and packets on their way to it are lost. */
   reboot(machine: number): void {
-    this.reborn.add(machine);
+    this.restarted.add(machine);
     this.workers[machine]?.reboot();
     for (const packet of this.packets.filter((p) => p.machine === machine && !p.abandoned))
-      if (packet.orders.some((o) => o.op === 'start')) this.beliefs[machine]?.raiseToken();
+      if (packet.orders.some((o) => o.op === 'start')) this.trackers[machine]?.raiseToken();
     this.packets = this.packets.filter((p) => p.machine !== machine);
   }
 
@@ -146,40 +147,40 @@
     const packet = this.packets[index % Math.max(1, this.packets.length)];
     if (!packet || packet.abandoned) return;
     packet.abandoned = true;
-    if (packet.orders.some((o) => o.op === 'start')) this.beliefs[packet.machine]?.raiseToken();
+    if (packet.orders.some((o) => o.op === 'start')) this.trackers[packet.machine]?.raiseToken();
   }
 
   report(machine: number, delayed: boolean): void {
     const worker = this.workers[machine];
-    const belief = this.beliefs[machine];
-    if (!worker || !belief || this.missing.has(machine)) return;
+    const tracker = this.trackers[machine];
+    if (!worker || !tracker || this.missing.has(machine)) return;
     const message = worker.report();
     if (delayed) {
       this.late.push({ machine, message });
       return;
     }
     this.take(machine, message);
-    worker.onReply(belief.token, []);
-    belief.answered(millis(this.now));
+    worker.onReply(tracker.token, []);
+    tracker.answered(millis(this.now));
     this.answeredAt[machine] = this.now;
   }
 
-  silence(machine: number): void {
-    this.now += LEASE * 1.01 + 300;
-    // The one thing that is not kept: a command that is held for longer than a lease, to a machine that has begun anew
-    // meanwhile and whose sessions have come to the same number again. See docs/architecture.md.
-    this.packets = this.packets.filter((packet) => !this.reborn.has(packet.machine));
+  silenceWorker(machine: number): void {
+    this.now += LEASE_MS * 1.01 + 300;
+    // Left out, as the one case in which the guarantee does not hold: a command that is delayed for longer than a lease,
+    // to a machine that has restarted since and whose session number is the same again. See docs/architecture.md.
+    this.packets = this.packets.filter((packet) => !this.restarted.has(packet.machine));
     for (const [index, worker] of this.workers.entries()) {
-      // The other worker goes on reporting meanwhile.
+      // The other worker continues to report.
       if (index !== machine) this.report(index, false);
-      else if (this.now - (this.answeredAt[index] ?? 0) > LEASE) worker.expire();
+      else if (this.now - (this.answeredAt[index] ?? 0) > LEASE_MS) worker.expire();
     }
-    const belief = this.beliefs[machine];
-    const marginMs = this.missing.has(machine) ? 2 * REPORT : 0;
-    if (belief && this.now >= belief.expiresAt(LEASE) + marginMs) {
-      belief.expire();
+    const tracker = this.trackers[machine];
+    const marginMs = this.missing.has(machine) ? 2 * REPORT_MS : 0;
+    if (tracker && this.now >= tracker.expiresAt(LEASE_MS) + marginMs) {
+      tracker.expire();
       this.lost.add(machine);
-      this.fence.delete(machine);
+      this.unfenced.delete(machine);
     }
   }
 
@@ -188,14 +189,14 @@
       const on = this.workers.filter((w) => w.isOn(key)).length;
       assert.ok(on <= 1, `${key} is on ${on} machines`);
       this.workers.forEach((worker, index) => {
-        if (!worker.isOn(key) || this.fence.has(index)) return;
-        assert.ok(this.beliefs[index]?.possibly(key), `${key} is on m${index} and not believed to be`);
+        if (!worker.isOn(key) || this.unfenced.has(index)) return;
+        assert.ok(this.trackers[index]?.possibly(key), `${key} is on m${index}, but its tracker rules that out`);
       });
     }
   }
 }
 
-test('no interleaving of starts, timeouts, late packets, bumps, restarts, takeovers and missing machines runs a task twice', () => {
+test('no interleaving of starts, timeouts, late packets, raised tokens, restarts, claims and missing machines runs a task twice', () => {
   const step = fc.record({
     what: fc.constantFrom(
       ...['start', 'start', 'start', 'start', 'start', 'stop', 'stop', 'fence', 'fence', 'timeout', 'delay', 'late'],
@@ -210,10 +211,10 @@
         'report',
         'finish',
         'claim',
-        'silence',
+        'silenceWorker',
         'reboot',
       ],
-      ...['vanish', 'another', 'back', 'back', 'back', 'back'],
+      ...['removeFromBlock', 'answerFromOtherHolder', 'back', 'back', 'back', 'back'],
     ),
     machine: fc.integer({ min: 0, max: 1 }),
     key: fc.constantFrom(...KEYS),
@@ -222,82 +223,83 @@
   let starts = 0;
   fc.assert(
     fc.property(fc.array(step, { minLength: 20, maxLength: 120 }), (steps) => {
-      const world = new World();
+      const simulation = new Simulation();
       for (const { what, machine, key, index } of steps) {
-        world.now += 200;
-        if (what === 'start') world.start(machine, key);
-        else if (what === 'stop') world.stop(machine, key);
-        else if (what === 'fence') world.send(machine, []);
-        else if (what === 'deliver') world.deliver(index);
-        else if (what === 'timeout') world.timeout(index);
-        else if (what === 'report') world.report(machine, false);
-        else if (what === 'delay') world.report(machine, true);
+        simulation.now += 200;
+        if (what === 'start') simulation.start(machine, key);
+        else if (what === 'stop') simulation.stop(machine, key);
+        else if (what === 'fence') simulation.send(machine, []);
+        else if (what === 'deliver') simulation.deliver(index);
+        else if (what === 'timeout') simulation.timeout(index);
+        else if (what === 'report') simulation.report(machine, false);
+        else if (what === 'delay') simulation.report(machine, true);
         else if (what === 'late') {
-          // In whatever order: copies of an earlier life, too.
-          const [held] = world.late.splice(index % Math.max(1, world.late.length), 1);
-          if (held) world.take(held.machine, held.message);
-        } else if (what === 'finish') world.workers[machine]?.finish(key);
-        else if (what === 'claim') world.claim();
-        else if (what === 'reboot') world.reboot(machine);
-        else if (what === 'vanish') world.vanish(machine);
-        else if (what === 'another') world.another(machine);
-        else if (what === 'back') world.back(machine);
-        else world.silence(machine);
-        world.check();
+          // Delivered in any order, and after a restart of the worker, too.
+          const [held] = simulation.late.splice(index % Math.max(1, simulation.late.length), 1);
+          if (held) simulation.take(held.machine, held.message);
+        } else if (what === 'finish') simulation.workers[machine]?.finish(key);
+        else if (what === 'claim') simulation.claim();
+        else if (what === 'reboot') simulation.reboot(machine);
+        else if (what === 'removeFromBlock') simulation.removeFromBlock(machine);
+        else if (what === 'answerFromOtherHolder') simulation.answerFromOtherHolder(machine);
+        else if (what === 'back') simulation.back(machine);
+        else simulation.silenceWorker(machine);
+        simulation.check();
       }
-      starts += world.workers.reduce((sum, w) => sum + w.started.length, 0);
+      starts += simulation.workers.reduce((sum, w) => sum + w.started.length, 0);
     }),
     { seed: 11, numRuns: 5000 },
   );
-  assert.ok(starts > 1000, `only ${starts} starts: the world does not reach what it should test`);
+  assert.ok(starts > 1000, `only ${starts} starts: the simulation does not exercise enough starts`);
 });
 
-test('a timed-out start stays possible until a higher token is acknowledged', () => {
+test('a task whose start timed out may be on the machine until a higher token is acknowledged', () => {
   const worker = new StandInWorker('m0');
-  const belief = new MachineBelief(revision(5), millis(0));
+  const tracker = new MachineBelief(revision(5), millis(0));
   const key = KEYS[0] as TaskKey;
-  worker.onReply(belief.token, []);
-  belief.take(worker.report(), millis(1));
-  assert.ok(belief.fenced);
-  belief.noteStart(key, attempt(1));
-  belief.raiseToken();
-  belief.take(worker.report(), millis(2));
-  assert.ok(belief.possibly(key), 'a report under the old token settles nothing: the command may be late');
-  worker.onReply(belief.token, []);
-  belief.take(worker.report(), millis(3));
-  assert.ok(!belief.possibly(key));
+  worker.onReply(tracker.token, []);
+  tracker.take(worker.report(), millis(1));
+  assert.ok(tracker.fenced);
+  tracker.noteStart(key, attempt(1));
+  tracker.raiseToken();
+  tracker.take(worker.report(), millis(2));
+  assert.ok(tracker.possibly(key), 'a report under the old token settles nothing: the command may still arrive');
+  worker.onReply(tracker.token, []);
+  tracker.take(worker.report(), millis(3));
+  assert.ok(!tracker.possibly(key));
 });
 
-test('a session that is known from a command alone lasts for a lease from then on', () => {
+test('the lease of a session known only from the answer to a command lasts from that answer on', () => {
   const worker = new StandInWorker('m0');
-  const belief = new MachineBelief(revision(5), millis(0));
-  worker.onReply(belief.token, []);
-  belief.take(worker.report(), millis(1));
-  belief.answered(millis(1));
-  // Cut off for three leases: the worker's sessions end and begin unseen. Then a command reaches it.
+  const tracker = new MachineBelief(revision(5), millis(0));
+  worker.onReply(tracker.token, []);
+  tracker.take(worker.report(), millis(1));
+  tracker.answered(millis(1));
+  // Cut off for three leases: the worker's sessions expire and begin without the holder's knowledge. Then a command
+  // reaches the worker.
   worker.expire();
   worker.expire();
   worker.expire();
-  const now = 3 * LEASE;
-  belief.take(worker.onCommands(belief.token, 0, []).message, millis(now));
+  const now = 3 * LEASE_MS;
+  tracker.take(worker.onCommands(tracker.token, 0, []).message, millis(now));
   const key = KEYS[0] as TaskKey;
-  belief.noteStart(key, attempt(1));
-  belief.take(
-    worker.onCommands(belief.token, belief.session, [{ op: 'start', key, attempt: attempt(1) }]).message,
+  tracker.noteStart(key, attempt(1));
+  tracker.take(
+    worker.onCommands(tracker.token, tracker.session, [{ op: 'start', key, attempt: attempt(1) }]).message,
     millis(now),
   );
   assert.ok(worker.isOn(key));
-  assert.ok(belief.expiresAt(LEASE) >= now + LEASE, 'its lease is not over while the task may run');
+  assert.ok(tracker.expiresAt(LEASE_MS) >= now + LEASE_MS, 'the lease is not over while the task may run');
 });
 
-test('an older message never replaces a newer one, and a higher token means that we were replaced', () => {
+test('an older message never replaces a newer one, and a higher token shows that another holder has taken over', () => {
   const worker = new StandInWorker('m0');
-  const belief = new MachineBelief(revision(5), millis(0));
+  const tracker = new MachineBelief(revision(5), millis(0));
   const first = worker.report();
-  worker.onReply(belief.token, [{ op: 'start', key: KEYS[0] as TaskKey, attempt: attempt(1) }]);
-  assert.equal(belief.take(worker.report(), millis(1)), 'taken');
-  assert.equal(belief.take(first, millis(2)), 'stale');
-  assert.ok(belief.possibly(KEYS[0] as TaskKey));
+  worker.onReply(tracker.token, [{ op: 'start', key: KEYS[0] as TaskKey, attempt: attempt(1) }]);
+  assert.equal(tracker.take(worker.report(), millis(1)), 'taken');
+  assert.equal(tracker.take(first, millis(2)), 'stale');
+  assert.ok(tracker.possibly(KEYS[0] as TaskKey));
   worker.onReply(new MachineBelief(revision(6), millis(0)).token, []);
-  assert.equal(belief.take(worker.report(), millis(3)), 'superseded');
+  assert.equal(tracker.take(worker.report(), millis(3)), 'superseded');
 });
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -17,7 +17,7 @@
 };
 const lab = new Lab();
 
-/** Every job is known to these workers: endless tasks without an image. */
+/** A job book that knows every job: each has endless tasks without an image. */
 class AnyJob extends JobBook {
   override get(ref: string): JobTruth {
     const known = super.get(ref);
@@ -29,7 +29,7 @@
   }
 }
 
-/** The region's worker, driven by hand: it says something only when asked. */
+/** The worker model of the simulated region, driven by the test: it sends a message only when asked for one. */
 export class StandInWorker {
   private readonly model: WorkerModel;
   readonly started: { key: TaskKey; attempt: Attempt }[] = [];
@@ -53,39 +53,44 @@
 
   private decoded(body: unknown): WorkerMessage {
     const message = decodeMessage(body);
-    if (!message) throw new Error('the model says something that is no report');
+    if (!message) throw new Error('the worker model sent a malformed message');
     return message;
   }
 
+  /** True when the worker lists the task and it has not exited. */
   isOn(key: TaskKey): boolean {
     return this.report().tasks.some((task) => task.key === key && task.state !== 'exited');
   }
 
+  /** The message that the worker would report now. */
   report(): WorkerMessage {
     return this.decoded(this.model.message());
   }
 
-  /** The answer to a report: dropped when its token is lower. */
+  /** Delivers the answer to a report; the worker ignores it when its token is lower than one received before. */
   onReply(helm: Token, orders: readonly Order[]): void {
     const body = encodeReply(helm, orders);
     if (isObject(body)) this.model.onReply(body, lab.world.now);
   }
 
+  /** Delivers a command and returns the worker's answer. */
   onCommands(helm: Token, tide: number, orders: readonly Order[]): { status: 200 | 409; message: WorkerMessage } {
     const body = encodeCommands(helm, tide as WorkerMessage['session'], orders);
     const answer = this.model.serve({ method: 'POST', path: '/commands', body });
     return { status: answer.status === 200 ? 200 : 409, message: this.decoded(answer.body) };
   }
 
+  /** Lets a task finish. */
   finish(key: TaskKey): void {
     if (parseTaskKey(key)) this.model.tasks.finish(key);
   }
 
-  /** Ends and is back: nothing of before is left. */
+  /** Restarts the worker, which loses all its state. */
   reboot(): void {
     this.model.beginAnew();
   }
 
+  /** Ends the worker's lease: it kills its tasks and begins a new session. */
   expire(): void {
     this.model.expire();
   }
