--- a/src/state/format.ts
+++ b/src/state/format.ts
@@ -10,7 +10,7 @@
  */
 const VERSION_FIELD = 'v';
 
-/** Fields of a stored record that this program doesn't know. */
+/** Fields of a stored record, by name. */
 export type Fields = Readonly<Record<string, unknown>>;
 export const NO_FIELDS: Fields = {};
 
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -5,15 +5,21 @@
  * of jobs (`finals/`) are kept forever and are read one by one.
  */
 export const LIVE = 'live/';
+/** Records of jobs that have not ended. */
 export const JOBS = 'live/jobs/';
+/** One record per shard: its holder, and its machines unless they are stored in pages. */
 export const SHARDS = 'live/shards/';
 /** Machine lists of shards that are stored in pages; keys end with `<shard>.<n>`. */
 export const PAGES = 'live/pages/';
+/** Registrations of controllers. */
 export const NODES = 'live/nodes/';
 /** The revision that a node's watch has reached, stored when the node can't tell its peers. */
 export const SEEN = 'live/seen/';
+/** The present leader. */
 export const LEADER = 'live/leader';
+/** Settings that operators can change at run time. */
 export const SETTINGS = 'live/settings';
+/** Machine types, as one controller has fetched them from the cloud for all. */
 export const TYPES = 'live/types';
 /** Finished tasks that a shard's holder has recorded beyond the job records, one key per shard. */
 export const PROGRESS = 'live/progress/';
--- a/src/state/watch-lag.ts
+++ b/src/state/watch-lag.ts
@@ -48,6 +48,7 @@
     );
   }
 
+  /** The lag at this time. */
   status(now: Millis): WatchLagStatus {
     const { seenUpTo, newest, firstMissing } = this;
     return { seenUpTo, newest, behindMs: firstMissing === null ? 0 : Math.round(now - firstMissing.since) };
--- a/src/workers/belief.ts
+++ b/src/workers/belief.ts
@@ -75,6 +75,7 @@
   lastHeardAt: Millis;
   /** When a report was last applied. Answers to commands don't show whether the worker can renew its lease. */
   lastReportAt: Millis;
+  /** Number of changes to what may be on the machine. */
   private changes = 0;
   /** Stale messages since the last newer one. */
   private staleMessages = 0;
@@ -93,7 +94,7 @@
     this.lastReportAt = millis(now);
   }
 
-  /** A number that grows with every change to what may be on the machine. */
+  /** Grows with every change to what may be on the machine, so that callers can detect one. */
   get generation(): number {
     return this.changes;
   }
@@ -103,6 +104,7 @@
     if (!this.names(key)) this.index?.mentions.leave(key, this.index.machine);
   }
 
+  /** Adds a task to the index. */
   private addToIndex(key: TaskKey): void {
     this.index?.mentions.enter(key, this.index.machine);
   }
@@ -156,7 +158,7 @@
     return true;
   }
 
-  /** The newest known message; an answer to a command sent now must not precede it. */
+  /** The newest known message. The answer to a command sent now is newer, unless the worker has restarted. */
   get position(): MessagePosition {
     return { ...this.at, token: this.ackedToken };
   }
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -14,10 +14,10 @@
 export type ProbeNeed = 'nothing' | 'probe';
 
 /**
- * Decides whether this node can reach the workers. A single silent machine has failed itself. When all are silent for
- * as long as twelve reports should take, and the probed ones don't answer either, this node is cut off. Only time spent
- * listening counts, so that a process that was suspended for a minute doesn't take the network for failed. Pure: events
- * and times are passed in.
+ * Decides whether this node can reach the workers. A single silent machine is a fault of that machine. When all are
+ * silent for as long as twelve reports should take, and the probed ones don't answer either, this node is cut off. Only
+ * time spent listening counts, so that a process that was suspended for a minute doesn't take the network for failed.
+ * Pure: events and times are passed in.
  */
 export class WorkerReachability {
   private silenceMs = 0;
@@ -45,6 +45,7 @@
     this.lastCheckAt = millis(now);
     if (this.cutOff) return 'probe';
     if (machines < 2) return 'nothing';
+    // With few machines, this node must still notice that it is cut off before their leases end.
     const maxSilenceMs = 2.5 * reportMs + 1500;
     const silenceLimitMs = Math.max(
       MIN_SILENCE_MS,
--- a/src/workers/task-index.ts
+++ b/src/workers/task-index.ts
@@ -11,8 +11,8 @@
 const NO_MACHINES: ReadonlySet<MachineId> = new Set();
 
 /**
- * Index from tasks to the machines of a block that list them or have a start of them pending. Exited tasks
- * are included. It is queried for every start and for every job that ends, so a query must not iterate over the block.
+ * Index from tasks to the machines of a block that list them or have a start of them pending. Exited tasks are
+ * included. It is queried for every start and for every job that ends, so a query must not iterate over the block.
  */
 export class TaskIndex implements Mentions {
   private readonly jobs = new Map<JobId, Map<TaskKey, Set<MachineId>>>();
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -23,7 +23,8 @@
 /**
  * Wire format of the workers. Its names differ from ours: `drifter` is a machine, `tide` a session, `tally` a sequence
  * number, `helm` a fencing token, `piece` a task, `launch` an attempt, `hull` a machine type, `berth` a zone, `flotsam`
- * says that the machine is a spot machine, and `harbour` is the controller to report to.
+ * says that the machine is a spot machine, `recall_s` is the notice before the cloud reclaims it, `moor_s` the grace
+ * period of a stop, and `harbour` the controller to report to.
  */
 
 /** State of a task on its worker. */
--- a/test/belief.test.ts
+++ b/test/belief.test.ts
@@ -27,23 +27,27 @@
 class Simulation {
   readonly workers = [new StandInWorker('m0'), new StandInWorker('m1')];
   trackers: MachineBelief[] = [];
+  /** Machines that the present holder has not fenced yet. */
   unfenced = new Set<number>();
   packets: Packet[] = [];
+  /** Reports that are held back, to be delivered later. */
   late: { machine: number; message: WorkerMessage }[] = [];
   revision = 10;
   attempts = 0;
   now = 0;
+  /** When each worker's lease was last renewed. */
   readonly answeredAt = [0, 0];
   readonly restarted = new Set<number>();
   /** Machines whose lease is considered over and that have not been heard since: nothing is started there. */
   readonly lost = new Set<number>();
-  /** Machines in no block or in another holder's, while tasks that this holder started may run there. */
+  /** Machines in no block, or in another holder's, while tasks that this holder started may run there. */
   readonly missing = new Set<number>();
 
   constructor() {
     this.claim();
   }
 
+  /** A new holder claims the shard; commands of the old one may still arrive. */
   claim(): void {
     // Left out, because the guarantee does not hold there: a new holder doesn't know of machines that are missing from
     // the block (docs/incidents/ran-twice-pages.md).
@@ -55,6 +59,7 @@
     this.unfenced = new Set([0, 1]);
   }
 
+  /** The machine leaves the holder's block while its tasks may still run. */
   removeFromBlock(machine: number): void {
     this.missing.add(machine);
   }
@@ -70,6 +75,7 @@
     this.answeredAt[machine] = this.now;
   }
 
+  /** The machine returns to the holder's block. */
   back(machine: number): void {
     if (!this.missing.delete(machine)) return;
     this.revision += 1;
@@ -165,9 +171,10 @@
     this.answeredAt[machine] = this.now;
   }
 
+  /** The worker sends and receives nothing for longer than a lease. */
   silenceWorker(machine: number): void {
     this.now += LEASE_MS * 1.01 + 300;
-    // Left out, as the one case in which the guarantee does not hold: a command that is delayed for longer than a lease,
+    // Left out, because the guarantee does not hold there: a command that is delayed for longer than a lease,
     // to a machine that has restarted since and whose session number is the same again. See docs/architecture.md.
     this.packets = this.packets.filter((packet) => !this.restarted.has(packet.machine));
     for (const [index, worker] of this.workers.entries()) {
@@ -184,6 +191,7 @@
     }
   }
 
+  /** Asserts that every task is on at most one machine, and that no tracker of a fenced machine rules it out there. */
   check(): void {
     for (const key of KEYS) {
       const on = this.workers.filter((w) => w.isOn(key)).length;
