--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -138,6 +138,7 @@
     return started;
   }
 
+  /** Reads a key, once more after a 429. */
   private async read(key: string): Promise<ReadResult> {
     for (let tries = 0; tries < 2; tries++) {
       const answer = await this.send('GET', requestPaths.get(key));
@@ -323,7 +324,7 @@
     }
   }
 
-  /** Switches to the announced lower limits, which are in force as noticed here or reported by a peer. */
+  /** Switches to the lower limits, after this node or a peer has noticed that they are in force. */
   fallen(): void {
     if (this.limits.fallen) return;
     this.limits.lower();
@@ -334,6 +335,7 @@
     this.log.info({ writeRps: this.limits.writeRps }, "the state service's lower limits are in force");
   }
 
+  /** Sends a request and counts consecutive failures. */
   private async send(
     method: 'GET' | 'POST',
     path: string,
