--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -9,71 +9,78 @@
 } from '../kernel/index.js';
 import {
   decodeRentals,
-  decodeRented,
-  decodeTypes,
-  encodeRent,
-  encodeReturn,
+  decodeRentedIds,
+  decodeMachineTypes,
+  encodeRentRequest,
+  encodeReturnRequest,
   isNoCapacity,
-  paths,
+  cloudPaths,
   type MachineType,
   type Rental,
   type RentRequest,
 } from './wire.js';
 
+/** Result of a request to rent machines. */
 export type RentResult =
   | { readonly kind: 'rented'; readonly ids: readonly MachineId[] }
   | { readonly kind: 'no-capacity' }
-  /** Refused or unknown: machines may turn up in the list later. */
+  /** Refused, or of unknown outcome: the machines may still appear in a later list. */
   | { readonly kind: 'failed' };
 
-const TIMEOUT_MS = 3000;
+const CALL_TIMEOUT_MS = 3000;
 
-/** The cloud's client, held below its calls a second. */
+/** Client for the cloud API. A token bucket keeps it below the cloud's limit on calls per second. */
 export class CloudClient {
   private readonly http: HttpClient;
-  private allowance: number;
-  private allowanceAt: Millis;
+  /** Tokens in the bucket. */
+  private availableCalls: number;
+  private refilledAt: Millis;
 
   constructor(
     address: Address,
-    private readonly rps: number,
+    /** The cloud's limit on calls per second. */
+    private readonly maxCallsPerSecond: number,
     private readonly log: Logger,
     private readonly runtime: Runtime,
   ) {
     this.http = new HttpClient(address, 3, runtime);
-    this.allowance = rps;
-    this.allowanceAt = runtime.now();
+    this.availableCalls = maxCallsPerSecond;
+    this.refilledAt = runtime.now();
   }
 
-  /** True when a call may be made now; the caller comes back in its next round otherwise. */
+  /** Refills the bucket and returns whether a call may be made now; otherwise the caller retries in its next round. */
   mayCall(): boolean {
     const now = this.runtime.now();
-    const rate = this.rps * 0.8;
-    this.allowance = Math.min(rate, this.allowance + ((now - this.allowanceAt) / 1000) * rate);
-    this.allowanceAt = now;
-    return this.allowance >= 1;
+    // Tokens per second, and the capacity of the bucket: 80 % of the limit.
+    const rate = this.maxCallsPerSecond * 0.8;
+    this.availableCalls = Math.min(rate, this.availableCalls + ((now - this.refilledAt) / 1000) * rate);
+    this.refilledAt = now;
+    return this.availableCalls >= 1;
   }
 
+  /** Takes a token and makes the call, also when the bucket is empty. */
   private call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<Answer> {
     this.mayCall();
-    this.allowance -= 1;
-    return this.http.call({ method, path, timeoutMs: TIMEOUT_MS, ...(body === undefined ? {} : { body }) });
+    this.availableCalls -= 1;
+    return this.http.call({ method, path, timeoutMs: CALL_TIMEOUT_MS, ...(body === undefined ? {} : { body }) });
   }
 
+  /** Returns the machine types; null when the call fails. */
   async types(): Promise<MachineType[] | null> {
-    const answer = await this.call('GET', paths.types);
-    return answer.kind === 'answered' && answer.status === 200 ? decodeTypes(answer.body) : null;
+    const result = await this.call('GET', cloudPaths.types);
+    return result.kind === 'answered' && result.status === 200 ? decodeMachineTypes(result.body) : null;
   }
 
+  /** Returns all rented machines, page by page; null when a call fails. */
   async list(): Promise<Rental[] | null> {
     const all: Rental[] = [];
     let after = '';
     for (;;) {
-      const answer = await this.call('GET', paths.list(after));
-      if (answer.kind !== 'answered' || answer.status !== 200) return null;
-      const page = decodeRentals(answer.body);
+      const result = await this.call('GET', cloudPaths.list(after));
+      if (result.kind !== 'answered' || result.status !== 200) return null;
+      const page = decodeRentals(result.body);
       if (!page) {
-        this.log.warn('the cloud gave a machine list of no valid form');
+        this.log.warn('cloud returned a malformed machine list');
         return null;
       }
       all.push(...page.rentals);
@@ -83,20 +90,24 @@
     }
   }
 
+  /** Rents machines. */
   async rent(request: RentRequest): Promise<RentResult> {
-    const answer = await this.call('POST', paths.rentals, encodeRent(request));
-    if (answer.kind === 'answered' && answer.status === 200) {
-      const ids = decodeRented(answer.body);
+    const result = await this.call('POST', cloudPaths.rentals, encodeRentRequest(request));
+    if (result.kind === 'answered' && result.status === 200) {
+      const ids = decodeRentedIds(result.body);
       return ids ? { kind: 'rented', ids } : { kind: 'failed' };
     }
-    if (answer.kind === 'answered' && answer.status === 503 && isNoCapacity(answer.body))
+    if (result.kind === 'answered' && result.status === 503 && isNoCapacity(result.body))
       return { kind: 'no-capacity' };
     return { kind: 'failed' };
   }
 
-  /** True: these machines and everything on them are gone, whatever they were. */
+  /**
+   * Returns up to 100 machines to the cloud; further ids are ignored. True means that these machines and everything on
+   * them are gone, whatever their state was.
+   */
   async giveBack(ids: readonly MachineId[]): Promise<boolean> {
-    const answer = await this.call('POST', paths.giveBack, encodeReturn(ids.slice(0, 100)));
-    return answer.kind === 'answered' && answer.status === 200;
+    const result = await this.call('POST', cloudPaths.giveBack, encodeReturnRequest(ids.slice(0, 100)));
+    return result.kind === 'answered' && result.status === 200;
   }
 }
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -1,31 +1,41 @@
 import { asList, asNumber, asString, isObject, machineId, type MachineId } from '../kernel/index.js';
 
-/** The cloud's words. */
+/** Request and response bodies of the cloud API, translated from and to the cloud's own field names. */
+
+/** A type of machine for rent. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
+  /** Size of the image cache. */
   readonly cacheGb: number;
+  /** Image download rate. */
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
+  /** Time from the rental until the machine runs. */
   readonly bootS: number;
+  /** Zones in which the type is offered. */
   readonly zones: readonly string[];
 }
 
+/** State of a rented machine. */
 export type RentalPhase = 'booting' | 'running' | 'failed';
 
+/** A rented machine. */
 export interface Rental {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly phase: RentalPhase;
+  /** Time since the rental. */
   readonly ageS: number;
 }
 
-export function decodeTypes(body: unknown): MachineType[] | null {
+/** Decodes the machine types, skipping malformed ones; null when none is left. */
+export function decodeMachineTypes(body: unknown): MachineType[] | null {
   if (!isObject(body) || !Array.isArray(body['hulls'])) return null;
   const types: MachineType[] = [];
   for (const item of asList(body['hulls'])) {
@@ -51,6 +61,10 @@
   return types.length > 0 ? types : null;
 }
 
+/**
+ * Decodes a page of the machine list, skipping malformed entries; null when the page itself is malformed. An unknown
+ * phase counts as running.
+ */
 export function decodeRentals(body: unknown): { rentals: Rental[]; more: boolean } | null {
   if (!isObject(body) || !Array.isArray(body['drifters'])) return null;
   const rentals: Rental[] = [];
@@ -73,16 +87,19 @@
   return { rentals, more: body['truncated'] === true };
 }
 
+/** A request to rent machines of one type in one zone. */
 export interface RentRequest {
-  /** Never used twice, not even by another node. */
+  /** Name of the request, unique among all nodes and never reused. */
   readonly name: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** Number of machines. */
   readonly count: number;
 }
 
-export const encodeRent = (r: RentRequest): unknown => ({
+/** Encodes a request to rent machines. */
+export const encodeRentRequest = (r: RentRequest): unknown => ({
   charter: r.name,
   hull: r.type,
   berth: r.zone,
@@ -90,20 +107,25 @@
   number: r.count,
 });
 
-export function decodeRented(body: unknown): MachineId[] | null {
+/** Decodes the ids of newly rented machines; null when the body is malformed. */
+export function decodeRentedIds(body: unknown): MachineId[] | null {
   if (!isObject(body) || !Array.isArray(body['drifters'])) return null;
   return asList(body['drifters'])
     .filter((id): id is string => typeof id === 'string')
     .map(machineId);
 }
 
-export const encodeReturn = (ids: readonly MachineId[]): unknown => ({ drifters: ids });
+/** Encodes a request to return machines. */
+export const encodeReturnRequest = (ids: readonly MachineId[]): unknown => ({ drifters: ids });
 
+/** True for the error body that reports a lack of capacity. */
 export const isNoCapacity = (body: unknown): boolean => isObject(body) && body['error'] === 'no capacity';
 
-export const paths = {
+/** URL paths of the cloud API. */
+export const cloudPaths = {
   types: '/machine_types',
   rentals: '/rentals',
   giveBack: '/rentals/return',
+  /** A page of up to 500 rentals after the given machine id; the empty id selects the first page. */
   list: (after: string): string => `/rentals?most=500${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`,
 };
--- a/src/kernel/brands.ts
+++ b/src/kernel/brands.ts
@@ -1,26 +1,36 @@
-/** Ids, versions and times are types of their own, so that one cannot be passed for another. */
+/**
+ * Branded types for ids, versions and times: the compiler rejects one where another is expected. The functions with the
+ * same names in lower case tag a plain value and check nothing.
+ */
 declare const brand: unique symbol;
+/** A string or number that the compiler tells apart from others by its name. */
 export type Brand<T, Name extends string> = T & { readonly [brand]: Name };
 
+/** Name of a controller node. */
 export type NodeName = Brand<string, 'NodeName'>;
+/** Name of a shard. */
 export type ShardName = Brand<string, 'ShardName'>;
+/** Id of a rented machine. */
 export type MachineId = Brand<string, 'MachineId'>;
+/** Id of a job. */
 export type JobId = Brand<string, 'JobId'>;
-/** A task's name on the wire and in every map: job id, slash, index. */
+/** Key of a task on the wire and in maps: `<job id>/<task index>`. */
 export type TaskKey = Brand<string, 'TaskKey'>;
-/** One life of a controller process. */
+/** Identifies one run of a controller process; it changes with every restart. */
 export type Incarnation = Brand<string, 'Incarnation'>;
-/** Revision of the state service, and the version of a key. */
+/** Revision of the state service; a key's version is the revision of its last change. */
 export type Revision = Brand<number, 'Revision'>;
-/** A machine's fencing token. */
+/** Fencing token of a machine. */
 export type Token = Brand<number, 'Token'>;
+/** Attempt number of a task. */
 export type Attempt = Brand<number, 'Attempt'>;
-/** A worker's session and its message number inside it. */
+/** Number of a worker's session. */
 export type Session = Brand<number, 'Session'>;
+/** Number of a message within a worker's session. */
 export type Sequence = Brand<number, 'Sequence'>;
-/** Steady time in milliseconds. */
+/** Time of a process's monotonic clock in milliseconds. */
 export type Millis = Brand<number, 'Millis'>;
-/** Time of day in milliseconds since the epoch. */
+/** Wall-clock time in milliseconds since the Unix epoch. */
 export type WallMillis = Brand<number, 'WallMillis'>;
 
 export const nodeName = (s: string): NodeName => s as NodeName;
@@ -37,11 +47,11 @@
 export const wallMillis = (n: number): WallMillis => n as WallMillis;
 export const taskKey = (job: JobId, index: number): TaskKey => `${job}/${index}` as TaskKey;
 
-/** Splits a task's name; null when it has no valid form. */
+/** Splits a task key into job id and task index; returns null when it is malformed. */
 export function parseTaskKey(text: string): { job: JobId; index: number } | null {
-  const cut = text.lastIndexOf('/');
-  if (cut <= 0) return null;
-  const digits = text.slice(cut + 1);
+  const slash = text.lastIndexOf('/');
+  if (slash <= 0) return null;
+  const digits = text.slice(slash + 1);
   if (!/^\d{1,6}$/.test(digits)) return null;
-  return { job: text.slice(0, cut) as JobId, index: Number(digits) };
+  return { job: text.slice(0, slash) as JobId, index: Number(digits) };
 }
--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -1,10 +1,15 @@
 import type { Millis, WallMillis } from './brands.js';
 
-/** Time is handed in, so that decisions can be played in simulated time. */
+/** Source of time. It is injected so that decisions can run in simulated time. */
 export interface Clock {
+  /** Monotonic time. */
   now(): Millis;
+  /** Wall-clock time. */
   wall(): WallMillis;
 }
 
-/** Steady clocks of different machines drift apart by up to 0.05 %; twice that is our margin. */
+/**
+ * Lengthens a duration in milliseconds by the safety margin for clock drift. Monotonic clocks of
+ * different machines drift apart by up to 0.05 %; the margin of 0.2 % covers at least twice that.
+ */
 export const withDrift = (ms: number): number => ms * 1.002;
--- a/src/kernel/http.ts
+++ b/src/kernel/http.ts
@@ -1,29 +1,37 @@
-import { headEnd, joinChunks, readResponseHead, type ResponseHead } from './head.js';
+import { findHeadEnd, decodeChunkedBody, parseResponseHead, type ResponseHead } from './head.js';
 import type { Connection, Runtime } from './runtime.js';
 import type { SocketBudget } from './sockets.js';
 import { systemRuntime } from './system.js';
 
-/** What came of an outgoing request: an answer, or a failure whose effect is unknown when it was sent. */
+/**
+ * Result of an outgoing request. After a failure it is unknown whether the server has executed the request, unless the
+ * request was never sent.
+ */
 export type Answer =
   | { readonly kind: 'answered'; readonly status: number; readonly body: unknown; readonly retryAfterS: number | null }
   | { readonly kind: 'failed'; readonly reason: string };
 
+/** IPv4 address and port of a server. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
+/** An outgoing HTTP request. */
 export interface Call {
   readonly method: 'GET' | 'POST' | 'PATCH' | 'DELETE';
   readonly path: string;
+  /** Sent as JSON. */
   readonly body?: unknown;
-  /** Every request has a deadline: a silent machine gives no error. */
+  /** Every request has a timeout, because an unresponsive machine causes no error. */
   readonly timeoutMs: number;
+  /** Upper bound of the response, head included. */
   readonly maxBytes?: number;
 }
 
-const MAX_BYTES = 4 * 1024 * 1024;
+const DEFAULT_MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
+/** Parses `a.b.c.d:port`; returns null when the text is malformed. */
 export function parseAddress(text: string): Address | null {
   const match = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
   if (!match) return null;
@@ -31,29 +39,32 @@
   return port > 0 && port < 65536 ? { host: match[1] ?? '', port } : null;
 }
 
-interface Waiting {
+/** A request that waits for a connection or for its response. */
+interface PendingRequest {
+  /** The encoded request. */
   readonly text: string;
-  readonly maxBytes: number;
-  readonly finish: (answer: Answer) => void;
+  readonly maxResponseBytes: number;
+  /** Reports the result; every call but the first is ignored. */
+  readonly finish: (result: Answer) => void;
   done: boolean;
 }
 
 const failed = (reason: string): Answer => ({ kind: 'failed', reason });
 
-/** One connection: one request at a time. What breaks it fails its request; nothing is sent twice. */
-class Line {
+/** A connection that serves one request at a time. A connection error fails the request; it is never resent. */
+class ClientConnection {
   private readonly socket: Connection;
   private input: Buffer[] = [];
   private size = 0;
   private head: ResponseHead | undefined;
-  private current: Waiting | undefined;
+  private current: PendingRequest | undefined;
   private alive = true;
 
   constructor(
     address: Address,
     runtime: Runtime,
-    private readonly free: (line: Line) => void,
-    private readonly gone: (line: Line) => void,
+    private readonly onIdle: (connection: ClientConnection) => void,
+    private readonly onClosed: (connection: ClientConnection) => void,
   ) {
     this.socket = runtime.connect(address);
     this.socket.on('data', (chunk: Buffer) => this.onData(chunk));
@@ -62,11 +73,11 @@
     this.socket.on('end', () => this.onEnd());
   }
 
-  serves(request: Waiting): boolean {
+  isServing(request: PendingRequest): boolean {
     return this.current === request;
   }
 
-  send(request: Waiting): void {
+  send(request: PendingRequest): void {
     this.current = request;
     this.socket.write(request.text);
   }
@@ -75,7 +86,7 @@
     if (this.alive) {
       this.alive = false;
       this.socket.destroy();
-      this.gone(this);
+      this.onClosed(this);
     }
     const { current } = this;
     this.current = undefined;
@@ -84,120 +95,122 @@
 
   private onEnd(): void {
     if (this.current && this.head && this.head.length === null && !this.head.chunked) {
-      this.answer(Buffer.concat(this.input).subarray(this.head.bodyAt));
+      this.completeRequest(Buffer.concat(this.input).subarray(this.head.bodyOffset));
     }
-    this.end('answer cut off');
+    this.end('response ended early');
   }
 
   private onData(chunk: Buffer): void {
     const { current } = this;
     if (!current) {
-      this.end('an answer to nothing');
+      this.end('data received without a pending request');
       return;
     }
     this.input.push(chunk);
     this.size += chunk.length;
-    if (this.size > current.maxBytes) {
-      this.end('answer too long');
+    if (this.size > current.maxResponseBytes) {
+      this.end('response too large');
       return;
     }
-    // Long answers come in many pieces, which are joined once all are there.
-    if (this.head?.length != null && this.size < this.head.bodyAt + this.head.length) return;
+    // A long response arrives in many pieces, which are joined only once all have arrived.
+    if (this.head?.length != null && this.size < this.head.bodyOffset + this.head.length) return;
     const input = this.input.length === 1 ? chunk : Buffer.concat(this.input);
     if (this.input.length > 1) this.input = [input];
     if (!this.head) {
-      const end = headEnd(input);
+      const end = findHeadEnd(input);
       if (end < 0) return;
-      const head = readResponseHead(input, end);
+      const head = parseResponseHead(input, end);
       if (!head) {
-        this.end('not an HTTP answer');
+        this.end('not an HTTP response');
         return;
       }
       this.head = head;
     }
-    this.take(input, this.head);
+    this.parseBody(input, this.head);
   }
 
-  private take(input: Buffer, head: ResponseHead): void {
+  private parseBody(input: Buffer, head: ResponseHead): void {
     if (head.chunked) {
-      const joined = joinChunks(input.subarray(head.bodyAt));
-      if (joined === 'more') return;
-      if (joined === 'malformed') this.end('malformed chunks');
-      else this.answer(joined.body);
-    } else if (head.length !== null && input.length >= head.bodyAt + head.length) {
-      this.answer(input.subarray(head.bodyAt, head.bodyAt + head.length));
+      const decoded = decodeChunkedBody(input.subarray(head.bodyOffset));
+      if (decoded === 'more') return;
+      if (decoded === 'malformed') this.end('malformed chunked body');
+      else this.completeRequest(decoded.body);
+    } else if (head.length !== null && input.length >= head.bodyOffset + head.length) {
+      this.completeRequest(input.subarray(head.bodyOffset, head.bodyOffset + head.length));
     }
   }
 
-  private answer(body: Buffer): void {
+  private completeRequest(body: Buffer): void {
     const { current, head } = this;
     if (!current || !head) return;
     this.current = undefined;
     this.head = undefined;
     this.input = [];
     this.size = 0;
-    let answer: Answer;
+    let result: Answer;
     try {
       const value = body.length === 0 ? null : (JSON.parse(body.toString('utf8')) as unknown);
-      answer = { kind: 'answered', status: head.status, body: value, retryAfterS: head.retryAfterS };
+      result = { kind: 'answered', status: head.status, body: value, retryAfterS: head.retryAfterS };
     } catch {
-      answer = failed('answer is not JSON');
+      result = failed('response is not JSON');
     }
-    if (head.close) this.end('closed by the other side');
-    else this.free(this);
-    current.finish(answer);
+    if (head.close) this.end('connection closed by the server');
+    else this.onIdle(this);
+    current.finish(result);
   }
 }
 
 /**
- * A client for one remote address, with bounded connections that are kept open. Written on sockets:
- * a command to a worker and a change in the state service cost a fraction of what the http module's
- * objects cost, on a controller with a fraction of a core.
+ * HTTP client for one address with a bounded number of keep-alive connections. It works on sockets directly: a command to
+ * a worker and a write to the state service cost a fraction of what they cost with the objects of the http module, and a
+ * controller runs on a fraction of a core.
  */
 export class HttpClient {
-  private readonly idle: Line[] = [];
-  private readonly lines = new Set<Line>();
-  private readonly queue: Waiting[] = [];
+  private readonly idle: ClientConnection[] = [];
+  private readonly openConnections = new Set<ClientConnection>();
+  private readonly queue: PendingRequest[] = [];
 
   constructor(
     readonly address: Address,
     private readonly maxSockets: number,
     private readonly runtime: Runtime = systemRuntime,
-    /** Shared with the clients of other addresses. */
-    private readonly sockets?: SocketBudget,
+    /** Limit on open connections, shared with the clients of other addresses. */
+    private readonly socketBudget?: SocketBudget,
   ) {}
 
-  /** A connection stands, or is being opened. */
+  /** True when a connection is open or being opened. */
   get connected(): boolean {
-    return this.lines.size > 0;
+    return this.openConnections.size > 0;
   }
 
+  /** Fails all queued and running requests and closes all connections. */
   close(): void {
-    for (const waiting of this.queue.splice(0)) waiting.finish(failed('closed'));
-    for (const line of [...this.lines]) line.end('closed');
+    for (const pending of this.queue.splice(0)) pending.finish(failed('client closed'));
+    for (const connection of [...this.openConnections]) connection.end('client closed');
   }
 
+  /** Sends a request, or queues it until a connection is free. The promise never rejects. */
   call(call: Call): Promise<Answer> {
     return new Promise((resolve) => {
-      const waiting: Waiting = {
+      const pending: PendingRequest = {
         text: this.encode(call),
-        maxBytes: call.maxBytes ?? MAX_BYTES,
+        maxResponseBytes: call.maxBytes ?? DEFAULT_MAX_RESPONSE_BYTES,
         done: false,
-        finish: (answer) => {
-          if (waiting.done) return;
-          waiting.done = true;
+        finish: (result) => {
+          if (pending.done) return;
+          pending.done = true;
           timer.cancel();
-          resolve(answer);
+          resolve(result);
         },
       };
       const timer = this.runtime.after(call.timeoutMs, () => {
-        const line = [...this.lines].find((candidate) => candidate.serves(waiting));
-        waiting.finish(failed('timeout'));
-        // Its answer may still come: the connection can't be used for another.
-        line?.end('timeout');
+        const connection = [...this.openConnections].find((candidate) => candidate.isServing(pending));
+        pending.finish(failed('timeout'));
+        // The response may still arrive, so the connection cannot serve another request.
+        connection?.end('timeout');
       });
-      this.queue.push(waiting);
-      this.pump();
+      this.queue.push(pending);
+      this.dispatch();
     });
   }
 
@@ -208,53 +221,58 @@
     return `${head}content-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`;
   }
 
-  private pump(): void {
+  private dispatch(): void {
     while (this.queue.length > 0) {
-      const line = this.idle.pop() ?? this.open();
-      if (!line) return;
+      const connection = this.idle.pop() ?? this.openConnection();
+      if (!connection) return;
       const next = this.queue.shift();
       if (next && !next.done) {
-        this.sockets?.works(line);
-        line.send(next);
-      } else this.rest(line);
+        this.socketBudget?.markBusy(connection);
+        connection.send(next);
+      } else this.release(connection);
     }
   }
 
-  private open(): Line | undefined {
-    if (this.lines.size >= this.maxSockets) return undefined;
-    const line = new Line(
+  private openConnection(): ClientConnection | undefined {
+    if (this.openConnections.size >= this.maxSockets) return undefined;
+    const connection = new ClientConnection(
       this.address,
       this.runtime,
-      (free) => {
-        this.rest(free);
-        this.pump();
+      (idle) => {
+        this.release(idle);
+        this.dispatch();
       },
-      (gone) => {
-        this.lines.delete(gone);
-        this.sockets?.closed(gone);
-        const at = this.idle.indexOf(gone);
-        if (at >= 0) this.idle.splice(at, 1);
-        this.pump();
+      (closed) => {
+        this.openConnections.delete(closed);
+        this.socketBudget?.recordClosed(closed);
+        const index = this.idle.indexOf(closed);
+        if (index >= 0) this.idle.splice(index, 1);
+        this.dispatch();
       },
     );
-    this.lines.add(line);
-    this.sockets?.opened();
-    return line;
+    this.openConnections.add(connection);
+    this.socketBudget?.recordOpened();
+    return connection;
   }
 
-  private rest(line: Line): void {
-    this.idle.push(line);
-    this.sockets?.rests(line);
+  private release(connection: ClientConnection): void {
+    this.idle.push(connection);
+    this.socketBudget?.markIdle(connection);
   }
 }
 
-/** Reads of untrusted JSON: a field of the wrong kind is undefined, never a thrown error. */
+/** An untrusted JSON object. The functions below read its fields: a value of the wrong type never throws. */
 export type JsonObject = Record<string, unknown>;
+/** True for a JSON object, false for null and arrays. */
 export const isObject = (value: unknown): value is JsonObject =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
+/** Returns a string, or undefined for any other value. */
 export const asString = (value: unknown): string | undefined => (typeof value === 'string' ? value : undefined);
+/** Returns a finite number, or undefined for any other value. */
 export const asNumber = (value: unknown): number | undefined =>
   typeof value === 'number' && Number.isFinite(value) ? value : undefined;
+/** Returns a non-negative safe integer, or undefined for any other value. */
 export const asCount = (value: unknown): number | undefined =>
   typeof value === 'number' && Number.isSafeInteger(value) && value >= 0 ? value : undefined;
+/** Returns an array; any other value counts as an empty one. */
 export const asList = (value: unknown): readonly unknown[] => (Array.isArray(value) ? value : []);
--- a/src/kernel/index.ts
+++ b/src/kernel/index.ts
@@ -1,3 +1,4 @@
+/** Building blocks that all other modules share: types, time, sockets, HTTP, logging and reconcile loops. */
 export * from './brands.js';
 export * from './bits.js';
 export * from './clock.js';
--- a/src/kernel/lane.ts
+++ b/src/kernel/lane.ts
@@ -1,24 +1,27 @@
-import { headEnd, readHead, type RequestHead } from './head.js';
+import { findHeadEnd, parseRequestHead, type RequestHead } from './head.js';
 import type { Connection } from './runtime.js';
 
-/** What the lane serves itself; null leaves the request to the router. */
+/** Response of a handler on the fast path. */
 export interface LaneAnswer {
   readonly status: number;
+  /** The JSON body. */
   readonly text: string;
   readonly retryAfterS?: number;
 }
+/** Serves one request on the fast path; the promise must not reject. */
 export type LaneHandler = (head: RequestHead, body: Buffer) => LaneAnswer | Promise<LaneAnswer>;
 
-const MAX_HEAD = 8 * 1024;
-/** What may wait behind an answer that is not there yet: clients don't pipeline. */
-const MAX_WAITING = 128 * 1024;
-/** A client that takes no answers is not answered for ever. */
-const MAX_UNSENT = 256 * 1024;
-const IDLE_MS = 120_000;
-const HALF_A_REQUEST_MS = 30_000;
-const NOTHING = Buffer.alloc(0);
-
-const REASONS: Record<number, string> = {
+const MAX_HEAD_BYTES = 8 * 1024;
+/** Input that may queue up behind a pending response; clients are not expected to pipeline. */
+const MAX_PENDING_INPUT_BYTES = 128 * 1024;
+/** A client that does not read its responses is disconnected beyond this. */
+const MAX_UNSENT_BYTES = 256 * 1024;
+const IDLE_TIMEOUT_MS = 120_000;
+/** How long the rest of a partially received request may take. */
+const PARTIAL_REQUEST_TIMEOUT_MS = 30_000;
+const EMPTY_BUFFER = Buffer.alloc(0);
+
+const STATUS_TEXTS: Record<number, string> = {
   200: 'OK',
   201: 'Created',
   400: 'Bad Request',
@@ -28,50 +31,55 @@
   503: 'Service Unavailable',
 };
 
-/** One write for the whole answer: each packet and each call costs. */
-export function formatAnswer({ status, text, retryAfterS }: LaneAnswer, close: boolean): string {
-  const again = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
+/** Formats head and body as one string: one write costs fewer packets and calls than two. */
+export function formatResponse({ status, text, retryAfterS }: LaneAnswer, close: boolean): string {
+  const retryAfterHeader = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
   return (
-    `HTTP/1.1 ${status} ${REASONS[status] ?? 'Status'}\r\ncontent-type: application/json\r\n` +
-    `${again}${close ? 'connection: close\r\n' : ''}content-length: ${Buffer.byteLength(text)}\r\n\r\n${text}`
+    `HTTP/1.1 ${status} ${STATUS_TEXTS[status] ?? 'Status'}\r\ncontent-type: application/json\r\n` +
+    `${retryAfterHeader}${close ? 'connection: close\r\n' : ''}content-length: ${Buffer.byteLength(text)}\r\n\r\n${text}`
   );
 }
 
 /**
- * The short way for requests that come hundreds of times a second: a plain request, on a path that
- * `find` knows, is cut out of the stream and answered without the http module's objects, which cost
- * several times the answer. Whatever is not plain (another path, a body in chunks) goes on through
- * the http module, this connection's later requests included.
+ * The server side of a connection on the fast path, for requests that arrive hundreds of times a second. A plain request
+ * with a handler is parsed from the stream and answered without the objects of the http module, which cost several times
+ * as much as the response itself. The first other request (another path, a chunked body) hands the connection over to the
+ * http module, together with all later requests on it.
  */
 export class Lane {
-  private input: Buffer = NOTHING;
+  private input: Buffer = EMPTY_BUFFER;
   private head: RequestHead | undefined;
   private busy = false;
   private closing = false;
 
   private constructor(
     private readonly socket: Connection,
-    private readonly find: (head: RequestHead) => LaneHandler | undefined,
-    private readonly maxBody: number,
+    private readonly findHandler: (head: RequestHead) => LaneHandler | undefined,
+    private readonly maxBodyBytes: number,
     private readonly handOver: (socket: Connection, unread: Buffer) => void,
   ) {}
 
+  /**
+   * Serves a new connection.
+   * @param findHandler returns the handler of a request, or undefined when the http module serves it
+   * @param handOver receives the connection and its unread input when the http module takes it over
+   */
   static serve(
     socket: Connection,
-    find: (head: RequestHead) => LaneHandler | undefined,
-    maxBody: number,
+    findHandler: (head: RequestHead) => LaneHandler | undefined,
+    maxBodyBytes: number,
     handOver: (socket: Connection, unread: Buffer) => void,
   ): Lane {
-    const lane = new Lane(socket, find, maxBody, handOver);
-    socket.on('data', lane.onData);
-    socket.on('end', lane.onEnd);
-    socket.on('error', lane.onError);
-    socket.on('timeout', lane.onTimeout);
-    socket.setTimeout(IDLE_MS);
-    return lane;
+    const connection = new Lane(socket, findHandler, maxBodyBytes, handOver);
+    socket.on('data', connection.onData);
+    socket.on('end', connection.onEnd);
+    socket.on('error', connection.onError);
+    socket.on('timeout', connection.onTimeout);
+    socket.setTimeout(IDLE_TIMEOUT_MS);
+    return connection;
   }
 
-  /** Nothing is being read or answered. */
+  /** True when no request is being received or served. */
   get resting(): boolean {
     return !this.busy && this.input.length === 0;
   }
@@ -92,13 +100,13 @@
   private readonly onData = (chunk: Buffer): void => {
     this.input = this.input.length === 0 ? chunk : Buffer.concat([this.input, chunk]);
     if (this.busy) {
-      if (this.input.length > MAX_WAITING) this.socket.destroy();
+      if (this.input.length > MAX_PENDING_INPUT_BYTES) this.socket.destroy();
       return;
     }
-    this.next();
+    this.processInput();
   };
 
-  private leave(): void {
+  private handOverToHttp(): void {
     const { socket } = this;
     socket.off('data', this.onData);
     socket.off('end', this.onEnd);
@@ -106,66 +114,66 @@
     socket.off('timeout', this.onTimeout);
     socket.setTimeout(0);
     const unread = this.input;
-    this.input = NOTHING;
+    this.input = EMPTY_BUFFER;
     this.handOver(socket, unread);
   }
 
-  /** Serves what has come in as far as it is whole. */
-  private next(): void {
+  /** Serves the complete requests in the input, until one of them has no response yet. */
+  private processInput(): void {
     while (!this.busy && !this.closing && this.input.length > 0) {
       if (!this.head) {
-        const end = headEnd(this.input);
+        const end = findHeadEnd(this.input);
         if (end < 0) {
-          if (this.input.length > MAX_HEAD) this.leave();
-          else this.waitForMore();
+          if (this.input.length > MAX_HEAD_BYTES) this.handOverToHttp();
+          else this.awaitMoreInput();
           return;
         }
-        const head = readHead(this.input, end);
-        if (!head || head.length > this.maxBody || !this.find(head)) {
-          this.leave();
+        const head = parseRequestHead(this.input, end);
+        if (!head || head.length > this.maxBodyBytes || !this.findHandler(head)) {
+          this.handOverToHttp();
           return;
         }
         this.head = head;
       }
       const { head } = this;
-      const whole = head.bodyAt + head.length;
-      if (this.input.length < whole) {
-        this.waitForMore();
+      const requestEnd = head.bodyOffset + head.length;
+      if (this.input.length < requestEnd) {
+        this.awaitMoreInput();
         return;
       }
-      const body = this.input.subarray(head.bodyAt, whole);
-      this.input = this.input.length === whole ? NOTHING : this.input.subarray(whole);
+      const body = this.input.subarray(head.bodyOffset, requestEnd);
+      this.input = this.input.length === requestEnd ? EMPTY_BUFFER : this.input.subarray(requestEnd);
       this.head = undefined;
-      this.serveOne(head, body);
+      this.handleRequest(head, body);
     }
   }
 
-  private waitForMore(): void {
-    this.socket.setTimeout(HALF_A_REQUEST_MS);
+  private awaitMoreInput(): void {
+    this.socket.setTimeout(PARTIAL_REQUEST_TIMEOUT_MS);
   }
 
-  private serveOne(head: RequestHead, body: Buffer): void {
+  private handleRequest(head: RequestHead, body: Buffer): void {
     if (head.close) this.closing = true;
-    const answer = this.find(head)?.(head, body);
-    if (!(answer instanceof Promise)) {
-      if (answer) this.send(answer);
+    const response = this.findHandler(head)?.(head, body);
+    if (!(response instanceof Promise)) {
+      if (response) this.send(response);
       return;
     }
     this.busy = true;
-    void answer.then((later) => {
+    void response.then((resolved) => {
       this.busy = false;
-      this.send(later);
-      this.next();
+      this.send(resolved);
+      this.processInput();
     });
   }
 
-  private send(answer: LaneAnswer): void {
+  private send(response: LaneAnswer): void {
     const { socket } = this;
     if (socket.destroyed) return;
-    if (socket.timeout !== IDLE_MS) socket.setTimeout(IDLE_MS);
-    const text = formatAnswer(answer, this.closing);
+    if (socket.timeout !== IDLE_TIMEOUT_MS) socket.setTimeout(IDLE_TIMEOUT_MS);
+    const text = formatResponse(response, this.closing);
     if (this.closing) socket.end(text);
     else socket.write(text);
-    if (socket.writableLength > MAX_UNSENT) socket.destroy();
+    if (socket.writableLength > MAX_UNSENT_BYTES) socket.destroy();
   }
 }
--- a/src/kernel/loop.ts
+++ b/src/kernel/loop.ts
@@ -2,69 +2,74 @@
 import type { Logger } from './logger.js';
 import type { Runtime } from './runtime.js';
 
-const MOST_REST_MS = 160;
+/** Upper bound of the pause after a round. */
+const MAX_PAUSE_MS = 160;
 
 /**
- * A reconcile loop: works out the difference between what is wanted and what is, every `everyMs`
- * and soon after a nudge. Rounds never overlap, and a round that fails is logged, never fatal.
+ * Runs a reconcile function every `intervalMs` and soon after each trigger. Rounds never overlap. A round that fails is
+ * logged and does not stop the loop.
  */
 export class ReconcileLoop {
-  private readonly nudges = new Subject<void>();
+  private readonly triggers = new Subject<void>();
   private subscription: Subscription | undefined;
   private busy = false;
-  private again = false;
+  private rerunRequested = false;
 
   constructor(
     private readonly name: string,
-    private readonly everyMs: number,
+    private readonly intervalMs: number,
     private readonly runtime: Runtime,
     private readonly log: Logger,
     private readonly round: () => Promise<void> | void,
-    private readonly settleMs = 20,
-    /** After a round, so many times its length belongs to everything else, whatever nudges. */
-    private readonly restFactor = 0,
+    /** Triggers within this time of each other are combined. */
+    private readonly throttleMs = 20,
+    /** Pause after a round as a multiple of its duration, which leaves the CPU to other work; triggers wait for it. */
+    private readonly pauseFactor = 0,
   ) {}
 
+  /** Starts the loop; the first round runs after one interval or at the first trigger. */
   start(): void {
     const { scheduler } = this.runtime;
-    const ticks = interval(this.everyMs, scheduler);
-    const nudged = this.nudges.pipe(throttleTime(this.settleMs, scheduler, { leading: true, trailing: true }));
-    this.subscription = merge(ticks, nudged)
+    const ticks = interval(this.intervalMs, scheduler);
+    const triggered = this.triggers.pipe(throttleTime(this.throttleMs, scheduler, { leading: true, trailing: true }));
+    this.subscription = merge(ticks, triggered)
       .pipe(
         concatMap(() => {
           if (this.busy) {
-            this.again = true;
+            this.rerunRequested = true;
             return EMPTY;
           }
-          return from(this.once()).pipe(catchError(() => EMPTY));
+          return from(this.runRound()).pipe(catchError(() => EMPTY));
         }),
       )
       .subscribe();
   }
 
+  /** Requests a round soon, or another one after the round that is running. */
   nudge(): void {
-    if (this.busy) this.again = true;
-    else this.nudges.next();
+    if (this.busy) this.rerunRequested = true;
+    else this.triggers.next();
   }
 
+  /** Stops the loop; a round that is running is not interrupted. */
   stop(): void {
     this.subscription?.unsubscribe();
     this.subscription = undefined;
   }
 
-  private async once(): Promise<void> {
+  private async runRound(): Promise<void> {
     this.busy = true;
-    this.again = false;
-    const began = this.runtime.now();
+    this.rerunRequested = false;
+    const startedAt = this.runtime.now();
     try {
       await this.round();
-      const restMs = Math.min(MOST_REST_MS, (this.runtime.now() - began) * this.restFactor);
-      if (restMs > this.settleMs) await this.runtime.sleep(restMs);
+      const pauseMs = Math.min(MAX_PAUSE_MS, (this.runtime.now() - startedAt) * this.pauseFactor);
+      if (pauseMs > this.throttleMs) await this.runtime.sleep(pauseMs);
     } catch (error) {
-      this.log.error({ err: error, loop: this.name }, 'a reconcile round failed');
+      this.log.error({ err: error, loop: this.name }, 'reconcile round failed');
     } finally {
       this.busy = false;
     }
-    if (this.again && this.subscription) this.nudges.next();
+    if (this.rerunRequested && this.subscription) this.triggers.next();
   }
 }
--- a/src/kernel/runtime.ts
+++ b/src/kernel/runtime.ts
@@ -2,60 +2,66 @@
 import type { SchedulerLike } from 'rxjs';
 import type { Clock } from './clock.js';
 
-/** What is used of a TCP connection. `net.Socket` is one; a simulated network has its own. */
+/** The part of a TCP connection that the program uses, implemented by `net.Socket` and by simulated networks. */
 export interface Connection extends Duplex {
-  /** Milliseconds of silence until 'timeout'; 0 or undefined: none. */
+  /** Milliseconds of inactivity until 'timeout' is emitted; 0 or undefined disables it. */
   readonly timeout?: number | undefined;
-  /** The other side's IP number, where it is known. */
+  /** IP address of the remote end, when it is known. */
   readonly remoteAddress?: string | undefined;
   setTimeout(ms: number, callback?: () => void): this;
   setNoDelay(on?: boolean): this;
 }
 
+/** Host and port of a TCP endpoint. */
 export interface Endpoint {
   readonly host: string;
   readonly port: number;
 }
 
+/** Address, limits and callbacks of a TCP listener. */
 export interface ListenOptions extends Endpoint {
-  /** Connections beyond this are closed at once; undefined: no bound. */
+  /** Connections beyond this number are closed immediately; undefined sets no limit. */
   readonly maxConnections?: number;
-  /** The other side's end leaves this side open until it ends itself. */
+  /** Keeps this side of a connection open after the remote end has closed its own. */
   readonly allowHalfOpen?: boolean;
   readonly accept: (connection: Connection) => void;
+  /** Called when the listener fails. */
   readonly failed: (error: Error) => void;
 }
 
+/** A TCP listener. */
 export interface Listening {
-  /** The port that it listens on, which the system chooses for port 0. */
+  /** Resolves to the port; the system chooses one for port 0. */
   readonly ready: Promise<number>;
-  /** Takes no more connections; open ones stay. */
+  /** Accepts no more connections; open ones stay open. */
   close(): void;
 }
 
-/** A timer that can be called off; of which kind it is only its runtime knows. */
+/** A timer of a runtime, which can be cancelled. */
 export interface Timer {
   readonly cancel: () => void;
 }
 
 /**
- * Everything that a process gets from the machine it runs on: time, timers, luck and sockets. The
- * service reaches for none of them past this, so that whole controllers run unchanged in simulated
- * time on a simulated network. `systemRuntime` is the machine's own.
+ * What a process gets from its host: time, timers, random numbers and sockets. The service uses them only through this
+ * interface, so that whole controllers run unchanged in simulated time on a simulated network. `systemRuntime` is the
+ * implementation for a real host.
  */
 export interface Runtime extends Clock {
-  /** Calls once after so many milliseconds of steady time. */
-  after(ms: number, work: () => void): Timer;
-  /** Calls again and again until cancelled. */
-  every(ms: number, work: () => void): Timer;
+  /** Calls back once after `ms` milliseconds of monotonic time. */
+  after(ms: number, callback: () => void): Timer;
+  /** Calls back every `ms` milliseconds until cancelled. */
+  every(ms: number, callback: () => void): Timer;
+  /** Resolves after `ms` milliseconds. */
   sleep(ms: number): Promise<void>;
-  /** For rxjs operators that take time. */
+  /** Scheduler for rxjs operators that depend on time. */
   readonly scheduler: SchedulerLike;
-  /** Evenly between 0 and 1, 1 excluded. */
+  /** Returns a uniformly distributed number from 0 (inclusive) to 1 (exclusive). */
   random(): number;
-  /** A text that no other process and no other life of this one has: 16 hexadecimal digits. */
+  /** Returns 16 hexadecimal digits that are unique among all processes and all restarts of this one. */
   uniqueId(): string;
-  /** Opens a connection; 'connect' or 'error' follows, or nothing for as long as the network is silent. */
+  /** Opens a connection. It emits 'connect' or 'error', or neither while the network drops all packets. */
   connect(to: Endpoint): Connection;
+  /** Opens a TCP listener. */
   listen(options: ListenOptions): Listening;
 }
--- a/src/kernel/sockets.ts
+++ b/src/kernel/sockets.ts
@@ -1,43 +1,51 @@
-/** A connection that can be closed when it serves nobody. */
+/** A connection that the budget may close while it is idle. */
 export interface Closable {
+  /** Closes the connection; a request on it fails with `reason`. */
   end(reason: string): void;
 }
 
 /**
- * How many connections a process opens to many others at once. Beyond `most`, the connection that has been
- * idle longest is closed for a new one; when none is idle, there is no room until one is. Without it a
- * controller that takes over its peers' machines runs out of sockets, and takes healthy machines for silent.
+ * Limits the number of connections that a process has open to many machines at once. Beyond `most`, the connection that
+ * has been idle longest is closed for a new one; while none is idle, no connection can be opened. Without the limit, a
+ * controller that takes over the machines of its peers runs out of sockets and treats healthy machines as unresponsive.
  */
 export class SocketBudget {
-  private open = 0;
-  /** Longest idle first. */
+  private openCount = 0;
+  /** Idle connections, longest idle first. */
   private readonly idle = new Set<Closable>();
 
-  constructor(readonly most: number) {}
+  constructor(
+    /** Maximum number of open connections. */
+    readonly most: number,
+  ) {}
 
-  /** May another connection be opened now? */
+  /** True when another connection may be opened now. */
   get room(): boolean {
-    return this.open < this.most || this.idle.size > 0;
+    return this.openCount < this.most || this.idle.size > 0;
   }
 
-  opened(): void {
-    this.open += 1;
-    if (this.open <= this.most) return;
-    const [longest] = this.idle;
-    longest?.end('closed for another');
+  /** Counts a new connection and closes the longest idle one when the budget is exceeded. */
+  recordOpened(): void {
+    this.openCount += 1;
+    if (this.openCount <= this.most) return;
+    const [longestIdle] = this.idle;
+    longestIdle?.end('closed to stay within the socket budget');
   }
 
-  closed(line: Closable): void {
-    this.open -= 1;
-    this.idle.delete(line);
+  /** Removes a closed connection from the count. */
+  recordClosed(connection: Closable): void {
+    this.openCount -= 1;
+    this.idle.delete(connection);
   }
 
-  rests(line: Closable): void {
-    this.idle.delete(line);
-    this.idle.add(line);
+  /** Marks a connection as idle from now on: it may be closed for another. */
+  markIdle(connection: Closable): void {
+    this.idle.delete(connection);
+    this.idle.add(connection);
   }
 
-  works(line: Closable): void {
-    this.idle.delete(line);
+  /** Marks a connection as in use: it is not closed for another. */
+  markBusy(connection: Closable): void {
+    this.idle.delete(connection);
   }
 }
--- a/src/kernel/system.ts
+++ b/src/kernel/system.ts
@@ -19,16 +19,16 @@
   };
 }
 
-/** The machine's own time, luck and sockets. Nothing else in the core calls these. */
+/** The host's own clocks, timers, random numbers and sockets. No other module of the service uses them directly. */
 export const systemRuntime: Runtime = {
   now: () => millis(performance.now()),
   wall: () => wallMillis(Date.now()),
-  after: (ms, work) => {
-    const timer = setTimeout(work, ms);
+  after: (ms, callback) => {
+    const timer = setTimeout(callback, ms);
     return { cancel: () => clearTimeout(timer) };
   },
-  every: (ms, work) => {
-    const timer = setInterval(work, ms);
+  every: (ms, callback) => {
+    const timer = setInterval(callback, ms);
     return { cancel: () => clearInterval(timer) };
   },
   sleep: (ms) => new Promise((resolve) => setTimeout(resolve, ms)),
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -1,11 +1,12 @@
+/** Messages between controllers: frame format, message types and transport. */
 export {
   FrameError,
   FrameReader,
   FrameSplitter,
   FrameWriter,
-  MAX_FRAME,
-  OLDEST_VERSION,
-  VERSION as FRAME_VERSION,
+  MAX_FRAME_BYTES,
+  OLDEST_FRAME_VERSION,
+  LATEST_FRAME_VERSION as FRAME_VERSION,
 } from './codec.js';
 export * from './link.js';
 export * from './messages.js';
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -10,7 +10,7 @@
   Runtime,
   Timer,
 } from '../kernel/index.js';
-import { FrameSplitter, LENGTH_BYTES, OLDEST_VERSION, VERSION } from './codec.js';
+import { FrameSplitter, LENGTH_PREFIX_BYTES, OLDEST_FRAME_VERSION, LATEST_FRAME_VERSION } from './codec.js';
 import {
   decodeMessage,
   encodeMessage,
@@ -21,108 +21,123 @@
 } from './messages.js';
 import { FrameCounter, type FrameCount } from './traffic.js';
 
-/** What this node has sent to its peers and received from them. */
+/** Frames sent to and received from peers, by message kind. */
 export interface PeerTraffic {
   readonly sent: Readonly<Record<string, FrameCount>>;
   readonly received: Readonly<Record<string, FrameCount>>;
 }
 
-const MAX_BUFFERED = 2 * 1024 * 1024;
-const MAX_INCOMING = 32;
-const HELLO_EVERY_MS = 700;
+/** Beyond this much unsent data, frames to a peer are dropped. */
+const MAX_BUFFERED_BYTES = 2 * 1024 * 1024;
+const MAX_INCOMING_CONNECTIONS = 32;
+const HELLO_INTERVAL_MS = 700;
 const CONNECT_TIMEOUT_MS = 1500;
 
+/** Latest hello of a peer. */
 export interface PeerStatus extends PeerCondition {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
+  /** When the hello arrived. */
   readonly heardAt: Millis;
 }
 
+/** A message and the peer that sent it. */
 export interface Received {
   readonly from: NodeName;
   readonly message: PeerMessage;
 }
 
-interface Outgoing {
+/** A peer and the connection on which this node sends to it. */
+interface OutgoingConnection {
   readonly node: NodeName;
   readonly address: Address;
   socket: Connection | undefined;
+  /** The connection is established. */
   ready: boolean;
   /**
-   * The frame version of this connection: the oldest until its other end has said on it what it reads. Learned by
-   * connection and not by node, because another release may answer at the same address a moment later.
+   * Frame version of this connection: the oldest one until the peer announces on it which version it reads. It is kept
+   * for the connection and not for the node, because another release may soon answer at the same address.
    */
   version: number;
 }
 
-/** What a peer that was heard is, as far as this node knows. */
+/** Latest hello of a peer and the frame version of the connection to it. */
 export interface PeerView extends PeerStatus {
-  /** Of the frames that go to it now; null while there is no connection. */
+  /** Frame version used on the connection to the peer; null while there is none. */
   readonly frames: number | null;
 }
 
-/** Frames between controllers. We send on connections that we opened and receive on the others'. */
+/**
+ * Sends and receives frames between controllers. A node sends on the connections that it opened and receives on those
+ * that its peers opened, apart from the welcome, which the accepting side sends back.
+ */
 export class PeerLink {
   readonly received = new Subject<Received>();
-  private readonly peers: Outgoing[];
+  private readonly peers: OutgoingConnection[];
   private readonly status = new Map<NodeName, PeerStatus>();
-  private readonly waiting = new Map<number, (answer: { status: number; body: string } | null) => void>();
+  /** Requests to peers without an answer so far, by request id. */
+  private readonly pendingRequests = new Map<number, (answer: { status: number; body: string } | null) => void>();
   private server: Listening | undefined;
-  private incoming = 0;
-  private nextAsk = 1;
-  private timer: Timer | undefined;
-  private skipped = 0;
-  private readonly sent = new FrameCounter();
-  private readonly got = new FrameCounter();
+  private incomingCount = 0;
+  private nextRequestId = 1;
+  private helloTimer: Timer | undefined;
+  private skippedCount = 0;
+  private readonly sentFrames = new FrameCounter();
+  private readonly receivedFrames = new FrameCounter();
 
   constructor(
     private readonly self: NodeName,
     private readonly incarnation: Incarnation,
-    private readonly listenOn: Address,
+    private readonly listenAddress: Address,
     seeds: readonly { readonly node: NodeName; readonly address: Address }[],
-    private readonly condition: () => PeerCondition,
+    /** Returns the condition that this node announces in its hellos. */
+    private readonly getCondition: () => PeerCondition,
     private readonly runtime: Runtime,
     private readonly log: Logger,
   ) {
-    this.peers = seeds.map((seed) => ({ ...seed, socket: undefined, ready: false, version: OLDEST_VERSION }));
+    this.peers = seeds.map((seed) => ({ ...seed, socket: undefined, ready: false, version: OLDEST_FRAME_VERSION }));
   }
 
+  /** Starts listening, connects to all peers and sends hellos periodically. */
   start(): void {
     this.server = this.runtime.listen({
-      ...this.listenOn,
-      accept: (socket) => this.accept(socket),
-      failed: (error) => this.log.error({ err: error }, 'the peer listener failed'),
+      ...this.listenAddress,
+      accept: (socket) => this.acceptConnection(socket),
+      failed: (error) => this.log.error({ err: error }, 'peer listener failed'),
     });
-    this.tick();
-    this.timer = this.runtime.every(HELLO_EVERY_MS, () => this.tick());
+    this.connectAndSendHello();
+    this.helloTimer = this.runtime.every(HELLO_INTERVAL_MS, () => this.connectAndSendHello());
   }
 
+  /** Stops listening and closes the connections to all peers. */
   stop(): void {
-    this.timer?.cancel();
+    this.helloTimer?.cancel();
     this.server?.close();
     for (const peer of this.peers) peer.socket?.destroy();
   }
 
+  /** Names of all configured peers, connected or not. */
   get names(): readonly NodeName[] {
     return this.peers.map((peer) => peer.node);
   }
 
-  /** What a peer last said of itself, if that was lately. */
+  /** Returns the latest hello of a peer; null when it is older than `withinMs`. */
   statusOf(node: NodeName, withinMs = 3000): PeerStatus | null {
     const status = this.status.get(node);
     return status && this.runtime.now() - status.heardAt <= withinMs ? status : null;
   }
 
-  /** Frames of a version or kind that this program doesn't know; each was skipped. */
+  /** Number of frames skipped because their version or kind is unknown to this program. */
   get skippedFrames(): number {
-    return this.skipped;
+    return this.skippedCount;
   }
 
+  /** Frames sent and received since the process started. */
   get traffic(): PeerTraffic {
-    return { sent: this.sent.byKind, received: this.got.byKind };
+    return { sent: this.sentFrames.byKind, received: this.receivedFrames.byKind };
   }
 
-  /** All peers that were heard lately. */
+  /** Returns all peers that have sent a hello recently. */
   views(): PeerView[] {
     return this.peers.flatMap((peer) => {
       const status = this.statusOf(peer.node);
@@ -130,14 +145,18 @@
     });
   }
 
-  /** False: it wasn't written, for want of a connection or because the other end reads no such frame. */
+  /**
+   * Sends a message to a peer. Returns false when it was not written: there is no connection, too much data is buffered,
+   * the message cannot be encoded, or the peer's frame version lacks its kind.
+   */
   send(to: NodeName, message: PeerMessage): boolean {
     const peer = this.peers.find((p) => p.node === to);
     return peer !== undefined && isKindOf(message.kind, peer.version) && this.write(peer, message);
   }
 
+  /** Sends a message to all connected peers whose frame version has its kind. */
   broadcast(message: PeerMessage): void {
-    // Written once for each version that some peer reads.
+    // The message is encoded once per frame version in use.
     const frames = new Map<number, Buffer | undefined>();
     for (const peer of this.peers) {
       if (!this.canWrite(peer) || !isKindOf(message.kind, peer.version)) continue;
@@ -150,68 +169,69 @@
     try {
       return encodeMessage(message, version);
     } catch (error) {
-      this.log.warn({ err: error, kind: message.kind }, 'a frame could not be written');
+      this.log.warn({ err: error, kind: message.kind }, 'message could not be encoded as a frame');
       return undefined;
     }
   }
 
-  private canWrite(peer: Outgoing): boolean {
-    return peer.socket !== undefined && peer.ready && peer.socket.writableLength <= MAX_BUFFERED;
+  private canWrite(peer: OutgoingConnection): boolean {
+    return peer.socket !== undefined && peer.ready && peer.socket.writableLength <= MAX_BUFFERED_BYTES;
   }
 
-  /** Asks a peer to serve a user's request; null when no answer came in time. */
+  /** Forwards a user's request to a peer; resolves to null when it cannot be sent or no answer arrives in time. */
   ask(to: NodeName, op: AskOp, body: string, timeoutMs: number): Promise<{ status: number; body: string } | null> {
     return new Promise((resolve) => {
-      const id = this.nextAsk++ >>> 0;
+      const id = this.nextRequestId++ >>> 0;
       const timer = this.runtime.after(timeoutMs, () => {
-        this.waiting.delete(id);
+        this.pendingRequests.delete(id);
         resolve(null);
       });
-      this.waiting.set(id, (answer) => {
+      this.pendingRequests.set(id, (answer) => {
         timer.cancel();
-        this.waiting.delete(id);
+        this.pendingRequests.delete(id);
         resolve(answer);
       });
-      if (!this.send(to, { kind: 'ask', id, op, body })) this.waiting.get(id)?.(null);
+      if (!this.send(to, { kind: 'ask', id, op, body })) this.pendingRequests.get(id)?.(null);
     });
   }
 
-  /** Tells all peers at once what has changed about this node. */
+  /** Sends the current condition of this node to all peers without waiting for the next periodic hello. */
   greet(): void {
-    this.broadcast(this.hello());
+    this.broadcast(this.helloMessage());
   }
 
-  private write(peer: Outgoing, message: PeerMessage, frame = this.encode(message, peer.version)): boolean {
+  private write(peer: OutgoingConnection, message: PeerMessage, frame = this.encode(message, peer.version)): boolean {
     if (!frame || !this.canWrite(peer)) return false;
     peer.socket?.write(frame);
-    this.sent.note(message.kind, frame.length);
+    this.sentFrames.record(message.kind, frame.length);
     return true;
   }
 
-  private tick(): void {
+  /** Opens missing connections and sends a hello to every connected peer. */
+  private connectAndSendHello(): void {
     for (const peer of this.peers) {
-      if (!peer.socket) this.open(peer);
-      this.write(peer, this.hello());
+      if (!peer.socket) this.connectTo(peer);
+      this.write(peer, this.helloMessage());
     }
   }
 
-  private hello(): PeerMessage {
-    return { kind: 'hello', node: this.self, incarnation: this.incarnation, ...this.condition() };
+  private helloMessage(): PeerMessage {
+    return { kind: 'hello', node: this.self, incarnation: this.incarnation, ...this.getCondition() };
   }
 
-  private welcome(): PeerMessage {
-    return { kind: 'welcome', node: this.self, incarnation: this.incarnation, frames: VERSION };
+  private welcomeMessage(): PeerMessage {
+    return { kind: 'welcome', node: this.self, incarnation: this.incarnation, frames: LATEST_FRAME_VERSION };
   }
 
-  private open(peer: Outgoing): void {
+  private connectTo(peer: OutgoingConnection): void {
     const socket = this.runtime.connect(peer.address);
     peer.socket = socket;
-    peer.version = OLDEST_VERSION;
+    peer.version = OLDEST_FRAME_VERSION;
     const timer = this.runtime.after(CONNECT_TIMEOUT_MS, () => socket.destroy());
     socket.on('connect', () => {
       timer.cancel();
       peer.ready = true;
-      this.write(peer, this.hello());
+      this.write(peer, this.helloMessage());
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
@@ -219,35 +239,39 @@
       peer.ready = false;
       peer.socket = undefined;
     });
-    // A peer that was cut off leaves a connection that is silent for ever: nothing we wrote is taken.
+    // After a network partition the connection stays open but inactive, and nothing written to it is acknowledged.
     socket.setTimeout(15_000, () => socket.destroy());
-    this.read(socket, peer.node, (message) => {
-      if (message.kind === 'welcome') peer.version = Math.max(OLDEST_VERSION, Math.min(VERSION, message.frames));
+    this.readFrames(socket, peer.node, (message) => {
+      if (message.kind === 'welcome')
+        peer.version = Math.max(OLDEST_FRAME_VERSION, Math.min(LATEST_FRAME_VERSION, message.frames));
     });
   }
 
-  /** Takes in frames; what is malformed costs no more than this connection, what is unknown nothing. */
-  private read(socket: Connection, from: NodeName | undefined, take: (message: PeerMessage) => void): void {
+  /** Decodes incoming frames. A malformed frame closes the connection; a frame of an unknown version or kind is skipped. */
+  private readFrames(socket: Connection, from: NodeName | undefined, onMessage: (message: PeerMessage) => void): void {
     const splitter = new FrameSplitter();
-    let skipped = 0;
-    let name = from;
+    let skippedOnConnection = 0;
+    let peerName = from;
     socket.on('data', (chunk: Buffer) => {
       try {
         for (const frame of splitter.push(chunk)) {
           const message = decodeMessage(frame);
           if (message === null) {
-            this.skipped += 1;
-            if (skipped++ === 0)
-              this.log.info({ from: name, version: frame[0], kind: frame[1] }, 'a frame of a later release is skipped');
+            this.skippedCount += 1;
+            if (skippedOnConnection++ === 0)
+              this.log.info(
+                { from: peerName, version: frame[0], kind: frame[1] },
+                'a frame of a later release is skipped',
+              );
             continue;
           }
-          this.got.note(message.kind, frame.length + LENGTH_BYTES);
-          if (message.kind === 'hello') name = message.node;
-          take(message);
+          this.receivedFrames.record(message.kind, frame.length + LENGTH_PREFIX_BYTES);
+          if (message.kind === 'hello') peerName = message.node;
+          onMessage(message);
         }
       } catch (error) {
         this.log.warn(
-          { reason: error instanceof Error ? error.message : String(error), from: name },
+          { reason: error instanceof Error ? error.message : String(error), from: peerName },
           'a malformed frame was refused',
         );
         socket.destroy();
@@ -255,28 +279,47 @@
     });
   }
 
-  private accept(socket: Connection): void {
-    if (this.incoming >= MAX_INCOMING) {
+  private acceptConnection(socket: Connection): void {
+    if (this.incomingCount >= MAX_INCOMING_CONNECTIONS) {
       socket.destroy();
       return;
     }
-    this.incoming += 1;
+    this.incomingCount += 1;
     let from: NodeName | undefined;
-    this.read(socket, from, (message) => {
+    this.readFrames(socket, from, (message) => {
       if (message.kind === 'hello') {
-        if (from === undefined) socket.write(encodeMessage(this.welcome(), VERSION));
-        const { node, incarnation: life, stateOk, fit, leaving, release, features, limitsFallen } = message;
-        const said = { node, incarnation: life, stateOk, fit, leaving, release, features, limitsFallen };
+        if (from === undefined) socket.write(encodeMessage(this.welcomeMessage(), LATEST_FRAME_VERSION));
+        const {
+          node,
+          incarnation: senderIncarnation,
+          stateOk,
+          fit,
+          leaving,
+          release,
+          features,
+          limitsFallen,
+        } = message;
+        const condition = {
+          node,
+          incarnation: senderIncarnation,
+          stateOk,
+          fit,
+          leaving,
+          release,
+          features,
+          limitsFallen,
+        };
         from = node;
-        this.status.set(node, { ...said, heardAt: this.runtime.now() });
+        this.status.set(node, { ...condition, heardAt: this.runtime.now() });
       }
-      if (from === undefined) throw new Error('a frame before the greeting');
-      if (message.kind === 'answer') this.waiting.get(message.id)?.({ status: message.status, body: message.body });
+      if (from === undefined) throw new Error('frame received before the hello');
+      if (message.kind === 'answer')
+        this.pendingRequests.get(message.id)?.({ status: message.status, body: message.body });
       else this.received.next({ from, message });
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      this.incoming -= 1;
+      this.incomingCount -= 1;
     });
     socket.setTimeout(10_000, () => socket.destroy());
   }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -14,48 +14,60 @@
   type ShardName,
   type WallMillis,
 } from '../kernel/index.js';
-import { FrameError, FrameReader, FrameWriter, OLDEST_VERSION } from './codec.js';
+import { FrameError, FrameReader, FrameWriter, OLDEST_FRAME_VERSION } from './codec.js';
 
-/** What a holder tells the others about one machine of its block. */
+/** What the holder of a shard reports to its peers about one machine of the shard. */
 export interface MachineSummary {
   readonly id: MachineId;
+  /** Name of the machine type. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly freeCpus: number;
   readonly freeGpus: number;
   readonly freeMemoryGb: number;
-  /** What arrays take of it; services get that at once, unless the machine has accelerators. */
+  /** CPUs and memory used by array tasks, which yield them to services at once unless the machine has accelerators. */
   readonly yieldCpus: number;
   readonly yieldMemoryGb: number;
+  /** How long the machine has been idle. */
   readonly idleMs: number;
+  /** No task is on it, as far as the holder knows. */
   readonly empty: boolean;
+  /** Tasks can be started on it now. */
   readonly usable: boolean;
-  /** Everything there is gone or unreachable for good: to be given back. */
+  /** Everything on it is gone or unreachable for good, so it is to be returned to the cloud. */
   readonly lost: boolean;
+  /** It fails tasks. */
   readonly faulty: boolean;
+  /** Images in its cache. */
   readonly images: readonly string[];
 }
 
+/** Demand of a job that has unplaced tasks in a shard. */
 export interface DemandSummary {
   readonly job: JobId;
   readonly priority: number;
-  /** Tasks that found no room. */
+  /** Number of tasks for which there was no capacity. */
   readonly missing: number;
+  /** Number of running tasks. */
   readonly running: number;
+  /** Seconds until the job misses its next target. */
   readonly slackS: number;
+  /** Estimated run time of a task in seconds. */
   readonly estimateS: number;
-  /** What a task takes. */
+  /** CPUs and accelerators per task. */
   readonly cpus: number;
   readonly gpus: number;
 }
 
+/** Numbers of running and finished tasks of a job. */
 export interface RunningSummary {
   readonly job: JobId;
   readonly running: number;
   readonly done: number;
 }
 
+/** What the holder of a shard periodically reports to its peers. */
 export interface ShardSummary {
   readonly shard: ShardName;
   readonly holder: NodeName;
@@ -64,98 +76,127 @@
   readonly running: readonly RunningSummary[];
 }
 
+/** Kinds of user requests that are forwarded to a peer. */
 export type AskOp = 'submit' | 'query' | 'cancel';
-const OPS: readonly AskOp[] = ['submit', 'query', 'cancel'];
+/** An operation's index is its code in a frame. */
+const REQUEST_OPS: readonly AskOp[] = ['submit', 'query', 'cancel'];
 
-/** What a node says of itself with every greeting. */
+/** Condition of a node, which it announces with every hello. */
 export interface PeerCondition {
-  /** The state service answers it. */
+  /** The node gets responses from the state service. */
   readonly stateOk: boolean;
-  /** It reaches the workers, as far as it knows. */
+  /** The node reaches the workers, as far as it knows. */
   readonly fit: boolean;
-  /** It is about to be ended by its operator and takes nothing new. */
+  /** The node is draining: its operator is about to stop it, and it accepts no new work. */
   readonly leaving: boolean;
-  /** Grows with what a program speaks, stores and does; 1: from before there were releases. */
+  /** Release number, which grows with changes to protocol, stored data or behavior; 1 for programs without releases. */
   readonly release: number;
+  /** Names of the optional features that the node supports. */
   readonly features: readonly string[];
-  /** It has noticed that the state service's lower limits are in force. */
+  /** The node has detected that the lower limits of the state service are in force. */
   readonly limitsFallen: boolean;
 }
 
-/** What a greeting of version 2 says of whoever sends it. */
-const OLDEST: Pick<PeerCondition, 'leaving' | 'release' | 'features' | 'limitsFallen'> = {
+/** Values of the fields that a hello of version 2 lacks. */
+const VERSION_2_DEFAULTS: Pick<PeerCondition, 'leaving' | 'release' | 'features' | 'limitsFallen'> = {
   ...{ leaving: false, release: 1, features: [], limitsFallen: false },
 };
 
+/** A message between controllers; `kind` determines the frame kind. */
 export type PeerMessage =
+  /** Sent first on a new connection, then periodically and when the condition changes. */
   | ({ readonly kind: 'hello'; readonly node: NodeName; readonly incarnation: Incarnation } & PeerCondition)
   /**
-   * The first thing that whoever accepts a connection says on it: up to which frame version it reads. Programs that
-   * know version 2 alone never look at what comes back on a connection that they opened.
+   * Sent by the accepting side in response to the first hello: the latest frame version that it reads. Programs that know
+   * only version 2 never read from a connection that they opened.
    */
   | { readonly kind: 'welcome'; readonly node: NodeName; readonly incarnation: Incarnation; readonly frames: number }
+  /** Periodic report of a shard holder. */
   | { readonly kind: 'summary'; readonly summary: ShardSummary }
+  /** A job is cancelled; for peers that do not support 'withdrawn'. */
   | { readonly kind: 'cancelled'; readonly job: JobId }
-  /** The leader asks a holder to lease an empty machine to another shard; null: to let it go. */
+  /** The leader requests that a holder lease an empty machine to another shard, or release it when `to` is null. */
   | { readonly kind: 'transfer'; readonly machine: MachineId; readonly to: ShardName | null }
+  /** A user's request, forwarded as JSON to the node that can serve it. */
   | { readonly kind: 'ask'; readonly id: number; readonly op: AskOp; readonly body: string }
+  /** Response to the request with the same id: HTTP status and JSON body. */
   | { readonly kind: 'answer'; readonly id: number; readonly status: number; readonly body: string }
+  /** The sender has claimed the shard at `version`; the previous holder must stop sending commands for it. */
   | { readonly kind: 'standdown'; readonly shard: ShardName; readonly version: number }
+  /** Confirms 'standdown': the sender sends no more commands for the shard under a claim older than `version`. */
   | { readonly kind: 'stooddown'; readonly shard: ShardName; readonly version: number }
-  /** A job is stored as cancelled: a fact for ever, to be acted on without a read. Every holder says that it heard it. */
+  /**
+   * The job's record says that it is cancelled. This is final, so receivers act on it without reading the record. Every
+   * holder acknowledges it with 'heard'.
+   */
   | {
       readonly kind: 'withdrawn';
       readonly job: JobId;
+      /** Number of tasks that had finished. */
       readonly done: number;
-      /** Time of day in milliseconds; null: not known. */
+      /** Wall-clock time of the cancellation; null when unknown. */
       readonly at: WallMillis | null;
-      /** The revision at which that was stored. */
+      /** Revision at which the cancellation was stored. */
       readonly version: Revision;
     }
-  /** This life of the sender starts nothing of the job any more and stops what runs of it. */
+  /** Acknowledges 'withdrawn': this incarnation of the sender starts no more tasks of the job and stops running ones. */
   | { readonly kind: 'heard'; readonly job: JobId; readonly incarnation: Incarnation }
+  /** Periodic message to one peer. */
   | ({ readonly kind: 'word' } & Word)
-  /** What the holder of a shard says of limited teams, for shares of their limits. */
+  /** Usage and demand of teams with a limit in a shard, from which the shares of the limits are computed. */
   | {
       readonly kind: 'quota';
       readonly shard: ShardName;
+      /** Revision at which the sender claimed the shard. */
       readonly claimedAt: Revision;
       readonly teams: readonly QuotaNeed[];
     };
 
-/** What a shard uses of a team's limit, and what waits there. Amounts as cpus and accelerators. */
+/** Usage and demand of a team in a shard, in CPUs and accelerators. */
 export interface QuotaNeed {
   readonly team: string;
+  /** Used by everything of the team that may be on the shard's machines. */
   readonly useCpus: number;
   readonly useGpus: number;
+  /** Requested by all waiting tasks together. */
   readonly waitingCpus: number;
   readonly waitingGpus: number;
+  /** Must be available at once for the next start: the request of one task or of a whole gang. */
   readonly unitCpus: number;
   readonly unitGpus: number;
+  /** Priority of the job that starts next. */
   readonly priority: number;
+  /** How long that job has waited. */
   readonly waitedMs: number;
 }
 
-/** Who holds a shard, as the sender's mirror has it. */
-export interface ShardSeen {
+/** Holder of a shard as recorded in the sender's mirror of the state service. */
+export interface ObservedShardHolder {
   readonly shard: ShardName;
+  /** Version of the shard's key. */
   readonly version: number;
   readonly holder: NodeName;
+  /** Incarnation of the holder; empty when the shard is released. */
   readonly incarnation: Incarnation;
 }
 
-/** What a node says to one other again and again; dated by the other's own clock, so that one that comes late is old. */
+/**
+ * Periodic message to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can tell how old
+ * the message is at most, however late it arrives.
+ */
 export interface Word {
-  /** The sender's life, and its steady clock in milliseconds. */
   readonly incarnation: Incarnation;
+  /** The sender's monotonic clock in milliseconds. */
   readonly stamp: number;
-  /** The latest stamp that the sender has had of this receiver, and of which life; below 0: none. */
+  /** Latest stamp that the sender has received from this receiver; negative when there is none. */
   readonly echo: number;
+  /** Incarnation of the receiver that sent the echoed stamp. */
   readonly echoOf: Incarnation;
-  readonly shards: readonly ShardSeen[];
+  readonly shards: readonly ObservedShardHolder[];
 }
 
-const Kind = {
+/** Codes of the message kinds in frames. */
+const FrameKind = {
   hello: 1,
   summary: 2,
   cancelled: 3,
@@ -171,35 +212,39 @@
   quota: 13,
 } as const;
 
-/** Kinds that stand in no frame of version 2. */
-const SINCE_3: ReadonlySet<PeerMessage['kind']> = new Set(['withdrawn', 'heard', 'word', 'quota']);
+/** Message kinds that version 2 lacks. */
+const KINDS_SINCE_VERSION_3: ReadonlySet<PeerMessage['kind']> = new Set(['withdrawn', 'heard', 'word', 'quota']);
 
-/** May it be written in this version? */
+/** True when a frame version has this message kind. */
 export const isKindOf = (kind: PeerMessage['kind'], version: number): boolean =>
-  version > OLDEST_VERSION || !SINCE_3.has(kind);
+  version > OLDEST_FRAME_VERSION || !KINDS_SINCE_VERSION_3.has(kind);
 
-const KNOWN_KINDS: ReadonlySet<number> = new Set(Object.values(Kind));
+const KNOWN_FRAME_KINDS: ReadonlySet<number> = new Set(Object.values(FrameKind));
 
-const flags = (...bits: boolean[]): number => bits.reduce((sum, bit, i) => sum | (bit ? 1 << i : 0), 0);
+/** Packs booleans into an integer, the first one into the lowest bit. */
+const packFlags = (...bits: boolean[]): number => bits.reduce((sum, bit, i) => sum | (bit ? 1 << i : 0), 0);
 
-/** Writes a frame of a version that its reader is known to read. */
+/**
+ * Encodes a message as a frame. The receiver must be known to read the version. Throws a FrameError when the message
+ * exceeds a limit.
+ */
 export function encodeMessage(m: PeerMessage, version: number): Buffer {
-  const w = new FrameWriter(Kind[m.kind], version);
+  const w = new FrameWriter(FrameKind[m.kind], version);
   return w.record(() => encodeFields(m, w)).finish();
 }
 
 function encodeFields(m: PeerMessage, w: FrameWriter): FrameWriter {
   switch (m.kind) {
     case 'hello':
-      // Version 2 has no word for leaving: whoever is not fit is given nothing either.
-      if (!w.extends)
+      // Version 2 has no flag for leaving. A node that is not fit gets no work either, so it is announced as not fit.
+      if (!w.supportsExtensions)
         return w
           .text(m.node)
           .text(m.incarnation)
-          .u8(flags(m.stateOk, m.fit && !m.leaving));
+          .u8(packFlags(m.stateOk, m.fit && !m.leaving));
       w.text(m.node)
         .text(m.incarnation)
-        .u8(flags(m.stateOk, m.fit, m.leaving, m.limitsFallen));
+        .u8(packFlags(m.stateOk, m.fit, m.leaving, m.limitsFallen));
       return w.u32(m.release).texts(m.features);
     case 'welcome':
       return w.text(m.node).text(m.incarnation).u8(m.frames);
@@ -210,7 +255,7 @@
         w.text(x.id).text(x.type).text(x.zone);
         w.f64(x.freeCpus).f64(x.freeGpus).f64(x.freeMemoryGb).f64(x.idleMs);
         w.f64(x.yieldCpus).f64(x.yieldMemoryGb);
-        w.u8(flags(x.spot, x.empty, x.usable, x.lost, x.faulty));
+        w.u8(packFlags(x.spot, x.empty, x.usable, x.lost, x.faulty));
         w.texts(x.images);
       });
       w.items(s.demand, (d) =>
@@ -232,7 +277,7 @@
     case 'transfer':
       return w.text(m.machine).text(m.to ?? '');
     case 'ask':
-      return w.u32(m.id).u8(OPS.indexOf(m.op)).text(m.body);
+      return w.u32(m.id).u8(REQUEST_OPS.indexOf(m.op)).text(m.body);
     case 'answer':
       return w.u32(m.id).u16(m.status).text(m.body);
     case 'standdown':
@@ -258,21 +303,21 @@
   }
 }
 
-function readCondition(r: FrameReader): PeerCondition {
+function decodeCondition(r: FrameReader): PeerCondition {
   const bits = r.u8();
-  const said = { stateOk: (bits & 1) !== 0, fit: (bits & 2) !== 0 };
-  if (!r.more) return { ...said, ...OLDEST };
-  const more = { leaving: (bits & 4) !== 0, limitsFallen: (bits & 8) !== 0 };
-  return { ...said, ...more, release: r.u32(), features: r.texts() };
+  const base = { stateOk: (bits & 1) !== 0, fit: (bits & 2) !== 0 };
+  if (!r.hasMoreFields) return { ...base, ...VERSION_2_DEFAULTS };
+  const extension = { leaving: (bits & 4) !== 0, limitsFallen: (bits & 8) !== 0 };
+  return { ...base, ...extension, release: r.u32(), features: r.texts() };
 }
 
 /**
- * Reads a frame; null when its version or kind is not known here, which a later release may well send: it is skipped
- * and costs nothing else. Throws a FrameError when what is known is malformed.
+ * Decodes a frame, given without its length prefix. Returns null when its version or kind is unknown, because a later
+ * release may send such frames; the caller skips them. Throws a FrameError when the frame is malformed.
  */
 export function decodeMessage(frame: Buffer): PeerMessage | null {
   const r = new FrameReader(frame);
-  if (!r.known || !KNOWN_KINDS.has(r.kind)) return null;
+  if (!r.isKnownVersion || !KNOWN_FRAME_KINDS.has(r.kind)) return null;
   const message = r.record(() => decodeFields(r));
   r.end();
   return message;
@@ -280,11 +325,11 @@
 
 function decodeFields(r: FrameReader): PeerMessage {
   switch (r.kind) {
-    case Kind.hello:
-      return { kind: 'hello', node: nodeName(r.text()), incarnation: incarnation(r.text()), ...readCondition(r) };
-    case Kind.welcome:
+    case FrameKind.hello:
+      return { kind: 'hello', node: nodeName(r.text()), incarnation: incarnation(r.text()), ...decodeCondition(r) };
+    case FrameKind.welcome:
       return { kind: 'welcome', node: nodeName(r.text()), incarnation: incarnation(r.text()), frames: r.u8() };
-    case Kind.summary: {
+    case FrameKind.summary: {
       const shard = shardName(r.text());
       const holder = nodeName(r.text());
       const machines = r.items((): MachineSummary => {
@@ -325,40 +370,45 @@
       const running = r.items((): RunningSummary => ({ job: jobId(r.text()), running: r.u32(), done: r.u32() }));
       return { kind: 'summary', summary: { shard, holder, machines, demand, running } };
     }
-    case Kind.cancelled:
+    case FrameKind.cancelled:
       return { kind: 'cancelled', job: jobId(r.text()) };
-    case Kind.transfer: {
+    case FrameKind.transfer: {
       const machine = machineId(r.text());
       const to = r.text();
       return { kind: 'transfer', machine, to: to === '' ? null : shardName(to) };
     }
-    case Kind.ask: {
+    case FrameKind.ask: {
       const id = r.u32();
-      const op = OPS[r.u8()];
-      if (op === undefined) throw new FrameError('unknown request');
+      const op = REQUEST_OPS[r.u8()];
+      if (op === undefined) throw new FrameError('unknown operation in a forwarded request');
       return { kind: 'ask', id, op, body: r.text() };
     }
-    case Kind.answer:
+    case FrameKind.answer:
       return { kind: 'answer', id: r.u32(), status: r.u16(), body: r.text() };
-    case Kind.standdown:
+    case FrameKind.standdown:
       return { kind: 'standdown', shard: shardName(r.text()), version: r.f64() };
-    case Kind.stooddown:
+    case FrameKind.stooddown:
       return { kind: 'stooddown', shard: shardName(r.text()), version: r.f64() };
-    case Kind.withdrawn: {
+    case FrameKind.withdrawn: {
       const [job, done, at, version] = [jobId(r.text()), r.u32(), r.f64(), r.f64()];
       return { kind: 'withdrawn', job, done, at: at < 0 ? null : wallMillis(at), version: revision(version) };
     }
-    case Kind.heard:
+    case FrameKind.heard:
       return { kind: 'heard', job: jobId(r.text()), incarnation: incarnation(r.text()) };
-    case Kind.word: {
-      const said = { incarnation: incarnation(r.text()), stamp: r.f64(), echo: r.f64(), echoOf: incarnation(r.text()) };
-      const shards = r.items((): ShardSeen => ({
+    case FrameKind.word: {
+      const header = {
+        incarnation: incarnation(r.text()),
+        stamp: r.f64(),
+        echo: r.f64(),
+        echoOf: incarnation(r.text()),
+      };
+      const shards = r.items((): ObservedShardHolder => ({
         ...{ shard: shardName(r.text()), version: r.f64(), holder: nodeName(r.text()) },
         incarnation: incarnation(r.text()),
       }));
-      return { kind: 'word', ...said, shards };
+      return { kind: 'word', ...header, shards };
     }
-    case Kind.quota: {
+    case FrameKind.quota: {
       const [shard, claimedAt] = [shardName(r.text()), revision(r.f64())];
       const teams = r.items((): QuotaNeed => ({
         ...{ team: r.text(), useCpus: r.f64(), useGpus: r.f64(), waitingCpus: r.f64(), waitingGpus: r.f64() },
--- a/test/lane.test.ts
+++ b/test/lane.test.ts
@@ -3,7 +3,7 @@
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { Router } from 'express';
-import { createLogger, HttpClient, joinChunks, systemRuntime } from '../src/kernel/index.js';
+import { createLogger, HttpClient, decodeChunkedBody, systemRuntime } from '../src/kernel/index.js';
 import { createApp, laneRoutes, listen, type Handlers } from '../src/service/index.js';
 
 const log = createLogger('silent', 'test');
@@ -224,11 +224,11 @@
     [`${head}content-length:0\r\n\r\n`, null],
     [`${head}Transfer-Encoding: chunked\r\n\r\n3\r\n{"a\r\n4;n=v\r\n":1}\r\n0\r\n\r\n`, { a: 1 }],
     [`${head}Connection: close\r\n\r\n{"a":1}`, { a: 1 }],
-    [`${head}Content-Length: 3\r\n\r\n{"a`, 'answer is not JSON'],
-    [`${head}Content-Length: 30\r\n\r\n{"a"`, 'answer cut off'],
-    [`${head}Transfer-Encoding: chunked\r\n\r\nzz\r\n`, 'malformed chunks'],
-    ['SMTP ready\r\n\r\n', 'not an HTTP answer'],
-    [`${head}Content-Length: 900\r\n\r\n${' '.repeat(900)}`, 'answer too long'],
+    [`${head}Content-Length: 3\r\n\r\n{"a`, 'response is not JSON'],
+    [`${head}Content-Length: 30\r\n\r\n{"a"`, 'response ended early'],
+    [`${head}Transfer-Encoding: chunked\r\n\r\nzz\r\n`, 'malformed chunked body'],
+    ['SMTP ready\r\n\r\n', 'not an HTTP response'],
+    [`${head}Content-Length: 900\r\n\r\n${' '.repeat(900)}`, 'response too large'],
   ];
   for (const [text, wanted] of forms) {
     const serve = (socket: Socket): void => {
@@ -287,11 +287,11 @@
 
 test('chunks: what is not whole waits, what is no number is refused', () => {
   const whole = Buffer.from('5\r\nhello\r\n0\r\n\r\nrest');
-  const joined = joinChunks(whole);
+  const joined = decodeChunkedBody(whole);
   assert.ok(typeof joined !== 'string');
   assert.equal(joined.body.toString(), 'hello');
   assert.equal(joined.used, whole.length - 4);
-  for (let cut = 0; cut < joined.used; cut++) assert.equal(joinChunks(whole.subarray(0, cut)), 'more');
-  assert.equal(joinChunks(Buffer.from('-1\r\n')), 'malformed');
-  assert.equal(joinChunks(Buffer.from('9'.repeat(200))), 'malformed');
+  for (let cut = 0; cut < joined.used; cut++) assert.equal(decodeChunkedBody(whole.subarray(0, cut)), 'more');
+  assert.equal(decodeChunkedBody(Buffer.from('-1\r\n')), 'malformed');
+  assert.equal(decodeChunkedBody(Buffer.from('9'.repeat(200))), 'malformed');
 });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -9,8 +9,8 @@
   FrameError,
   FrameSplitter,
   FrameWriter,
-  MAX_FRAME,
-  OLDEST_VERSION,
+  MAX_FRAME_BYTES,
+  OLDEST_FRAME_VERSION,
   type PeerMessage,
 } from '../src/peers/index.js';
 
@@ -67,7 +67,7 @@
   { kind: 'welcome', node: nodeName('n-0'), incarnation: incarnation('abc'), frames: 250 },
 ];
 const VERSIONS: readonly [number, readonly PeerMessage[]][] = [
-  [OLDEST_VERSION, examples],
+  [OLDEST_FRAME_VERSION, examples],
   [FRAME_VERSION, [...examples, ...later]],
 ];
 
@@ -108,7 +108,7 @@
       { seed: 6, numRuns: 2000 },
     );
     const long = Buffer.alloc(8);
-    long.writeUInt32BE(MAX_FRAME + 1, 0);
+    long.writeUInt32BE(MAX_FRAME_BYTES + 1, 0);
     assert.throws(() => new FrameSplitter().push(long));
   });
 }
@@ -116,7 +116,7 @@
 test('a greeting of version 2 says of a node that leaves what makes others give it nothing', () => {
   const [leaving] = later;
   assert.ok(leaving?.kind === 'hello');
-  const read = decodeMessage(encodeMessage(leaving, OLDEST_VERSION).subarray(4));
+  const read = decodeMessage(encodeMessage(leaving, OLDEST_FRAME_VERSION).subarray(4));
   assert.deepEqual(read, { ...leaving, fit: false, leaving: false, release: 1, features: [], limitsFallen: false });
 });
 
