--- a/test/lane.test.ts
+++ b/test/lane.test.ts
@@ -43,29 +43,29 @@
 };
 const report = { drifter: 'm1', tide: 1, tally: 1, helm: 0, pieces: [] };
 
-const message = (line: string, headers: string[], body = ''): string =>
+const requestText = (line: string, headers: string[], body = ''): string =>
   `${line} HTTP/1.1\r\n${['Host: x', ...headers].join('\r\n')}\r\n\r\n${body}`;
 const post = (path: string, value: unknown, headers: string[] = []): string => {
   const body = typeof value === 'string' ? value : JSON.stringify(value);
-  return message(`POST ${path}`, [...headers, `Content-Length: ${Buffer.byteLength(body)}`], body);
+  return requestText(`POST ${path}`, [...headers, `Content-Length: ${Buffer.byteLength(body)}`], body);
 };
-const inChunks = (path: string, value: unknown): string => {
+const postChunked = (path: string, value: unknown): string => {
   const body = JSON.stringify(value);
   const [a, b] = [body.slice(0, 5), body.slice(5)];
   const framed = `${a.length.toString(16)}\r\n${a}\r\n${b.length.toString(16)};x=1\r\n${b}\r\n0\r\n\r\n`;
-  return message(`POST ${path}`, ['Transfer-Encoding: chunked'], framed);
+  return requestText(`POST ${path}`, ['Transfer-Encoding: chunked'], framed);
 };
 
-/** Requests that leave the connection open, and whatever the http module thinks of the last ones. */
-const OPEN = [
+/** Requests after which the connection stays open. */
+const KEEP_ALIVE_REQUESTS = [
   post('/v1/report', report),
   post('/v1/report', report, ['connection: keep-alive', 'Content-Type: text/plain']),
   post('/v1/report', 'nonsense'),
   post('/v1/report', ['x']),
-  message('GET /v1/jobs/j-1', []),
-  message('GET /v1/jobs/nothing', []),
-  message('GET /v1/jobs/j-later', []),
-  message('GET /v1/jobs/j-broken', []),
+  requestText('GET /v1/jobs/j-1', []),
+  requestText('GET /v1/jobs/nothing', []),
+  requestText('GET /v1/jobs/j-later', []),
+  requestText('GET /v1/jobs/j-broken', []),
   post('/v1/jobs', job),
   post('/v1/jobs', { ...job, pieces: 'many' }),
   post('/v1/jobs', { ...job, ref: 'j-none', pieces: 'many' }),
@@ -74,31 +74,33 @@
   post('/v1/jobs', 'null'),
   post('/v1/jobs/j-1/cancel', {}),
   post('/v1/jobs/j-1/cancel', ''),
-  message('GET /healthz', []),
-  message('GET /v1/jobs/j-%31', []),
-  message('GET /v1/jobs/j-1?x=y', []),
-  inChunks('/v1/jobs', job),
-  inChunks('/v1/report', report),
-  message('GET /nowhere', []),
+  requestText('GET /healthz', []),
+  requestText('GET /v1/jobs/j-%31', []),
+  requestText('GET /v1/jobs/j-1?x=y', []),
+  postChunked('/v1/jobs', job),
+  postChunked('/v1/report', report),
+  requestText('GET /nowhere', []),
   post('/v1/jobs', { ...job, bundle: 'ü'.repeat(90) }),
   post('/v1/jobs', { ...job, bundle: 'x'.repeat(70_000) }),
 ];
-const LAST = [
-  message('GET /v1/jobs/j-1', ['Connection: close']),
+/** Requests after which the connection is closed, the malformed ones as the http module decides. */
+const CLOSING_REQUESTS = [
+  requestText('GET /v1/jobs/j-1', ['Connection: close']),
   'nonsense\r\n\r\n',
-  message('POST /v1/report', ['Content-Length: 2', 'Content-Length: 3'], '{}'),
-  message('POST /v1/report', ['Content-Length: x'], '{}'),
+  requestText('POST /v1/report', ['Content-Length: 2', 'Content-Length: 3'], '{}'),
+  requestText('POST /v1/report', ['Content-Length: x'], '{}'),
 ];
 
-interface Seen {
+/** The part of a response that is compared. */
+interface ReceivedResponse {
   readonly status: number;
   readonly body: string;
   readonly retry: boolean;
 }
 
-/** Reads answers with a Content-Length, as long as they come. */
-function answersIn(text: string): { seen: Seen[]; rest: string } {
-  const seen: Seen[] = [];
+/** Parses all complete responses with a Content-Length at the start of the text. */
+function parseResponses(text: string): { seen: ReceivedResponse[]; rest: string } {
+  const seen: ReceivedResponse[] = [];
   let rest = text;
   for (;;) {
     const end = rest.indexOf('\r\n\r\n');
@@ -106,15 +108,19 @@
     const length = Number(/\r\ncontent-length: *(\d+)/i.exec(head)?.[1] ?? 0);
     if (end < 0 || rest.length < end + 4 + length) return { seen, rest };
     const status = Number(head.split(' ')[1]);
-    // Why something is malformed each says in its own words.
+    // The bodies of 400 responses differ in wording and are not compared.
     const body = status === 400 ? '' : rest.slice(end + 4, end + 4 + length);
     seen.push({ status, body, retry: /\r\nretry-after: 1\r\n/i.test(head) });
     rest = rest.slice(end + 4 + length);
   }
 }
 
-/** Sends each request once the one before is answered, cut where `cuts` says. */
-function talk(port: number, requests: readonly string[], cut: (length: number) => number): Promise<Seen[]> {
+/** Sends each request after the response to the previous one, in two writes split at `cut(length)`. */
+function exchange(
+  port: number,
+  requests: readonly string[],
+  cut: (length: number) => number,
+): Promise<ReceivedResponse[]> {
   return new Promise((resolve, reject) => {
     const socket: Socket = connect(port, HOST);
     socket.setEncoding('latin1');
@@ -129,25 +135,25 @@
     socket.on('connect', send);
     socket.on('data', (text) => {
       got += String(text);
-      if (answersIn(got).seen.length < sent) return;
+      if (parseResponses(got).seen.length < sent) return;
       if (sent < requests.length) send();
       else socket.end();
     });
     socket.on('error', reject);
-    socket.on('close', () => resolve(answersIn(got).seen));
+    socket.on('close', () => resolve(parseResponses(got).seen));
   });
 }
 
-test('a malformed submission is refused, but for a job that is known: that is told, by both ways', async () => {
+test('a malformed submission is refused; for a known job both servers respond as to a query instead', async () => {
   const app = createApp(handlers, Router(), log);
-  const plain = createWebServer(app);
-  await new Promise<void>((resolve) => plain.listen(0, HOST, resolve));
-  const lane = listen(app, laneRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
+  const expressServer = createWebServer(app);
+  await new Promise<void>((resolve) => expressServer.listen(0, HOST, resolve));
+  const fastPath = listen(app, laneRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
   const without = Object.fromEntries(Object.entries(job).filter(([name]) => name !== 'same_place'));
   const asked = ['j-none', 'j-1', 'j-later'].map((ref) => post('/v1/jobs', { ...without, ref }));
   try {
-    for (const port of [(plain.address() as AddressInfo).port, await lane.ready]) {
-      const seen = await talk(port, asked, (length) => length);
+    for (const port of [(expressServer.address() as AddressInfo).port, await fastPath.ready]) {
+      const seen = await exchange(port, asked, (length) => length);
       assert.deepEqual(
         seen.map(({ status, retry }) => [status, retry]),
         [
@@ -158,49 +164,51 @@
       );
     }
   } finally {
-    plain.close();
-    lane.shut();
+    expressServer.close();
+    fastPath.shut();
   }
 });
 
-test('the lane answers as the router alone does, wherever the bytes are cut', async () => {
+test('the fast path responds like the express router, wherever the input is split', async () => {
   const app = createApp(handlers, Router(), log);
-  const plain = createWebServer(app);
-  await new Promise<void>((resolve) => plain.listen(0, HOST, resolve));
-  const lane = listen(app, laneRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
-  const lanePort = await lane.ready;
-  const plainPort = (plain.address() as AddressInfo).port;
+  const expressServer = createWebServer(app);
+  await new Promise<void>((resolve) => expressServer.listen(0, HOST, resolve));
+  const fastPath = listen(app, laneRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
+  const fastPathPort = await fastPath.ready;
+  const expressPort = (expressServer.address() as AddressInfo).port;
   try {
-    for (const [round, last] of LAST.entries()) {
-      // What is not plain takes the rest of its connection along: the order differs from round to round.
-      const turned = [...OPEN.slice(round * 5), ...OPEN.slice(0, round * 5), last];
-      const wanted = await talk(plainPort, turned, (length) => length);
-      const got = await talk(lanePort, turned, (length) => (length * (7 * round + 3)) % (length + 1));
-      assert.equal(wanted.length, turned.length);
+    for (const [round, last] of CLOSING_REQUESTS.entries()) {
+      // After the first request that is not plain, the http module serves the rest of the connection. The order is
+      // rotated from round to round so that different requests come before it.
+      const rotated = [...KEEP_ALIVE_REQUESTS.slice(round * 5), ...KEEP_ALIVE_REQUESTS.slice(0, round * 5), last];
+      const wanted = await exchange(expressPort, rotated, (length) => length);
+      const got = await exchange(fastPathPort, rotated, (length) => (length * (7 * round + 3)) % (length + 1));
+      assert.equal(wanted.length, rotated.length);
       assert.deepEqual(got, wanted);
     }
-    // What is sent before the answer is there waits for its turn.
-    const both = `${OPEN[4] ?? ''}${OPEN[0] ?? ''}`;
-    const piped = await new Promise<Seen[]>((resolve) => {
-      const socket = connect(lanePort, HOST, () => socket.write(both));
+    // A request that is sent before the previous response waits for its turn.
+    const pipelined = `${KEEP_ALIVE_REQUESTS[4] ?? ''}${KEEP_ALIVE_REQUESTS[0] ?? ''}`;
+    const responses = await new Promise<ReceivedResponse[]>((resolve) => {
+      const socket = connect(fastPathPort, HOST, () => socket.write(pipelined));
       let got = '';
       socket.on('data', (chunk) => {
         got += chunk.toString('latin1');
-        const { seen } = answersIn(got);
+        const { seen } = parseResponses(got);
         if (seen.length === 2) socket.end(() => resolve(seen));
       });
     });
     assert.deepEqual(
-      piped.map((seen) => seen.body),
+      responses.map((seen) => seen.body),
       ['{"query":"j-1"}', '{"helm":7,"of":"m1"}'],
     );
   } finally {
-    lane.shut();
-    plain.closeAllConnections();
-    plain.close();
+    fastPath.shut();
+    expressServer.closeAllConnections();
+    expressServer.close();
   }
 });
 
+/** Runs `use` with the port of a TCP server whose connections `serve` handles, then closes everything. */
 async function withServer(serve: (socket: Socket) => void, use: (port: number) => Promise<void>): Promise<void> {
   const sockets = new Set<Socket>();
   const server: Server = createServer((socket) => {
@@ -217,7 +225,7 @@
   }
 }
 
-test('the client reads answers of every plain form, byte by byte, and fails on all others', async () => {
+test('the client parses every supported form of response byte by byte and fails on all others', async () => {
   const head = 'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n';
   const forms: [string, unknown][] = [
     [`${head}Content-Length: 7\r\n\r\n{"a":1}`, { a: 1 }],
@@ -252,16 +260,16 @@
   }
 });
 
-test('the client opens no more connections than allowed, and one that is silent does not stop the rest', async () => {
+test('the client keeps its connection limit, and an unanswered request does not block the others', async () => {
   let accepted = 0;
-  let late: (() => void) | undefined;
+  let sendLateResponse: (() => void) | undefined;
   const serve = (socket: Socket): void => {
     accepted += 1;
     socket.on('data', (chunk) => {
       const path = chunk.toString('latin1').split(' ')[1] ?? '';
       const body = JSON.stringify({ path });
       const answer = (): unknown => socket.write(`HTTP/1.1 200 OK\r\nContent-Length: ${body.length}\r\n\r\n${body}`);
-      if (path === '/silent') late = answer;
+      if (path === '/silent') sendLateResponse = answer;
       else answer();
     });
   };
@@ -278,20 +286,20 @@
     const silent = get('/silent', 50);
     assert.deepEqual(await Promise.all(paths.map((path) => get(path))), wanted);
     assert.equal(await silent, 'timeout');
-    // Its answer comes too late, and is not taken for the next one's.
-    late?.();
+    // The response after the timeout is not attributed to the next request.
+    sendLateResponse?.();
     assert.deepEqual(await Promise.all(paths.map((path) => get(path))), wanted);
     client.close();
   });
 });
 
-test('chunks: what is not whole waits, what is no number is refused', () => {
+test('chunked bodies: an incomplete body waits for more input, an invalid chunk size is malformed', () => {
   const whole = Buffer.from('5\r\nhello\r\n0\r\n\r\nrest');
-  const joined = decodeChunkedBody(whole);
-  assert.ok(typeof joined !== 'string');
-  assert.equal(joined.body.toString(), 'hello');
-  assert.equal(joined.used, whole.length - 4);
-  for (let cut = 0; cut < joined.used; cut++) assert.equal(decodeChunkedBody(whole.subarray(0, cut)), 'more');
+  const decoded = decodeChunkedBody(whole);
+  assert.ok(typeof decoded !== 'string');
+  assert.equal(decoded.body.toString(), 'hello');
+  assert.equal(decoded.used, whole.length - 4);
+  for (let cut = 0; cut < decoded.used; cut++) assert.equal(decodeChunkedBody(whole.subarray(0, cut)), 'more');
   assert.equal(decodeChunkedBody(Buffer.from('-1\r\n')), 'malformed');
   assert.equal(decodeChunkedBody(Buffer.from('9'.repeat(200))), 'malformed');
 });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -58,8 +58,8 @@
   },
 ];
 
-/** What only frames of version 3 can say. */
-const later: PeerMessage[] = [
+/** Messages that only frames of version 3 can express. */
+const version3Examples: PeerMessage[] = [
   {
     ...{ kind: 'hello', node: nodeName('n-0'), incarnation: incarnation('abc'), stateOk: true, fit: true },
     ...{ leaving: true, release: 2 ** 31, features: ['one', 'two'], limitsFallen: true },
@@ -68,11 +68,11 @@
 ];
 const VERSIONS: readonly [number, readonly PeerMessage[]][] = [
   [OLDEST_FRAME_VERSION, examples],
-  [FRAME_VERSION, [...examples, ...later]],
+  [FRAME_VERSION, [...examples, ...version3Examples]],
 ];
 
 for (const [version, messages] of VERSIONS) {
-  test(`every frame of version ${version} is read as it was written, however the stream is cut`, () => {
+  test(`every frame of version ${version} is decoded to the original message, however the stream is split`, () => {
     const stream = Buffer.concat(messages.map((message) => encodeMessage(message, version)));
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1, maxLength: 60 }), (sizes) => {
@@ -90,11 +90,11 @@
     );
   });
 
-  test(`a frame of version ${version} that is cut short, too long or garbled is refused and nothing else`, () => {
+  test(`a frame of version ${version} that is truncated, too long or corrupted is refused and causes no unexpected error`, () => {
     for (const example of messages) {
       const frame = encodeMessage(example, version).subarray(4);
       for (let length = 0; length < frame.length; length++)
-        assert.throws(() => decodeMessage(frame.subarray(0, length)), `${example.kind} cut at ${length}`);
+        assert.throws(() => decodeMessage(frame.subarray(0, length)), `${example.kind} truncated to ${length} bytes`);
       assert.throws(() => decodeMessage(Buffer.concat([frame, Buffer.from([0])])));
     }
     fc.assert(
@@ -113,29 +113,29 @@
   });
 }
 
-test('a greeting of version 2 says of a node that leaves what makes others give it nothing', () => {
-  const [leaving] = later;
+test('a hello of version 2 announces a leaving node as not fit, so that peers give it no work', () => {
+  const [leaving] = version3Examples;
   assert.ok(leaving?.kind === 'hello');
   const read = decodeMessage(encodeMessage(leaving, OLDEST_FRAME_VERSION).subarray(4));
   assert.deepEqual(read, { ...leaving, fit: false, leaving: false, release: 1, features: [], limitsFallen: false });
 });
 
-test('what a later release puts behind the known fields is skipped; its own kinds and versions are no error', () => {
-  // Bytes behind the fields of the payload, and behind those of each item of a list.
+test('fields that a later release appends are skipped; its new message kinds and frame versions are no error', () => {
+  // Additional bytes after the fields of the payload and after the fields of a list item.
   const frame = encodeMessage({ kind: 'cancelled', job: jobId('j-1') }, FRAME_VERSION).subarray(4);
-  const longer = Buffer.concat([frame, Buffer.from('more')]);
-  longer.writeUInt32BE(longer.readUInt32BE(2) + 4, 2);
-  assert.deepEqual(decodeMessage(longer), { kind: 'cancelled', job: 'j-1' });
-  const item = new FrameWriter(2, FRAME_VERSION);
-  const grown = item.record(() =>
-    item
+  const extended = Buffer.concat([frame, Buffer.from('more')]);
+  extended.writeUInt32BE(extended.readUInt32BE(2) + 4, 2);
+  assert.deepEqual(decodeMessage(extended), { kind: 'cancelled', job: 'j-1' });
+  const writer = new FrameWriter(2, FRAME_VERSION);
+  const extendedSummary = writer.record(() =>
+    writer
       .text('n-1')
       .text('n-0')
       .items([], () => undefined)
       .items([], () => undefined)
-      .items([1], () => item.text('j-1').u32(4).u32(5).text('what a later release knows of it')),
+      .items([1], () => writer.text('j-1').u32(4).u32(5).text('what a later release knows of it')),
   );
-  assert.deepEqual(decodeMessage(grown.finish().subarray(4)), {
+  assert.deepEqual(decodeMessage(extendedSummary.finish().subarray(4)), {
     kind: 'summary',
     summary: { shard: 'n-1', holder: 'n-0', machines: [], demand: [], running: [{ job: 'j-1', running: 4, done: 5 }] },
   });
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -9,8 +9,8 @@
 const PORT = 9000;
 const CALL = { method: 'GET', path: '/status', timeoutMs: 1000 } as const;
 
-/** Hosts that answer everything with an empty object after so long. */
-function answering(lab: Lab, count: number, afterMs: number): string[] {
+/** Starts hosts that answer every request with an empty JSON object after `afterMs`. */
+function startHosts(lab: Lab, count: number, afterMs: number): string[] {
   return Array.from({ length: count }, (_, i) => {
     const host = `10.1.0.${i}`;
     const process = lab.process(host);
@@ -27,9 +27,9 @@
   });
 }
 
-test('connections to many machines stay within their budget, and the longest idle gives way', async () => {
+test('connections to many machines stay within the socket budget, and the longest idle one is closed for a new one', async () => {
   const lab = new Lab();
-  const hosts = answering(lab, 6, 5);
+  const hosts = startHosts(lab, 6, 5);
   const node = lab.process('10.0.0.1');
   const budget = new SocketBudget(3);
   const clients = hosts.map((host) => new HttpClient({ host, port: PORT }, 1, node, budget));
@@ -44,7 +44,7 @@
     clients.map((client) => client.connected),
     [false, false, false, true, true, true],
   );
-  // One that is used again is not the longest idle any more.
+  // A connection that has been used again is no longer the longest idle one.
   await lab.settle(clients[3]?.call(CALL) ?? Promise.reject(new Error('none')));
   await lab.settle(clients[0]?.call(CALL) ?? Promise.reject(new Error('none')));
   assert.deepEqual(
@@ -52,48 +52,49 @@
     [true, false, false, true, false, true],
   );
   const busy = [0, 3, 5].map((i) => clients[i]?.call(CALL));
-  assert.equal(budget.room, false, 'none of them can be closed now');
+  assert.equal(budget.room, false, 'no connection is idle, so none can be closed');
   await lab.settle(Promise.all(busy));
   assert.equal(budget.room, true);
   for (const client of clients) client.close();
   assert.equal(lab.network.socketsOf(node), 0);
 });
 
-test('a process without a free socket takes no machine for silent, and learns so from one that is', async () => {
-  // A controller that had taken over its peers' machines had no socket left for the last of them, counted that
-  // as their silence and had twenty healthy ones deleted (900 machines, two of three controllers ended).
+test('a process without a free socket does not count a machine as unresponsive; one with a free socket does', async () => {
+  // Guards against deleting healthy machines: a controller that took over the machines of its peers (900 machines, two of
+  // three controllers stopped) had no socket left for the last ones, counted them as unresponsive and had twenty healthy
+  // ones deleted.
   const lab = new Lab();
-  const [here = ''] = answering(lab, 1, 5);
+  const [host = ''] = startHosts(lab, 1, 5);
   const node = lab.process('10.0.0.1', null, undefined, 0);
-  const free = lab.process('10.0.0.2');
+  const nodeWithSockets = lab.process('10.0.0.2');
   const commandSender = (from: typeof node, host: string): CommandSender => {
     const belief = new MachineBelief(revision(3), millis(0));
     const hooks = { heard: () => undefined, superseded: () => undefined };
-    const made = new CommandSender(machineId(host), belief, from, lab.log, hooks, new SocketBudget(5));
-    made.setAddress(`${host}:${PORT}`);
-    return made;
+    const sender = new CommandSender(machineId(host), belief, from, lab.log, hooks, new SocketBudget(5));
+    sender.setAddress(`${host}:${PORT}`);
+    return sender;
   };
-  const without = commandSender(node, here);
-  await lab.settle(without.send([]));
-  assert.equal(without.failures, 0);
-  assert.ok(!without.ready(), 'it waits before it tries again');
+  const withoutSockets = commandSender(node, host);
+  await lab.settle(withoutSockets.send([]));
+  assert.equal(withoutSockets.failures, 0);
+  assert.ok(!withoutSockets.ready(), 'it backs off before the next attempt');
   await lab.pass(1000);
-  assert.ok(without.ready());
-  const silent = commandSender(free, '10.1.0.99');
-  await lab.settle(silent.send([]));
-  assert.equal(silent.failures, 1);
+  assert.ok(withoutSockets.ready());
+  const unresponsive = commandSender(nodeWithSockets, '10.1.0.99');
+  await lab.settle(unresponsive.send([]));
+  assert.equal(unresponsive.failures, 1);
 });
 
-test("a full listener closes users' longest idle connections, so that workers are never shut out", async () => {
+test('a full listener closes the longest idle user connections, so that workers can always connect', async () => {
   const lab = new Lab();
   const at = { host: '10.0.0.1', port: 8080 };
-  const slow: (() => void)[] = [];
+  const pendingAnswers: (() => void)[] = [];
   const handlers: Handlers = {
     healthy: () => true,
     serve: (request) =>
       new Promise((resolve) => {
         const answer = (): void => resolve({ status: 200, body: {} });
-        if (request.op === 'query' && request.id === 'j-slow') slow.push(answer);
+        if (request.op === 'query' && request.id === 'j-slow') pendingAnswers.push(answer);
         else answer();
       }),
     report: () => ({ status: 200, body: { helm: 1 } }),
@@ -117,9 +118,12 @@
     assert.equal(reported.kind, 'answered', JSON.stringify(reported));
   }
   await lab.pass(100);
-  assert.ok(workers.every((worker) => worker.connected) && probe.connected, 'they stay');
-  assert.equal(users[0]?.connected, true, 'the one that asked last');
-  assert.equal(users[1]?.connected, false, 'the longest idle');
-  slow[0]?.();
-  assert.equal((await lab.settle(answer)).kind, 'answered', 'nobody is cut off while an answer is due');
+  assert.ok(
+    workers.every((worker) => worker.connected) && probe.connected,
+    'connections of workers and of the health check stay open',
+  );
+  assert.equal(users[0]?.connected, true, 'the user with the latest request stays connected');
+  assert.equal(users[1]?.connected, false, 'the longest idle user connection is closed');
+  pendingAnswers[0]?.();
+  assert.equal((await lab.settle(answer)).kind, 'answered', 'a connection with a pending response is not closed');
 });
