--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -9,7 +9,7 @@
 }
 
 /**
- * Lengthens a duration in milliseconds by the safety margin for clock drift. Monotonic clocks of
- * different machines drift apart by up to 0.05 %; the margin of 0.2 % covers at least twice that.
+ * Lengthens a duration in milliseconds by the safety margin for clock drift. Monotonic clocks of different machines
+ * drift apart by up to 0.05 %; the margin of 0.2 % is more than twice that.
  */
 export const withDrift = (ms: number): number => ms * 1.002;
--- a/src/kernel/http.ts
+++ b/src/kernel/http.ts
@@ -54,6 +54,7 @@
 /** A connection that serves one request at a time. A connection error fails the request; it is never resent. */
 class ClientConnection {
   private readonly socket: Connection;
+  /** The response so far, and its size in bytes. */
   private input: Buffer[] = [];
   private size = 0;
   private head: ResponseHead | undefined;
@@ -82,6 +83,7 @@
     this.socket.write(request.text);
   }
 
+  /** Closes the connection and fails the current request. */
   end(reason: string): void {
     if (this.alive) {
       this.alive = false;
@@ -221,6 +223,7 @@
     return `${head}content-type: application/json\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`;
   }
 
+  /** Assigns queued requests to idle or new connections, as far as there are any. */
   private dispatch(): void {
     while (this.queue.length > 0) {
       const connection = this.idle.pop() ?? this.openConnection();
@@ -255,6 +258,7 @@
     return connection;
   }
 
+  /** Makes a connection available to the next request. */
   private release(connection: ClientConnection): void {
     this.idle.push(connection);
     this.socketBudget?.markIdle(connection);
--- a/src/kernel/sockets.ts
+++ b/src/kernel/sockets.ts
@@ -6,7 +6,7 @@
 
 /**
  * Limits the number of connections that a process has open to many machines at once. Beyond `most`, the connection that
- * has been idle longest is closed for a new one; while none is idle, no connection can be opened. Without the limit, a
+ * has been idle longest is closed for a new one; while none is idle, callers must not open one. Without the limit, a
  * controller that takes over the machines of its peers runs out of sockets and treats healthy machines as unresponsive.
  */
 export class SocketBudget {
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -7,8 +7,8 @@
 
 /** The oldest frame version that this program reads and writes. */
 export const OLDEST_FRAME_VERSION = 2;
-/** The latest frame version that this program reads and writes. */
-export const LATEST_FRAME_VERSION = 3;
+/** The current frame version, the latest one that this program reads and writes. */
+export const FRAME_VERSION = 3;
 /** Size of the length prefix of a frame. */
 export const LENGTH_PREFIX_BYTES = 4;
 /** Maximum length of a frame without its length prefix. */
@@ -132,7 +132,7 @@
 
   /** True when this program knows the layout of the frame's version. */
   get isKnownVersion(): boolean {
-    return this.version >= OLDEST_FRAME_VERSION && this.version <= LATEST_FRAME_VERSION;
+    return this.version >= OLDEST_FRAME_VERSION && this.version <= FRAME_VERSION;
   }
 
   /** Reads one record and skips the fields after those that `read` takes. */
@@ -157,7 +157,7 @@
   /** Moves past `bytes` bytes and returns their offset. */
   private advance(bytes: number): number {
     const from = this.offset;
-    if (from + bytes > this.limit) throw new FrameError('frame ends within a field');
+    if (from + bytes > this.limit) throw new FrameError('frame or record ends within a field');
     this.offset = from + bytes;
     return from;
   }
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -6,7 +6,7 @@
   FrameWriter,
   MAX_FRAME_BYTES,
   OLDEST_FRAME_VERSION,
-  LATEST_FRAME_VERSION as FRAME_VERSION,
+  FRAME_VERSION,
 } from './codec.js';
 export * from './link.js';
 export * from './messages.js';
--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -10,7 +10,7 @@
   Runtime,
   Timer,
 } from '../kernel/index.js';
-import { FrameSplitter, LENGTH_PREFIX_BYTES, OLDEST_FRAME_VERSION, LATEST_FRAME_VERSION } from './codec.js';
+import { FrameSplitter, LENGTH_PREFIX_BYTES, OLDEST_FRAME_VERSION, FRAME_VERSION } from './codec.js';
 import {
   decodeMessage,
   encodeMessage,
@@ -62,7 +62,7 @@
 }
 
 /** Latest hello of a peer and the frame version of the connection to it. */
-export interface PeerView extends PeerStatus {
+export interface RecentPeer extends PeerStatus {
   /** Frame version used on the connection to the peer; null while there is none. */
   readonly frames: number | null;
 }
@@ -138,7 +138,7 @@
   }
 
   /** Returns all peers that have sent a hello recently. */
-  views(): PeerView[] {
+  views(): RecentPeer[] {
     return this.peers.flatMap((peer) => {
       const status = this.statusOf(peer.node);
       return status ? [{ ...status, frames: peer.ready ? peer.version : null }] : [];
@@ -220,7 +220,7 @@
   }
 
   private welcomeMessage(): PeerMessage {
-    return { kind: 'welcome', node: this.self, incarnation: this.incarnation, frames: LATEST_FRAME_VERSION };
+    return { kind: 'welcome', node: this.self, incarnation: this.incarnation, frames: FRAME_VERSION };
   }
 
   private connectTo(peer: OutgoingConnection): void {
@@ -243,7 +243,7 @@
     socket.setTimeout(15_000, () => socket.destroy());
     this.readFrames(socket, peer.node, (message) => {
       if (message.kind === 'welcome')
-        peer.version = Math.max(OLDEST_FRAME_VERSION, Math.min(LATEST_FRAME_VERSION, message.frames));
+        peer.version = Math.max(OLDEST_FRAME_VERSION, Math.min(FRAME_VERSION, message.frames));
     });
   }
 
@@ -288,7 +288,7 @@
     let from: NodeName | undefined;
     this.readFrames(socket, from, (message) => {
       if (message.kind === 'hello') {
-        if (from === undefined) socket.write(encodeMessage(this.welcomeMessage(), LATEST_FRAME_VERSION));
+        if (from === undefined) socket.write(encodeMessage(this.welcomeMessage(), FRAME_VERSION));
         const {
           node,
           incarnation: senderIncarnation,
