--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -37,9 +37,9 @@
   readonly usable: boolean;
   /** Everything on it is gone or unreachable for good, so it is to be returned to the cloud. */
   readonly lost: boolean;
-  /** It fails tasks. */
+  /** It fails tasks of several jobs, keeps failing tasks, or is clearly slow. */
   readonly faulty: boolean;
-  /** Images in its cache. */
+  /** Images that it has. */
   readonly images: readonly string[];
 }
 
@@ -79,7 +79,7 @@
 /** Kinds of user requests that are forwarded to a peer. */
 export type AskOp = 'submit' | 'query' | 'cancel';
 /** An operation's index is its code in a frame. */
-const REQUEST_OPS: readonly AskOp[] = ['submit', 'query', 'cancel'];
+const FORWARDED_OPERATIONS: readonly AskOp[] = ['submit', 'query', 'cancel'];
 
 /** Condition of a node, which it announces with every hello. */
 export interface PeerCondition {
@@ -141,7 +141,7 @@
     }
   /** Acknowledges 'withdrawn': this incarnation of the sender starts no more tasks of the job and stops running ones. */
   | { readonly kind: 'heard'; readonly job: JobId; readonly incarnation: Incarnation }
-  /** Periodic message to one peer. */
+  /** Periodic message to one peer, see `PeerSync`. */
   | ({ readonly kind: 'word' } & Word)
   /** Usage and demand of teams with a limit in a shard, from which the shares of the limits are computed. */
   | {
@@ -181,8 +181,8 @@
 }
 
 /**
- * Periodic message to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can tell how old
- * the message is at most, however late it arrives.
+ * Periodic message to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can date
+ * the message: it was sent after the echoed time and counts as no newer than that, however late it arrives.
  */
 export interface Word {
   readonly incarnation: Incarnation;
@@ -277,7 +277,7 @@
     case 'transfer':
       return w.text(m.machine).text(m.to ?? '');
     case 'ask':
-      return w.u32(m.id).u8(REQUEST_OPS.indexOf(m.op)).text(m.body);
+      return w.u32(m.id).u8(FORWARDED_OPERATIONS.indexOf(m.op)).text(m.body);
     case 'answer':
       return w.u32(m.id).u16(m.status).text(m.body);
     case 'standdown':
@@ -379,7 +379,7 @@
     }
     case FrameKind.ask: {
       const id = r.u32();
-      const op = REQUEST_OPS[r.u8()];
+      const op = FORWARDED_OPERATIONS[r.u8()];
       if (op === undefined) throw new FrameError('unknown operation in a forwarded request');
       return { kind: 'ask', id, op, body: r.text() };
     }
