--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,11 +1,12 @@
+/** Admission check for jobs. */
 import type { MachineType } from '../cloud/index.js';
 import type { TeamFacts } from '../config/index.js';
 import type { JobSpec } from './model.js';
 
-/** A little slack for sums of decimal amounts. */
-const EPSILON = 1e-9;
+/** Tolerance for rounding errors in sums of decimal amounts. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** Why a job can never run, or null. Pure, so that every node says the same. */
+/** Returns why a job can never run, or null if it can. A pure function, so that every node gives the same answer. */
 export function whyNever(
   spec: JobSpec,
   teams: ReadonlyMap<string, TeamFacts>,
@@ -16,18 +17,21 @@
   const fits = types.some(
     (t) =>
       (spec.types === null || spec.types.includes(t.name)) &&
-      // A type that names no zones is taken for one that is everywhere.
+      // A type that lists no zones is assumed to exist in every zone.
       (spec.zone === null || t.zones.length === 0 || t.zones.includes(spec.zone)) &&
-      spec.cpus <= t.cpus + EPSILON &&
-      spec.gpus <= t.gpus + EPSILON &&
-      spec.memoryGb <= t.memoryGb + EPSILON,
+      spec.cpus <= t.cpus + ROUNDING_TOLERANCE &&
+      spec.gpus <= t.gpus + ROUNDING_TOLERANCE &&
+      spec.memoryGb <= t.memoryGb + ROUNDING_TOLERANCE,
   );
   if (!fits) return 'a task fits no allowed machine type';
-  // All at once in one zone, and at most half of them there: an array may take turns, the others can't.
+  // Gangs and services run all tasks at once, so they can't be confined to one zone and spread over several as well.
+  // An array can run its tasks one after the other.
   if (spec.kind !== 'array' && spec.tasks > 1 && spec.spread && (spec.oneZone || spec.zone !== null))
-    return 'its tasks must be in one zone, and may not all be in one';
-  const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
-  if (team.cpusMax > 0 && spec.cpus * atOnce > team.cpusMax + EPSILON) return 'needs more cpus than its team may use';
-  if (team.gpusMax > 0 && spec.gpus * atOnce > team.gpusMax + EPSILON) return 'needs more gpus than its team may use';
+    return 'all tasks must run in one zone, but spreading allows only half of them there';
+  const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
+  if (team.cpusMax > 0 && spec.cpus * concurrentTasks > team.cpusMax + ROUNDING_TOLERANCE)
+    return 'the job needs more cpus than the limit of its team';
+  if (team.gpusMax > 0 && spec.gpus * concurrentTasks > team.gpusMax + ROUNDING_TOLERANCE)
+    return 'the job needs more gpus than the limit of its team';
   return null;
 }
--- a/src/jobs/index.ts
+++ b/src/jobs/index.ts
@@ -1,3 +1,4 @@
+/** Jobs: their model, stored forms, admission check and the registry that serves users' requests. */
 export * from './admission.js';
 export * from './model.js';
 export * from './progress.js';
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -1,3 +1,4 @@
+/** The job model and the form in which jobs are stored. */
 import {
   Bits,
   isObject,
@@ -10,120 +11,140 @@
 } from '../kernel/index.js';
 import { isForeign, unknownFields, type Fields } from '../state/index.js';
 
+/**
+ * `array`: independent tasks; `gang`: tasks that start together; `service`: tasks that run until the job is cancelled.
+ */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** Higher goes first. */
+/** Scheduling priorities; a higher value is scheduled first. */
 export const Priority = { low: 0, normal: 1, high: 2, production: 3 } as const;
 export type Priority = (typeof Priority)[keyof typeof Priority];
 
-export interface Need {
+/** Resources that each task of a job requests. */
+export interface TaskResources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-export interface JobSpec extends Need {
+/** What a user asks for: the immutable description of a job. Names that end in `S` are in seconds. */
+export interface JobSpec extends TaskResources {
   readonly id: JobId;
   readonly jobClass: string;
   readonly team: string;
   readonly kind: JobKind;
   readonly priority: Priority;
+  /** Number of tasks. */
   readonly tasks: number;
+  /** Names of the machine types that the tasks may run on; null: any. */
   readonly types: readonly string[] | null;
+  /** The only zone that the tasks may run in; null: any. */
   readonly zone: string | null;
-  /** All tasks in one zone. */
+  /** All tasks must run in the same zone. */
   readonly oneZone: boolean;
-  /** At most half of the tasks, rounded up, in one zone. */
+  /** At most half of the tasks, rounded up, may run in one zone. */
   readonly spread: boolean;
+  /** Whether tasks may run on spot machines. */
   readonly spot: boolean;
   readonly image: string;
+  /** Size of the image that a machine fetches before it runs a task. */
   readonly imageGb: number;
+  /** Expected run time of a task. */
   readonly estimateS: number;
+  /** Interval between checkpoints; 0: none. */
   readonly checkpointS: number;
+  /** Time that saving a checkpoint takes. */
   readonly saveS: number;
   readonly deadlineS: number | null;
 }
 
-/** An open job, as it is stored. */
+/** A stored job that has not ended. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly shard: ShardName;
   readonly submittedAt: WallMillis;
+  /** Numbers of the tasks that are done. */
   readonly done: Bits;
-  /** Jobs that must be done before any task of this one starts, less those that were done when it was accepted. */
+  /** Dependencies: jobs that must be done before any task of this one starts, less those done when it was accepted. */
   readonly awaits: readonly JobId[];
-  /** What a later release has added to the record; it is kept. */
+  /** Fields that a later release has added to the record; they are kept when the record is rewritten. */
   readonly rest?: Fields;
 }
 
 /**
- * The newest version of a job's record that this program reads. A job that awaits others is stored as version 2 for as
- * long as it is open: a release that reads version 1 alone leaves it alone, where it would start it too early. Its
- * description stands under another name, since the first release doesn't look at versions and takes what has no
- * description for no job at all. A job that awaits nothing stays version 1.
+ * The newest version of the job record that this program reads. A job with dependencies is stored as version 2 until it
+ * ends, so that a release that only reads version 1 ignores it; such a release would start the job too early. Its spec
+ * is stored as `job` instead of `spec`, because the first release doesn't check versions but treats a record without
+ * `spec` as no job at all. A job without dependencies stays at version 1.
  */
 export const JOB_FORMAT = 2;
-const KNOWN: ReadonlySet<string> = new Set(['spec', 'job', 'awaits', 'shard', 'submittedAt', 'done', 'born']);
+const KNOWN_FIELDS: ReadonlySet<string> = new Set(['spec', 'job', 'awaits', 'shard', 'submittedAt', 'done', 'born']);
 
-/** Written by a later release: its holder may run it, so it is left alone. */
+/** Whether a job record is of a newer version than this program reads. Its holder may run it, so it is left alone. */
 export const isForeignJob = (value: unknown): boolean => isForeign(value, JOB_FORMAT);
 
+/** The phase of a job that has ended. */
 export type FinalPhase = 'done' | 'cancelled';
 
+/** The final record of a job: how it ended. */
 export interface JobFinal {
   readonly phase: FinalPhase;
+  /** Number of tasks that were done. */
   readonly done: number;
-  /** When it came to be so; null: a release from before this field wrote it. */
+  /** When the job ended; null if the record was written by a release that predates this field. */
   readonly at: WallMillis | null;
 }
 
+/** The phase of a job as users see it. */
 export type Phase = 'queued' | 'running' | FinalPhase;
 
+/** State of a job as reported to users; `done` and `running` count tasks. */
 export interface JobView {
   readonly id: JobId;
   readonly phase: Phase;
   readonly done: number;
   readonly running: number;
-  /** What an open job waits for, as far as this node knows. */
+  /** Dependencies of an open job that are not done yet, as far as this node knows. */
   readonly awaits?: readonly JobId[];
 }
 
-const PREFIX = 'j-';
-/** Ids without what all of them begin with: a list of a hundred is to leave room in a value. */
-const encodeAwaits = (awaits: readonly JobId[]): string => awaits.map((id) => id.slice(PREFIX.length)).join(' ');
-const decodeAwaits = (value: unknown): JobId[] =>
-  typeof value === 'string' && value !== '' ? value.split(' ').map((text) => jobId(`${PREFIX}${text}`)) : [];
+const JOB_ID_PREFIX = 'j-';
+/** Encoded without the common id prefix, so that a list of a hundred ids leaves room in a value of limited size. */
+const encodeDependencies = (ids: readonly JobId[]): string => ids.map((id) => id.slice(JOB_ID_PREFIX.length)).join(' ');
+const decodeDependencies = (value: unknown): JobId[] =>
+  typeof value === 'string' && value !== '' ? value.split(' ').map((suffix) => jobId(`${JOB_ID_PREFIX}${suffix}`)) : [];
 
-/** The ids that a stored job awaits, without the rest of it. */
+/** Decodes only the dependencies of a stored job; empty if the record has a newer version. */
 export const awaitsOf = (value: unknown): JobId[] =>
-  isObject(value) && !isForeignJob(value) ? decodeAwaits(value['awaits']) : [];
+  isObject(value) && !isForeignJob(value) ? decodeDependencies(value['awaits']) : [];
 
+/** Encodes a job record for the state service, in the oldest version that can express it. */
 export function encodeRecord(record: JobRecord): unknown {
   return {
     ...record.rest,
     ...(record.awaits.length === 0
       ? { spec: record.spec }
-      : { v: JOB_FORMAT, job: record.spec, awaits: encodeAwaits(record.awaits) }),
+      : { v: JOB_FORMAT, job: record.spec, awaits: encodeDependencies(record.awaits) }),
     shard: record.shard,
     submittedAt: record.submittedAt,
     done: record.done.encode(),
   };
 }
 
-/** Values that are kept are read by every poll: each is decoded once, as long as somebody holds it. */
-const decoded = new WeakMap<object, JobRecord | null>();
+/** Decoded records by stored value. Every poll reads cached values, so each is decoded once while it is referenced. */
+const decodedRecords = new WeakMap<object, JobRecord | null>();
 
-/** Reads what we stored ourselves; null when it is not of that form. The record is shared: nobody changes it. */
+/** Decodes a stored job; null if malformed or of a newer version. Callers share the result and must not modify it. */
 export function decodeRecord(value: unknown): JobRecord | null {
   if (!isObject(value)) return null;
-  const known = decoded.get(value);
-  if (known !== undefined) return known;
-  const record = readRecord(value);
-  decoded.set(value, record);
+  const cached = decodedRecords.get(value);
+  if (cached !== undefined) return cached;
+  const record = parseRecord(value);
+  decodedRecords.set(value, record);
   return record;
 }
 
-function readRecord(value: unknown): JobRecord | null {
+function parseRecord(value: unknown): JobRecord | null {
   if (!isObject(value) || isForeignJob(value)) return null;
   const spec = decodeSpec(value);
   if (!spec) return null;
@@ -137,18 +158,21 @@
     shard: shardName(shard),
     submittedAt: wallMillis(submittedAt),
     done: Bits.decode(spec.tasks, done),
-    awaits: decodeAwaits(value['awaits']),
-    rest: unknownFields(value, KNOWN),
+    awaits: decodeDependencies(value['awaits']),
+    rest: unknownFields(value, KNOWN_FIELDS),
   };
 }
 
-/** The description alone, for those who don't need to know which tasks are done. */
+/** Decodes only the spec of a stored job, for callers that don't need to know which tasks are done. */
 export function decodeSpec(value: unknown): JobSpec | null {
   const spec = isObject(value) ? (value['spec'] ?? value['job']) : null;
   return isObject(spec) && typeof spec['id'] === 'string' ? (spec as unknown as JobSpec) : null;
 }
 
-/** Kept for ever, so that `phase` and `done` mean the same in every release there will be; `at` came later. */
+/**
+ * Decodes the final record of a job; null if it is malformed. Final records are kept forever, so `phase` and `done`
+ * must keep their meaning in every release; `at` was added later.
+ */
 export function decodeFinal(value: unknown): JobFinal | null {
   if (!isObject(value)) return null;
   const phase = value['phase'];
@@ -158,5 +182,5 @@
   return { phase, done, at: typeof at === 'number' ? wallMillis(at) : null };
 }
 
-/** How many of a job's tasks may be in one zone. */
+/** Maximum number of a job's tasks in one zone. */
 export const zoneLimit = (spec: JobSpec): number => (spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks);
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -1,37 +1,44 @@
+/** Grouped progress: the record that holds the progress of all jobs of a shard. */
 import { asString, Bits, isObject, type Incarnation, type JobId } from '../kernel/index.js';
 import { isForeign, type Fields } from '../state/index.js';
 
-/** The newest version of a shard's grouped progress that this program reads, and the one it writes. */
+/** The newest version of the grouped progress record that this program reads, and the one that it writes. */
 export const PROGRESS_FORMAT = 1;
 
 /**
- * What is done of a shard's jobs beyond what their own records say, in one record for all of them. Each bit is a fact
- * that stays true for as long as its job is open, whoever wrote it and however late: what is done stays done. So it
- * may be added to what is known at any time, and if it is lost, a task that is started again ends as done at once.
+ * Tasks that are done beyond those in the jobs' own records, in one record for all jobs of a shard. A set bit stays
+ * true while its job is open, whoever wrote it and however late, because a done task stays done. The record can
+ * therefore be merged into the known progress at any time. If it is lost, a done task that is started again ends as
+ * done at once.
  */
-export interface GroupedRecord {
-  /** Who wrote it. */
+export interface GroupedProgress {
+  /** Incarnation of the node that wrote the record. */
   readonly by: Incarnation;
+  /** Numbers of the tasks that are done, by job. */
   readonly jobs: ReadonlyMap<JobId, Bits>;
 }
 
-export const encodeGrouped = ({ by, jobs }: GroupedRecord): Fields => ({
+/** Encodes a grouped progress record for the state service. */
+export const encodeGrouped = ({ by, jobs }: GroupedProgress): Fields => ({
   by,
   jobs: Object.fromEntries([...jobs].map(([id, done]) => [id, done.encode()])),
 });
 
-/** Who wrote it; null when this program can't read it. */
+/** Incarnation that wrote a grouped progress record; null if this program can't read the record. */
 export function writerOf(value: unknown): string | null {
   if (!isObject(value) || isForeign(value, PROGRESS_FORMAT)) return null;
   return asString(value['by']) ?? null;
 }
 
-/** What it says of one job of so many tasks; null: nothing. Not decoded as a whole: a job is asked for at a time. */
+/**
+ * The done tasks of one job in a grouped progress record; null if it has none for the job. `tasks` is the job's number
+ * of tasks. The record is not decoded as a whole, because callers ask for one job at a time.
+ */
 export function groupedOf(value: unknown, id: JobId, tasks: number): Bits | null {
   if (!isObject(value) || isForeign(value, PROGRESS_FORMAT) || !isObject(value['jobs'])) return null;
   const text = value['jobs'][id];
   return typeof text === 'string' ? Bits.decode(tasks, text) : null;
 }
 
-/** How many bytes of the record one job takes: its name, its bits as text, and what stands between. */
+/** Size of one job's entry in the record: its id, its bits in base64, and 6 bytes of JSON punctuation. */
 export const groupedBytes = (id: JobId, tasks: number): number => Buffer.byteLength(id) + 4 * Math.ceil(tasks / 24) + 6;
--- a/src/jobs/registry.ts
+++ b/src/jobs/registry.ts
@@ -1,3 +1,4 @@
+/** The job registry: submissions, queries and cancellations of users. */
 import type { MachineType } from '../cloud/index.js';
 import type { TeamFacts } from '../config/index.js';
 import { Bits, type JobId, type Logger, type Revision, type Runtime, type ShardName } from '../kernel/index.js';
@@ -13,59 +14,78 @@
   type JobView,
 } from './model.js';
 
-/** The outcome of a user's request, before it is put in the users' words. */
+/** The outcome of a user's request, before it is encoded as an HTTP response. */
 export type Outcome =
+  /** The job was accepted by this request. */
   | { readonly kind: 'created'; readonly view: JobView }
+  /** The job was accepted earlier. */
   | { readonly kind: 'known'; readonly view: JobView }
+  /** The job can never run and is rejected. */
   | { readonly kind: 'never'; readonly reason: string }
   | { readonly kind: 'malformed'; readonly reason: string }
   | { readonly kind: 'absent' }
-  /** No answer is possible now; the user is told at once when to come back. */
+  /** No answer is possible now; the user is told at once when to retry. */
   | { readonly kind: 'later'; readonly reason: string };
 
+/** The state of a job in the state service; `unavailable`: it could not be read. */
 export type JobState =
   | { readonly kind: 'open'; readonly record: JobRecord; readonly version: Revision }
   | { readonly kind: 'ended'; readonly final: JobFinal; readonly version: Revision }
   | { readonly kind: 'absent' }
   | { readonly kind: 'unavailable' };
 
+/** What the registry needs from the rest of the controller. */
 export interface RegistryHooks {
-  /** Machine types, or null as long as they are unknown. */
+  /** Machine types, or null while they are unknown. */
   types(): readonly MachineType[] | null;
-  /** `waits`: it will start later, so that room now says nothing. */
+  /**
+   * Chooses the shard for a new job. `waits`: the job starts later, so that capacity that is free now is irrelevant.
+   */
   chooseShard(spec: JobSpec, waits: boolean): ShardName | null;
-  /** May jobs be stored that await others? */
+  /** Whether jobs with dependencies may be stored. */
   pipelines(): boolean;
-  /** What an open job waits for; null: a job that it needs is cancelled, and so it has to be. */
+  /**
+   * Unfinished dependencies of an open job; null if one of them is cancelled, so that this job must be cancelled too.
+   */
   awaits(id: JobId): readonly JobId[] | null;
+  /** Counts of running and done tasks of a job, as far as this node knows. */
   running(id: JobId): { running: number; done: number };
-  /** May users be told that it is cancelled: is it certain that its tasks end in time, whatever fails from now on? */
+  /**
+   * Whether users may be told that a job is cancelled: true once its tasks are certain to end in time, whatever fails
+   * from then on.
+   */
   carried(id: JobId, final: JobFinal, version: Revision): Promise<boolean>;
-  /** It is known here, for the first time, to be over. */
+  /** Called when this node first learns that a job has ended. */
   ended(id: JobId, final: JobFinal): void;
 }
 
-const later = (reason: string): Outcome => ({ kind: 'later', reason });
-const MAX_FINALS = 20_000;
-/** How much a record may grow after its acceptance, by its birth, its shard and the progress of a job of some size. */
-const GROWS_BYTES = 300;
-const FEW_TYPES = 4;
+const retryLater = (reason: string): Outcome => ({ kind: 'later', reason });
+const MAX_CACHED_FINALS = 20_000;
+/**
+ * Room left for the growth of a record after acceptance: birth field, longer shard name, progress of a mid-sized job.
+ */
+const RECORD_GROWTH_BYTES = 300;
+/** Lists of machine types up to this length are stored unfiltered. */
+const MAX_UNFILTERED_TYPES = 4;
 
-/** What those that a job awaits make of it. */
-interface Before {
-  /** Those that aren't over. */
-  readonly left: readonly JobId[];
-  /** One of them is cancelled. */
+/** State of the dependencies that a submission names. */
+interface DependencyState {
+  /** Dependencies that have not ended. */
+  readonly unfinished: readonly JobId[];
+  /** Whether a dependency is cancelled. */
   readonly cancelled: boolean;
 }
-const NOTHING_BEFORE: Before = { left: [], cancelled: false };
+const NO_DEPENDENCIES: DependencyState = { unfinished: [], cancelled: false };
 
-/** Submissions, queries and cancellations: what is stored decides, and only a stored job is accepted. */
+/**
+ * Serves submissions, queries and cancellations of jobs. The state service is the source of truth: a job is accepted
+ * only once it is stored.
+ */
 export class JobRegistry {
-  /** Finals never change, so they may be kept. */
+  /** Cache of final records, which never change. */
   private readonly finals = new Map<JobId, { readonly final: JobFinal; readonly version: Revision }>();
-  /** Said to be cancelled by an earlier release, which says no more than that. */
-  private readonly saidOver = new Set<JobId>();
+  /** Jobs that a peer of an earlier release reported as cancelled; it reports nothing but the id. */
+  private readonly reportedCancelled = new Set<JobId>();
   private readonly freshness: Freshness;
 
   constructor(
@@ -79,7 +99,10 @@
     this.freshness = new Freshness(state, mirror, runtime);
   }
 
-  /** The present state of a job, read afresh; an ended job is in `finals` before it leaves `jobs`. */
+  /**
+   * Reads the current state of a job from the state service. The open job is read before the final record, because the
+   * final is stored in the transaction that removes the open job.
+   */
   async look(id: JobId): Promise<JobState> {
     const cached = this.finals.get(id);
     if (cached) return { kind: 'ended', ...cached };
@@ -93,7 +116,7 @@
     const ended = await this.state.get(finalKey(id));
     if (ended.kind === 'unavailable') return { kind: 'unavailable' };
     if (ended.kind === 'absent') {
-      // Accepted between the two reads: it is not absent, we were too early.
+      // A job accepted between the two reads is not absent; the first read was too early.
       return this.mirror.get(jobKey(id)) ? { kind: 'unavailable' } : { kind: 'absent' };
     }
     const final = decodeFinal(ended.entry.value);
@@ -103,62 +126,63 @@
     return { kind: 'ended', final, version };
   }
 
-  /** How it ended, if that is known here. */
+  /** The final record of a job if this node has it in its cache. */
   finalOf(id: JobId): JobFinal | undefined {
     return this.finals.get(id)?.final;
   }
 
-  /** Is it known here to be over? Whatever else is seen of it is older, and it is never taken up again. */
+  /** Whether this node knows that the job has ended. Any other state of it is older, and it is never run again. */
   isOver(id: JobId): boolean {
-    return this.finals.has(id) || this.saidOver.has(id);
+    return this.finals.has(id) || this.reportedCancelled.has(id);
   }
 
-  /** An earlier release says that it is stored as cancelled; how far it had come is not known. */
+  /** Records that a peer of an earlier release reported a stored cancellation; the job's progress is not known. */
   heardOver(id: JobId): void {
-    if (this.saidOver.size >= MAX_FINALS) this.saidOver.clear();
-    this.saidOver.add(id);
+    if (this.reportedCancelled.size >= MAX_CACHED_FINALS) this.reportedCancelled.clear();
+    this.reportedCancelled.add(id);
   }
 
-  /** It is over, by a final that was stored in this version. */
+  /** Caches the final record of a job, stored at the given revision, and reports the first such record of each job. */
   remember(id: JobId, final: JobFinal, version: Revision): void {
-    if (this.finals.size >= MAX_FINALS) {
+    if (this.finals.size >= MAX_CACHED_FINALS) {
       const oldest = this.finals.keys().next();
       if (!oldest.done) this.finals.delete(oldest.value);
     }
-    const known = this.finals.has(id);
+    const cached = this.finals.has(id);
     this.finals.set(id, { final, version });
-    if (!known) this.hooks.ended(id, final);
+    if (!cached) this.hooks.ended(id, final);
   }
 
-  async submit(given: JobSpec, awaits: readonly JobId[] = []): Promise<Outcome> {
-    const spec = this.storable(given);
+  /** Accepts a job, or reports the state of a job that was accepted under the same id before. */
+  async submit(requested: JobSpec, awaits: readonly JobId[] = []): Promise<Outcome> {
+    const spec = this.withoutUnknownTypes(requested);
     const types = this.hooks.types();
-    const never = types === null ? null : whyNever(spec, this.teams, types);
-    if (types === null || never !== null) {
-      // A job accepted earlier stays accepted, whatever the settings or types say now.
-      const known = await this.known(spec.id);
-      if (known.kind === 'known' || known.kind === 'later') return known;
-      return never === null ? later('machine types are not known yet') : { kind: 'never', reason: never };
+    const rejection = types === null ? null : whyNever(spec, this.teams, types);
+    if (types === null || rejection !== null) {
+      // A job accepted earlier stays accepted, whatever the current settings or machine types are.
+      const existing = await this.queryExisting(spec.id);
+      if (existing.kind === 'known' || existing.kind === 'later') return existing;
+      return rejection === null ? retryLater('machine types are not known yet') : { kind: 'never', reason: rejection };
     }
-    const before = awaits.length === 0 ? NOTHING_BEFORE : await this.before(awaits);
-    if ('kind' in before) {
-      // Whatever its list says now, a job that was accepted is known.
-      const known = await this.known(spec.id);
-      return known.kind === 'absent' ? before : known;
+    const dependencies = awaits.length === 0 ? NO_DEPENDENCIES : await this.checkDependencies(awaits);
+    if ('kind' in dependencies) {
+      // A job accepted earlier is known, whatever dependencies this request names.
+      const existing = await this.queryExisting(spec.id);
+      return existing.kind === 'absent' ? dependencies : existing;
     }
-    if (before.cancelled) return this.acceptCancelled(spec.id);
-    const { left } = before;
-    const shard = this.hooks.chooseShard(spec, left.length > 0);
+    if (dependencies.cancelled) return this.acceptAsCancelled(spec.id);
+    const { unfinished } = dependencies;
+    const shard = this.hooks.chooseShard(spec, unfinished.length > 0);
     if (!shard) {
-      const known = await this.known(spec.id);
-      return known.kind === 'absent' ? later('no shard is held yet') : known;
+      const existing = await this.queryExisting(spec.id);
+      return existing.kind === 'absent' ? retryLater('no shard is held yet') : existing;
     }
     const done = Bits.empty(spec.tasks);
-    const record: JobRecord = { spec, shard, submittedAt: this.runtime.wall(), done, awaits: left };
+    const record: JobRecord = { spec, shard, submittedAt: this.runtime.wall(), done, awaits: unfinished };
     const value = encodeRecord(record);
-    if (valueBytes(value) + GROWS_BYTES > this.state.limits.valueBytes) {
-      const known = await this.known(spec.id);
-      return known.kind === 'absent' ? { kind: 'malformed', reason: 'it is too long to be stored' } : known;
+    if (valueBytes(value) + RECORD_GROWTH_BYTES > this.state.limits.valueBytes) {
+      const existing = await this.queryExisting(spec.id);
+      return existing.kind === 'absent' ? { kind: 'malformed', reason: 'the job is too long to be stored' } : existing;
     }
     const result = await this.state.txn(
       Urgency.accept,
@@ -174,111 +198,128 @@
       return { kind: 'created', view: { id: spec.id, phase: 'queued', done: 0, running: 0 } };
     }
     if (result.kind === 'conflict' || result.kind === 'unknown') {
-      const known = await this.known(spec.id);
-      // An unknown write may still be applied later: the user asks again and is then told so.
-      return known.kind === 'absent' ? later('the outcome of the write is not known') : known;
+      const existing = await this.queryExisting(spec.id);
+      // A write with an unknown outcome may still be applied: the user retries and then learns whether it was.
+      return existing.kind === 'absent' ? retryLater('the outcome of the write is not known') : existing;
     }
-    return later('the state service takes no writes');
+    return retryLater('the state service accepts no writes');
   }
 
-  /** Only names of machine types that there are take room in what is stored. */
-  private storable(spec: JobSpec): JobSpec {
+  /**
+   * Drops names of machine types that do not exist from a long list, so that they take no room in the stored record.
+   */
+  private withoutUnknownTypes(spec: JobSpec): JobSpec {
     const types = this.hooks.types();
-    if (!types || !spec.types || spec.types.length <= FEW_TYPES) return spec;
-    const there = new Set(types.map(({ name }) => name));
-    const kept = spec.types.filter((name) => there.has(name));
+    if (!types || !spec.types || spec.types.length <= MAX_UNFILTERED_TYPES) return spec;
+    const existing = new Set(types.map(({ name }) => name));
+    const kept = spec.types.filter((name) => existing.has(name));
     return kept.length === 0 ? spec : { ...spec, types: kept };
   }
 
-  /** What becomes of a job by those that it awaits, or why it can't be accepted now. */
-  private async before(awaits: readonly JobId[]): Promise<Before | Outcome> {
-    if (!this.hooks.pipelines()) return later('not every controller can take jobs that await others yet');
-    const states = await Promise.all(awaits.map(async (id) => ({ id, state: await this.standing(id) })));
-    const left: JobId[] = [];
+  /** Reads the dependencies of a new job; returns an outcome if the job can't be accepted because of them. */
+  private async checkDependencies(awaits: readonly JobId[]): Promise<DependencyState | Outcome> {
+    if (!this.hooks.pipelines()) return retryLater('not every controller supports jobs with dependencies yet');
+    const states = await Promise.all(awaits.map(async (id) => ({ id, state: await this.readDependency(id) })));
+    const unfinished: JobId[] = [];
     let cancelled = false;
     for (const { id, state } of states) {
-      if (state.kind === 'unavailable') return later(`whether ${id} was accepted cannot be read`);
+      if (state.kind === 'unavailable') return retryLater(`awaits: the state of ${id} cannot be read`);
       if (state.kind === 'absent') return { kind: 'never', reason: `awaits: ${id} was never accepted` };
       if (state.kind === 'open' && state.record.spec.kind === 'service')
         return { kind: 'never', reason: `awaits: ${id} is a service, which is never done` };
-      if (state.kind === 'open') left.push(id);
+      if (state.kind === 'open') unfinished.push(id);
       else cancelled ||= state.final.phase === 'cancelled';
     }
-    return { left, cancelled };
+    return { unfinished, cancelled };
   }
 
-  /** That a job is open may be a moment old: whoever waits for it learns of its end. That it never was may not. */
-  private async standing(id: JobId): Promise<JobState> {
+  /**
+   * Reads the state of a dependency. That it is open may come from a slightly stale mirror, because the waiting job
+   * learns of its end later. That it does not exist must come from a fresh read.
+   */
+  private async readDependency(id: JobId): Promise<JobState> {
     return this.openInMirror(id, this.mirror.loaded) ?? this.look(id);
   }
 
-  /** Accepted all the same, and over with what it needs. */
-  private async acceptCancelled(id: JobId): Promise<Outcome> {
+  /** Accepts a job and stores it as cancelled at once, because one of its dependencies is cancelled. */
+  private async acceptAsCancelled(id: JobId): Promise<Outcome> {
     const final: JobFinal = { phase: 'cancelled', done: 0, at: this.runtime.wall() };
     const guards = [
       { key: jobKey(id), version: 0 },
       { key: finalKey(id), version: 0 },
     ];
     const result = await this.state.txn(Urgency.accept, guards, [{ put: finalKey(id), value: final }], 1500);
-    if (result.kind === 'refused' || result.kind === 'no-lease') return later('the state service takes no writes');
+    if (result.kind === 'refused' || result.kind === 'no-lease')
+      return retryLater('the state service accepts no writes');
     if (result.kind === 'ok') {
       this.remember(id, final, result.revision);
-      this.log.info({ job: id }, 'job accepted and cancelled: a job that it needs is cancelled');
+      this.log.info({ job: id }, 'job accepted as cancelled: one of its dependencies is cancelled');
       return { kind: 'created', view: { id, phase: 'cancelled', done: 0, running: 0 } };
     }
-    const known = await this.known(id);
-    return known.kind === 'absent' ? later('the outcome of the write is not known') : known;
+    const existing = await this.queryExisting(id);
+    return existing.kind === 'absent' ? retryLater('the outcome of the write is not known') : existing;
   }
 
-  private async known(id: JobId): Promise<Outcome> {
+  /** The state of a job that an earlier request may have stored. */
+  private async queryExisting(id: JobId): Promise<Outcome> {
     return this.query(id);
   }
 
+  /** Reports the state of a job to a user. */
   async query(id: JobId): Promise<Outcome> {
-    const state = this.openInMirror(id, await this.mayUseMirror(id)) ?? (await this.look(id));
+    const state = this.openInMirror(id, await this.isMirrorUsable(id)) ?? (await this.look(id));
     switch (state.kind) {
       case 'unavailable':
-        return later('the state service cannot be read');
+        return retryLater('the state service cannot be read');
       case 'absent':
         return { kind: 'absent' };
       case 'ended': {
         const { final, version } = state;
-        // Until then nobody is told: what is confirmed must come true with no help from anybody.
+        // A cancellation is not reported before every holder knows of it: once confirmed, it must take effect even if
+        // all other components fail.
         if (final.phase === 'cancelled' && !(await this.hooks.carried(id, final, version)))
-          return later('its cancellation has yet to reach every holder');
+          return retryLater('the cancellation has not reached every holder yet');
         return { kind: 'known', view: { id, phase: final.phase, done: final.done, running: 0 } };
       }
       case 'open': {
         const awaits = this.hooks.awaits(id);
         if (awaits === null) {
-          // What it needs is cancelled: it is called so as soon as that is stored, by every node alike, and nothing else.
+          // A dependency is cancelled. Once that is stored, every node reports this job as cancelled and as nothing
+          // else.
           const ended = await this.withdraw(id);
-          return ended ? this.query(id) : later('it is being cancelled with a job that it needs');
+          return ended ? this.query(id) : retryLater('the job is being cancelled because a dependency is cancelled');
         }
-        const seen = this.hooks.running(id);
-        const done = Math.min(state.record.spec.tasks, Math.max(seen.done, state.record.done.count));
+        const progress = this.hooks.running(id);
+        const done = Math.min(state.record.spec.tasks, Math.max(progress.done, state.record.done.count));
         return {
           kind: 'known',
-          view: { id, phase: seen.running > 0 || done > 0 ? 'running' : 'queued', done, running: seen.running, awaits },
+          view: {
+            id,
+            phase: progress.running > 0 || done > 0 ? 'running' : 'queued',
+            done,
+            running: progress.running,
+            awaits,
+          },
         };
       }
     }
   }
 
-  /** A job that is over needs no mirror: its final state can't change any more. */
-  private mayUseMirror(id: JobId): Promise<boolean> {
+  /** Whether the mirror is fresh enough to answer a query. Not needed for an ended job, whose final state is cached. */
+  private isMirrorUsable(id: JobId): Promise<boolean> {
     return this.finals.has(id) ? Promise.resolve(false) : this.freshness.ensure();
   }
 
+  /** The open job in the mirror; null if the mirror is not fresh or does not hold the job as open. */
   private openInMirror(id: JobId, fresh: boolean): JobState | null {
     const entry = fresh ? this.mirror.get(jobKey(id)) : undefined;
     const record = entry && !this.finals.has(id) ? decodeRecord(entry.value) : null;
     return entry && record ? { kind: 'open', record, version: entry.version } : null;
   }
 
-  /** Ends a job because one that it needs is cancelled; true: it is over, by whoever's hand. */
+  /** Cancels a job because one of its dependencies is cancelled. Returns true if the job has ended, for any reason. */
   async withdraw(id: JobId): Promise<boolean> {
-    for (let tries = 0; tries < 4; tries++) {
+    for (let attempts = 0; attempts < 4; attempts++) {
       const state = await this.look(id);
       if (state.kind === 'ended') return true;
       if (state.kind !== 'open') return false;
@@ -290,10 +331,11 @@
     return false;
   }
 
+  /** Cancels a job at its user's request, and reports it once the cancellation may be confirmed. */
   async cancel(id: JobId): Promise<Outcome> {
-    for (let tries = 0; tries < 4; tries++) {
+    for (let attempts = 0; attempts < 4; attempts++) {
       const state = await this.look(id);
-      if (state.kind === 'unavailable') return later('the state service cannot be read');
+      if (state.kind === 'unavailable') return retryLater('the state service cannot be read');
       if (state.kind === 'absent') return { kind: 'absent' };
       if (state.kind === 'ended') return this.query(id);
       const done = Math.max(state.record.done.count, this.hooks.running(id).done);
@@ -302,12 +344,16 @@
         this.log.info({ job: id }, 'job cancelled by its user');
         return this.query(id);
       }
-      if (ended === 'later') return later('the state service takes no writes');
+      if (ended === 'later') return retryLater('the state service accepts no writes');
     }
-    return later('the job is changing too fast');
+    return retryLater('the job is changing too fast to be cancelled now');
   }
 
-  /** Ends a job in one transaction, so that it is always in exactly one of the two places. */
+  /**
+   * Replaces an open job by its final record in one transaction, so that exactly one of the two is stored at any time.
+   * `conflict`: the job has changed since `version`, or the outcome is unknown. `later`: the state service accepts no
+   * writes.
+   */
   async end(id: JobId, version: Revision, final: JobFinal, waitMs: number): Promise<'ok' | 'conflict' | 'later'> {
     const result = await this.state.txn(
       Urgency.final,
