--- a/src/admin/api.ts
+++ b/src/admin/api.ts
@@ -1,47 +1,53 @@
+/** The administration API. */
 import { Router, type Response } from 'express';
 import { rolloutRouter, type RolloutDesk } from './rollout.js';
-import { encodeSettings, mark, parseTunables, type MachineMark } from './settings.js';
+import { encodeSettings, mark, parseTunables, type MachineAction } from './settings.js';
 import type { SettingsResult, SettingsStore } from './store.js';
 
-const MARKS: readonly MachineMark[] = ['cordon', 'drain', 'uncordon'];
-const MACHINE = /^[A-Za-z0-9._-]{1,100}$/;
+const MACHINE_ACTIONS: readonly MachineAction[] = ['cordon', 'drain', 'uncordon'];
+const MACHINE_ID_PATTERN = /^[A-Za-z0-9._-]{1,100}$/;
 
-/** What this node tells those who record. */
+/** The event trail of this node, as served to recorders. */
 export interface TrailView {
-  page(after: number, most: number): unknown;
-  /** What a replay needs to know besides: machine types, teams, limits. */
+  /** Events after the given number, oldest first, at most `limit`. */
+  page(after: number, limit: number): unknown;
+  /** What a replay needs besides the events: machine types, teams, limits. */
   facts(): unknown;
 }
 
-const MOST_EVENTS = 1000;
-const COUNT = /^\d{1,15}$/;
+const MAX_EVENTS_PER_PAGE = 1000;
+const WHOLE_NUMBER_PATTERN = /^\d{1,15}$/;
 
-const LATER = { error: 'the state service gives no answer, try again' };
-const FOREIGN = { error: 'the settings are of a later release, which this one leaves alone' };
-const TOO_LARGE = { error: 'the settings would be longer than the state service takes as one value' };
+const UNAVAILABLE_ERROR = { error: 'the state service does not answer, try again' };
+const NEWER_RELEASE_ERROR = { error: 'the settings were written by a later release and are left unchanged' };
+const TOO_LARGE_ERROR = { error: 'the settings would exceed the maximum size of a value in the state service' };
 
-/** Answers with the settings as they are stored, or with why they could not be read or changed. */
+/** Answers with the stored settings, or with why they could not be read or changed. */
 function answerSettings(res: Response, result: SettingsResult): void {
   if (result.kind === 'stored') res.json({ ...encodeSettings(result.settings), revision: result.revision });
-  else if (result.kind === 'foreign') res.status(409).json(FOREIGN);
-  else if (result.kind === 'too-large') res.status(413).json(TOO_LARGE);
-  else res.status(503).set('Retry-After', '1').json(LATER);
+  else if (result.kind === 'foreign') res.status(409).json(NEWER_RELEASE_ERROR);
+  else if (result.kind === 'too-large') res.status(413).json(TOO_LARGE_ERROR);
+  else res.status(503).set('Retry-After', '1').json(UNAVAILABLE_ERROR);
 }
 
-/** A whole number from the query; null when it is none. */
-function count(text: unknown, fallback: number): number | null {
+/** Parses a whole number from the query string; null if it is not one. */
+function parseWholeNumber(text: unknown, fallback: number): number | null {
   if (text === undefined) return fallback;
-  return typeof text === 'string' && COUNT.test(text) ? Number(text) : null;
+  return typeof text === 'string' && WHOLE_NUMBER_PATTERN.test(text) ? Number(text) : null;
 }
 
-/** What this node tells operators of itself. */
+/** State of this node as reported to operators. */
 export interface NodeViews {
+  /** What this node holds and sees. */
   status(): unknown;
-  /** Limits of teams: how they are divided, what each shard uses and waits for. */
+  /** Team limits: how they are divided between shards, and what each shard uses and waits for. */
   quotas(): unknown;
 }
 
-/** The administration API: operators' settings, and what this node sees. */
+/**
+ * Routes of the administration API: operators' settings, the rollout and the state of this node. `trail` is null if
+ * off.
+ */
 export function adminRouter(
   store: SettingsStore,
   views: NodeViews,
@@ -59,16 +65,18 @@
   });
 
   router.get('/trail', (req, res) => {
-    const after = count(req.query['after'], 0);
-    const limit = count(req.query['limit'], MOST_EVENTS);
-    if (!trail) res.status(404).json({ error: 'this controller keeps no trail: serve --trail EVENTS' });
+    const after = parseWholeNumber(req.query['after'], 0);
+    const limit = parseWholeNumber(req.query['limit'], MAX_EVENTS_PER_PAGE);
+    if (!trail)
+      res.status(404).json({ error: 'this controller keeps no event trail: start it with serve --trail EVENTS' });
     else if (after === null) res.status(400).json({ error: 'after: must be a whole number' });
     else if (limit === null || limit < 1) res.status(400).json({ error: 'limit: must be a whole number from 1' });
-    else res.json(trail.page(after, Math.min(limit, MOST_EVENTS)));
+    else res.json(trail.page(after, Math.min(limit, MAX_EVENTS_PER_PAGE)));
   });
 
   router.get('/trail/facts', (_req, res) => {
-    if (!trail) res.status(404).json({ error: 'this controller keeps no trail: serve --trail EVENTS' });
+    if (!trail)
+      res.status(404).json({ error: 'this controller keeps no event trail: start it with serve --trail EVENTS' });
     else res.json(trail.facts());
   });
 
@@ -87,19 +95,19 @@
       res.status(400).json({ error: parsed.reason });
       return;
     }
-    const given = Object.fromEntries(Object.entries(parsed.patch).filter(([, value]) => value !== undefined));
-    const settings = await store.change((s) => ({ ...s, tunables: { ...s.tunables, ...given } }));
+    const changes = Object.fromEntries(Object.entries(parsed.patch).filter(([, value]) => value !== undefined));
+    const settings = await store.change((s) => ({ ...s, tunables: { ...s.tunables, ...changes } }));
     answerSettings(res, settings);
   });
 
   router.post('/machines/:id/:mark', async (req, res) => {
-    const how = MARKS.find((m) => m === req.params.mark);
+    const action = MACHINE_ACTIONS.find((known) => known === req.params.mark);
     const { id } = req.params;
-    if (how === undefined || !MACHINE.test(id)) {
+    if (action === undefined || !MACHINE_ID_PATTERN.test(id)) {
       res.status(404).json({ error: 'not found' });
       return;
     }
-    const settings = await store.change((s) => mark(s, id, how));
+    const settings = await store.change((s) => mark(s, id, action));
     answerSettings(res, settings);
   });
   return router;
--- a/src/admin/rollout.ts
+++ b/src/admin/rollout.ts
@@ -1,43 +1,59 @@
+/** The rollout part of the administration API. */
 import { Router, type Response } from 'express';
 import { wallMillis, type Clock } from '../kernel/index.js';
 import { FEATURE_WISHES, type FeatureState, type RolloutWishes, type WishResult } from '../rollout/index.js';
 
-/** What operators may ask of a rollout, and of this node before it is ended. */
+/** Controls a rollout, and the departure of this node before its process is stopped. */
 export interface RolloutDesk {
   readonly clock: Clock;
-  /** Of this program's features, with how they stand. */
+  /** State of the features of this release; `finished`: the feature can no longer be rolled back. */
   features(): ReadonlyMap<string, { readonly state: FeatureState; readonly finished: boolean }>;
+  /** State of the rollout as reported to operators. */
   overview(): unknown;
-  wish(how: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult>;
+  /** Stores a change of the operators' requests. */
+  wish(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult>;
+  /** Starts to hand everything that this node holds to other nodes, or says why it can't. */
   leave(): { readonly ok: true } | { readonly ok: false; readonly reason: string };
+  /** Cancels the departure. */
   stay(): void;
-  /** Is it leaving, has it left, and how long until it takes part again by itself. */
+  /**
+   * Progress of the departure. `left`: the node holds nothing any more; `staysInS`: seconds until it takes part again
+   * by itself, null if it is not leaving.
+   */
   leaving(): { readonly leaving: boolean; readonly left: boolean; readonly staysInS: number | null };
 }
 
-const FOREIGN = { error: 'the record of the rollout is of a later release, which this one leaves alone' };
-const LATER = { error: 'the state service gives no answer, try again' };
+const NEWER_RELEASE_ERROR = { error: 'the rollout record was written by a later release and is left unchanged' };
+const UNAVAILABLE_ERROR = { error: 'the state service does not answer, try again' };
 
-async function answer(res: Response, desk: RolloutDesk, how: (wishes: RolloutWishes) => RolloutWishes): Promise<void> {
-  const result = await desk.wish(how);
-  if (result.kind === 'ok') res.json(desk.overview());
-  else if (result.kind === 'foreign') res.status(409).json(FOREIGN);
-  else res.status(503).set('Retry-After', '1').json(LATER);
+/** Stores a change of the operators' requests and answers with the overview, or with why it could not be stored. */
+async function storeAndAnswer(
+  res: Response,
+  control: RolloutDesk,
+  change: (wishes: RolloutWishes) => RolloutWishes,
+): Promise<void> {
+  const result = await control.wish(change);
+  if (result.kind === 'ok') res.json(control.overview());
+  else if (result.kind === 'foreign') res.status(409).json(NEWER_RELEASE_ERROR);
+  else res.status(503).set('Retry-After', '1').json(UNAVAILABLE_ERROR);
 }
 
-export function rolloutRouter(desk: RolloutDesk): Router {
+/** Routes of the rollout and of the departure of this node. */
+export function rolloutRouter(control: RolloutDesk): Router {
   const router = Router();
 
   router.get('/rollout', (_req, res) => {
-    res.json(desk.overview());
+    res.json(control.overview());
   });
-  router.post('/rollout/pause', (_req, res) => answer(res, desk, (wishes) => ({ ...wishes, paused: true })));
-  router.post('/rollout/resume', (_req, res) => answer(res, desk, (wishes) => ({ ...wishes, paused: false })));
+  router.post('/rollout/pause', (_req, res) => storeAndAnswer(res, control, (wishes) => ({ ...wishes, paused: true })));
+  router.post('/rollout/resume', (_req, res) =>
+    storeAndAnswer(res, control, (wishes) => ({ ...wishes, paused: false })),
+  );
   router.post('/rollout/finish', async (_req, res) => {
-    const on = [...desk.features()].filter(([, { state, finished }]) => state === 'on' && !finished);
-    if (on.length === 0) res.status(409).json({ error: 'no feature is on whose way back is open' });
+    const on = [...control.features()].filter(([, { state, finished }]) => state === 'on' && !finished);
+    if (on.length === 0) res.status(409).json({ error: 'no feature is on that could still be rolled back' });
     else
-      await answer(res, desk, (wishes) => ({
+      await storeAndAnswer(res, control, (wishes) => ({
         ...wishes,
         finish: [...new Set([...wishes.finish, ...on.map(([name]) => name)])],
       }));
@@ -45,31 +61,33 @@
 
   router.post('/rollout/features/:name/:wish', async (req, res) => {
     const { name } = req.params;
-    const wish = FEATURE_WISHES.find((known) => known === req.params.wish);
-    const known = desk.features();
-    const feature = known.get(name);
-    if (wish === undefined) res.status(404).json({ error: `no such wish: one of ${FEATURE_WISHES.join(', ')}` });
+    const wish = FEATURE_WISHES.find((candidate) => candidate === req.params.wish);
+    const features = control.features();
+    const feature = features.get(name);
+    if (wish === undefined)
+      res.status(404).json({ error: `unknown request: must be one of ${FEATURE_WISHES.join(', ')}` });
     else if (!feature)
-      res.status(404).json({ error: `no feature ${name} in this release: there are ${[...known.keys()].join(', ')}` });
-    else if (wish === 'back' && feature.finished) res.status(409).json({ error: `${name}: its way back is closed` });
+      res.status(404).json({ error: `this release has no feature ${name}: it has ${[...features.keys()].join(', ')}` });
+    else if (wish === 'back' && feature.finished)
+      res.status(409).json({ error: `feature ${name} can no longer be rolled back` });
     else
-      await answer(res, desk, (wishes) => ({
+      await storeAndAnswer(res, control, (wishes) => ({
         ...wishes,
-        features: new Map(wishes.features).set(name, { wish, at: wallMillis(desk.clock.wall()) }),
+        features: new Map(wishes.features).set(name, { wish, at: wallMillis(control.clock.wall()) }),
       }));
   });
 
   router.get('/leave', (_req, res) => {
-    res.json(desk.leaving());
+    res.json(control.leaving());
   });
   router.post('/leave', (_req, res) => {
-    const asked = desk.leave();
-    if (asked.ok) res.status(202).json(desk.leaving());
-    else res.status(409).json({ error: asked.reason });
+    const result = control.leave();
+    if (result.ok) res.status(202).json(control.leaving());
+    else res.status(409).json({ error: result.reason });
   });
   router.delete('/leave', (_req, res) => {
-    desk.stay();
-    res.json(desk.leaving());
+    control.stay();
+    res.json(control.leaving());
   });
   return router;
 }
--- a/src/admin/store.ts
+++ b/src/admin/store.ts
@@ -1,25 +1,27 @@
+/** Reads and changes the operators' settings in the state service. */
 import type { Millis, Runtime } from '../kernel/index.js';
 import { isForeign, SETTINGS, Urgency, type Mirror, type StateClient } from '../state/index.js';
 import { decodeSettings, encodeSettings, SETTINGS_FORMAT, type OperatorSettings } from './settings.js';
 
-/** How long a change is retried before its caller is told to come again, in milliseconds. */
+/** How long a change is retried before its caller is told to retry. */
 export const CHANGE_DEADLINE_MS = 3500;
-/** Changes that may wait on one node; further ones are refused at once. */
+/** Maximum number of changes that may wait on one node; further ones are refused at once. */
 export const MAX_PENDING_CHANGES = 500;
-/** Pause before another attempt, drawn evenly, so that nodes that collided do not collide again. */
-const RETRY_MS = [20, 180] as const;
+/** Range of the random pause before a retry (uniform jitter), so that nodes that collided do not collide again. */
+const RETRY_PAUSE_RANGE_MS = [20, 180] as const;
 
 /** A change of the settings. It may be applied more than once, so it must be idempotent. */
 export type SettingsChange = (settings: OperatorSettings) => OperatorSettings;
 
+/** The outcome of a read or a change of the settings. */
 export type SettingsResult =
-  /** `revision`: the state service's, of the record that holds them. */
+  /** `revision`: the revision of the settings record in the state service. */
   | { readonly kind: 'stored'; readonly settings: OperatorSettings; readonly revision: number }
-  /** The stored settings are of a later release, which this one must not write over. */
+  /** The stored settings were written by a later release; this release must not overwrite them. */
   | { readonly kind: 'foreign' }
-  /** With this change the record would exceed what the state service takes as one value. */
+  /** With this change the record would exceed the maximum size of a value in the state service. */
   | { readonly kind: 'too-large' }
-  /** The state service gave no answer in time, or too many changes wait. The change may still be retried. */
+  /** The state service did not answer in time, or too many changes are waiting. The caller may retry the change. */
   | { readonly kind: 'unavailable' };
 
 interface PendingChange {
@@ -33,9 +35,9 @@
 /**
  * Reads and changes the operators' settings, which are one record of the state service.
  *
- * Changes that arrive while a write is under way are committed together by the next one (group commit): a burst costs one
- * guarded write for each node instead of one for each change. A write that loses the race against another node is retried
- * on the fresh record after a random pause until each change's deadline.
+ * Changes that arrive during a write are committed together by the next write (group commit): a burst costs one guarded
+ * write per node instead of one per change. A write that conflicts with another node's write is retried on the fresh
+ * record after a random pause until each change's deadline.
  */
 export class SettingsStore {
   private decoded: { readonly value: unknown; readonly settings: OperatorSettings } | undefined;
@@ -48,29 +50,31 @@
     private readonly runtime: Pick<Runtime, 'now' | 'random' | 'sleep'>,
   ) {}
 
-  /** The settings that this node acts on. Asked for every machine in every round: decoded once for each value. */
+  /**
+   * The settings that this node acts on. Read for every machine in every round, so each stored value is decoded once.
+   */
   get current(): OperatorSettings {
     const value = this.mirror.get(SETTINGS)?.value;
     if (!this.decoded || this.decoded.value !== value) {
-      // Those of a later release can't be read: what was known last goes on.
-      const known = isForeign(value, SETTINGS_FORMAT) ? this.decoded?.settings : undefined;
-      this.decoded = { value, settings: known ?? decodeSettings(value) };
+      // Settings of a later release can't be read: the last known settings stay in effect.
+      const lastKnown = isForeign(value, SETTINGS_FORMAT) ? this.decoded?.settings : undefined;
+      this.decoded = { value, settings: lastKnown ?? decodeSettings(value) };
     }
     return this.decoded.settings;
   }
 
-  /** The state service's revision of the settings that this node acts on; 0: none were ever stored. */
+  /** Revision of the settings record that this node acts on; 0 if none was ever stored. */
   get revision(): number {
     return this.mirror.get(SETTINGS)?.version ?? 0;
   }
 
-  /** The settings as they are stored now. */
+  /** Reads the stored settings from the state service. */
   async read(): Promise<SettingsResult> {
     const stored = await this.fetch();
     return 'settings' in stored ? { kind: 'stored', settings: stored.settings, revision: stored.version } : stored;
   }
 
-  /** Stores a change; settles within `CHANGE_DEADLINE_MS` and one request's timeout. */
+  /** Stores a change; resolves within `CHANGE_DEADLINE_MS` plus one request timeout. */
   change(apply: SettingsChange): Promise<SettingsResult> {
     if (this.pending.length >= MAX_PENDING_CHANGES) return Promise.resolve(UNAVAILABLE);
     return new Promise((resolve) => {
@@ -80,6 +84,7 @@
     });
   }
 
+  /** Commits pending changes batch by batch until none is left; only one such loop runs at a time. */
   private async commitPending(): Promise<void> {
     if (this.committing) return;
     this.committing = true;
@@ -89,7 +94,9 @@
         this.pending = [];
         const retry = await this.commit(batch);
         if (retry.length === 0) continue;
-        await this.runtime.sleep(RETRY_MS[0] + this.runtime.random() * (RETRY_MS[1] - RETRY_MS[0]));
+        await this.runtime.sleep(
+          RETRY_PAUSE_RANGE_MS[0] + this.runtime.random() * (RETRY_PAUSE_RANGE_MS[1] - RETRY_PAUSE_RANGE_MS[0]),
+        );
         this.pending = [...this.withinDeadline(retry), ...this.pending];
       }
     } finally {
@@ -97,13 +104,14 @@
     }
   }
 
+  /** Resolves changes past their deadline as unavailable and returns the others. */
   private withinDeadline(changes: readonly PendingChange[]): PendingChange[] {
     const now = this.runtime.now();
     for (const { deadline, resolve } of changes) if (deadline <= now) resolve(UNAVAILABLE);
     return changes.filter(({ deadline }) => deadline > now);
   }
 
-  /** One attempt to store a batch in one write. Resolves to the changes that are to be tried again. */
+  /** Attempts to store a batch in one write. Resolves to the changes that must be retried. */
   private async commit(batch: readonly PendingChange[]): Promise<readonly PendingChange[]> {
     const stored = await this.fetch();
     if (!('settings' in stored)) {
@@ -114,19 +122,21 @@
     const settings = batch.reduce((changed, { apply }) => apply(changed), stored.settings);
     const value = encodeSettings(settings);
     const guards = [{ key: SETTINGS, version: stored.version }];
-    // An unknown outcome is retried on a fresh read: changes are idempotent, and the guard voids the late write.
+    // An unknown outcome is retried on a fresh read: changes are idempotent, and the guard rejects the late write.
     const result = await this.state.txn(Urgency.accept, guards, [{ put: SETTINGS, value }]);
     if (result.kind === 'ok') {
       this.mirror.apply({ key: SETTINGS, value, removed: false, version: result.revision });
       for (const { resolve } of batch) resolve({ kind: 'stored', settings, revision: result.revision });
       return [];
     }
-    if (result.kind === 'refused' && result.tooLarge === true) return this.commitSingly(batch);
+    if (result.kind === 'refused' && result.tooLarge === true) return this.commitOneByOne(batch);
     return batch;
   }
 
-  /** The batch is too large for one value: each change on its own is stored or refused. */
-  private async commitSingly(batch: readonly PendingChange[]): Promise<readonly PendingChange[]> {
+  /**
+   * Commits the changes of a batch that is too large for one value one at a time, so that each is stored or refused.
+   */
+  private async commitOneByOne(batch: readonly PendingChange[]): Promise<readonly PendingChange[]> {
     const [only] = batch;
     if (only && batch.length === 1) {
       only.resolve({ kind: 'too-large' });
@@ -137,6 +147,7 @@
     return retry;
   }
 
+  /** Reads and decodes the settings record; version 0 if it is absent. */
   private async fetch(): Promise<
     { readonly settings: OperatorSettings; readonly version: number } | { readonly kind: 'foreign' | 'unavailable' }
   > {
