--- a/src/cli/streams.ts
+++ b/src/cli/streams.ts
@@ -1,6 +1,9 @@
 import type { Writable } from 'node:stream';
 
-/** A reader that goes away, as `head` does, ends the program without a word: nobody is left to tell anything. */
+/**
+ * Exits silently on EPIPE, when the reader of the stream closes it early, as `head` does. No reader is left for an
+ * error message.
+ */
 export function quietWhenUnread(stream: Writable): void {
   stream.on('error', (error: NodeJS.ErrnoException) => {
     if (error.code === 'EPIPE') process.exit(0);
--- a/src/config/index.ts
+++ b/src/config/index.ts
@@ -1,1 +1,2 @@
+/** The settings file of a controller. */
 export * from './settings.js';
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,45 +1,46 @@
+/** Reads and validates the settings file (TOML) with which the platform starts a controller. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { nodeName, parseAddress, type Address, type NodeName } from '../kernel/index.js';
 import type { StateFacts } from '../state/index.js';
 
-const amount = v.pipe(v.number(), v.minValue(0));
+const nonNegative = v.pipe(v.number(), v.minValue(0));
 const positive = v.pipe(v.number(), v.gtValue(0));
-const text = v.pipe(v.string(), v.nonEmpty());
+const nonEmptyText = v.pipe(v.string(), v.nonEmpty());
 const address = v.pipe(
   v.string(),
   v.check((value) => parseAddress(value) !== null, 'must be an IPv4 address and a port'),
 );
 
-/** The platform's file. Fields that we do not know are ignored. */
-const schema = v.object({
-  node: text,
-  area: text,
+/** Schema of the settings file. Unknown fields are ignored. */
+const settingsSchema = v.object({
+  node: nonEmptyText,
+  area: nonEmptyText,
   serve_on: address,
   cluster_listen: address,
-  seeds: v.optional(v.array(v.object({ node: text, area: text, peer_addr: address })), []),
+  seeds: v.optional(v.array(v.object({ node: nonEmptyText, area: nonEmptyText, peer_addr: address })), []),
   services: v.object({ cloud: address, state: address }),
   facts: v.object({
-    nodes: v.optional(amount),
-    zones: v.array(text),
-    skew_ms: v.optional(amount, 100),
+    nodes: v.optional(nonNegative),
+    zones: v.array(nonEmptyText),
+    skew_ms: v.optional(nonNegative, 100),
     teams: v.array(
       v.object({
-        name: text,
-        cpus: v.optional(amount, 0),
-        cpus_max: v.optional(amount, 0),
-        gpus: v.optional(amount, 0),
-        gpus_max: v.optional(amount, 0),
+        name: nonEmptyText,
+        cpus: v.optional(nonNegative, 0),
+        cpus_max: v.optional(nonNegative, 0),
+        gpus: v.optional(nonNegative, 0),
+        gpus_max: v.optional(nonNegative, 0),
       }),
     ),
     objectives: v.optional(
       v.array(
         v.object({
-          kind: text,
-          class: v.optional(text),
-          within_s: v.optional(amount),
-          share: v.optional(amount),
+          kind: nonEmptyText,
+          class: v.optional(nonEmptyText),
+          within_s: v.optional(nonNegative),
+          share: v.optional(nonNegative),
         }),
       ),
       [],
@@ -56,21 +57,23 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: positive,
-      /** What the state service will hold everybody to from some moment on, without notice. */
+      /** Lower limits that the state service will enforce from some time on, without notice. */
       next: v.nullish(
         v.object({ write_rps: v.optional(positive), value_kb: v.optional(positive), txn_ops: v.optional(positive) }),
       ),
     }),
-    cloud: v.object({ rps: positive, list_lag_s: amount }),
+    cloud: v.object({ rps: positive, list_lag_s: nonNegative }),
     machine_limits: v.optional(v.object({ max_connections: v.optional(positive, 800) }), {}),
   }),
 });
 
+/** A peer controller that the settings file names. */
 export interface Seed {
   readonly node: NodeName;
   readonly address: Address;
 }
 
+/** Resource quota of a team: guaranteed amounts, and limits of which 0 means none. */
 export interface TeamFacts {
   readonly cpus: number;
   readonly cpusMax: number;
@@ -78,6 +81,7 @@
   readonly gpusMax: number;
 }
 
+/** A service level objective for a kind of job. `withinS` is a time in seconds; `jobClass` null: for every class. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string | null;
@@ -85,16 +89,21 @@
   readonly share: number | null;
 }
 
+/** The validated settings of a controller. */
 export interface Settings {
   readonly node: NodeName;
   readonly zone: string;
+  /** Listen address for users, operators and workers. */
   readonly serveOn: Address;
+  /** Listen address for peer controllers. */
   readonly peerOn: Address;
   readonly seeds: readonly Seed[];
+  /** Address of the cloud provider's API. */
   readonly cloud: Address;
+  /** Address of the state service. */
   readonly state: Address;
   readonly zones: readonly string[];
-  /** How far apart the controllers' times of day may be. */
+  /** Maximum clock skew between the controllers' wall clocks. */
   readonly skewMs: number;
   readonly teams: ReadonlyMap<string, TeamFacts>;
   readonly objectives: readonly Objective[];
@@ -107,18 +116,21 @@
   };
   readonly stateLimits: StateFacts;
   readonly cloudLimits: { readonly rps: number; readonly listLagMs: number };
+  /** Maximum number of sockets that the controller may have open. */
   readonly maxConnections: number;
 }
 
-/** Says in one line which field is missing or wrong. */
+/** An invalid settings file; the message names the missing or invalid field in one line. */
 export class SettingsError extends Error {}
 
-function must(text: string): Address {
+/** Parses an address that the schema has already validated. */
+function requireAddress(text: string): Address {
   const parsed = parseAddress(text);
   if (!parsed) throw new SettingsError(`address: ${text} is not an IPv4 address and a port`);
   return parsed;
 }
 
+/** Parses and validates settings in TOML; throws a SettingsError. */
 export function parseSettings(toml: string): Settings {
   let raw: unknown;
   try {
@@ -127,7 +139,7 @@
     const reason = error instanceof Error ? (error.message.split('\n')[0] ?? '') : String(error);
     throw new SettingsError(`not valid TOML: ${reason}`);
   }
-  const result = v.safeParse(schema, raw);
+  const result = v.safeParse(settingsSchema, raw);
   if (!result.success) {
     const issue = result.issues[0];
     const path = v.getDotPath(issue) ?? 'settings';
@@ -137,11 +149,11 @@
   return {
     node: nodeName(s.node),
     zone: s.area,
-    serveOn: must(s.serve_on),
-    peerOn: must(s.cluster_listen),
-    seeds: s.seeds.map((seed) => ({ node: nodeName(seed.node), address: must(seed.peer_addr) })),
-    cloud: must(s.services.cloud),
-    state: must(s.services.state),
+    serveOn: requireAddress(s.serve_on),
+    peerOn: requireAddress(s.cluster_listen),
+    seeds: s.seeds.map((seed) => ({ node: nodeName(seed.node), address: requireAddress(seed.peer_addr) })),
+    cloud: requireAddress(s.services.cloud),
+    state: requireAddress(s.services.state),
     zones: s.facts.zones,
     skewMs: s.facts.skew_ms,
     teams: new Map(
@@ -178,12 +190,13 @@
   };
 }
 
+/** Loads settings from a file; throws a SettingsError if it can't be read or is invalid. */
 export function loadSettings(path: string): Settings {
   let toml: string;
   try {
     toml = readFileSync(path, 'utf8');
   } catch {
-    throw new SettingsError(`cannot read ${path}`);
+    throw new SettingsError(`cannot read settings file ${path}`);
   }
   return parseSettings(toml);
 }
--- a/src/trail/trail.ts
+++ b/src/trail/trail.ts
@@ -1,21 +1,21 @@
 import type { Runtime } from '../kernel/index.js';
 import type { NumberedEvent, TrailEvent } from './events.js';
 
-/** Some events in a row. */
+/** A page of consecutive events. */
 export interface TrailPage {
-  /** The number of the oldest event that is still kept. */
+  /** Number of the oldest event that is still kept. */
   readonly first: number;
-  /** The number that the next event will have. */
+  /** Number that the next event will get. */
   readonly next: number;
   readonly events: readonly NumberedEvent[];
 }
 
 /**
- * The last events of this controller. Of bounded size: whoever reads too slowly misses some, and sees by the
- * numbers that it does; the controller waits for nobody.
+ * Ring buffer of the most recent events of this controller. A reader that is too slow misses events and detects the gap
+ * by the event numbers; the controller never waits for a reader.
  */
 export class Trail {
-  private readonly ring: NumberedEvent[] = [];
+  private readonly ringBuffer: NumberedEvent[] = [];
   private next = 1;
 
   constructor(
@@ -23,18 +23,19 @@
     private readonly clock: Pick<Runtime, 'wall'>,
   ) {}
 
+  /** Appends an event with its number and time; overwrites the oldest event when the buffer is full. */
   note(event: TrailEvent): void {
     const numbered = { n: this.next, at: this.clock.wall(), ...event };
-    this.ring[(this.next - 1) % this.capacity] = numbered;
+    this.ringBuffer[(this.next - 1) % this.capacity] = numbered;
     this.next += 1;
   }
 
-  /** Events after this number, oldest first, at most so many. */
-  page(after: number, most: number): TrailPage {
+  /** Events after the given number, oldest first, at most `limit`. */
+  page(after: number, limit: number): TrailPage {
     const first = Math.max(1, this.next - this.capacity);
     const events: NumberedEvent[] = [];
-    for (let n = Math.max(first, after + 1); n < this.next && events.length < most; n++) {
-      const event = this.ring[(n - 1) % this.capacity];
+    for (let n = Math.max(first, after + 1); n < this.next && events.length < limit; n++) {
+      const event = this.ringBuffer[(n - 1) % this.capacity];
       if (event) events.push(event);
     }
     return { first, next: this.next, events };
