--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -81,7 +81,7 @@
   readonly gpusMax: number;
 }
 
-/** A service level objective for a kind of job. `withinS` is a time in seconds; `jobClass` null: for every class. */
+/** A service level objective. `kind`: what it measures, such as `wait` or `finished`; `withinS`: target in seconds. */
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string | null;
--- a/src/trail/events.ts
+++ b/src/trail/events.ts
@@ -58,7 +58,7 @@
       readonly wanted: number;
       readonly got: number;
     }
-  /** A machine has fetched an image. */
+  /** A machine has fetched an image, first seen when a task that uses the image runs there. */
   | { readonly kind: 'image'; readonly machine: MachineId; readonly image: string }
   /** The controller has become the leader. */
   | { readonly kind: 'leads' }
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -1,3 +1,4 @@
+/** Tests of input validation: settings, submissions, worker reports and tunables. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -6,6 +7,7 @@
 import { decodeMessage } from '../src/workers/index.js';
 import { decodeSettings, parseTunables } from '../src/admin/index.js';
 
+/** A minimal valid settings file. */
 export const SETTINGS = `
 node = "n-0"
 area = "z"
@@ -59,15 +61,15 @@
   due_s: null,
 };
 
-test('settings: unknown fields are ignored; what is missing or wrong is named in one line', () => {
+test('settings: unknown fields are ignored; a missing or invalid field is named in one line', () => {
   assert.equal(parseSettings(SETTINGS).workers.leaseMs, 10_000);
-  const wrong: [RegExp, string][] = [
+  const invalid: [RegExp, string][] = [
     [/^serve_on: /, SETTINGS.replace('serve_on = "127.0.0.1:1"', 'serve_on = "nowhere"')],
     [/^node: /, SETTINGS.replace('node = "n-0"', '')],
     [/^facts\.workers\.lease_s: /, SETTINGS.replace('lease_s = 10.0', 'lease_s = "long"')],
     [/^not valid TOML: /, 'node = '],
   ];
-  for (const [pattern, toml] of wrong) {
+  for (const [pattern, toml] of invalid) {
     assert.throws(
       () => parseSettings(toml),
       (error: unknown) =>
@@ -76,9 +78,9 @@
   }
 });
 
-test('submissions: each missing, wrong or out-of-range field is refused by name', () => {
+test('submissions: each missing, invalid or out-of-range field is rejected and named', () => {
   assert.ok(parseSubmission(submission).ok);
-  const wrong: Record<string, unknown> = {
+  const invalid: Record<string, unknown> = {
     ref: 'x-1',
     jobclass: 7,
     owner: null,
@@ -90,14 +92,14 @@
     hulls: 'small',
     expected_s: Infinity,
   };
-  for (const [field, value] of Object.entries(wrong)) {
+  for (const [field, value] of Object.entries(invalid)) {
     const parsed = parseSubmission({ ...submission, [field]: value });
     assert.ok(!parsed.ok && parsed.reason.startsWith(field), field);
   }
   for (const body of [null, [], 'text', 3, {}]) assert.ok(!parseSubmission(body).ok);
 });
 
-test('submissions: only what may be null may be left out; a field that is missing or null is named', () => {
+test('submissions: only nullable fields may be omitted; any other missing or null field is named', () => {
   const nullable = ['hulls', 'berth', 'due_s'];
   for (const field of Object.keys(submission)) {
     const without = Object.fromEntries(Object.entries(submission).filter(([name]) => name !== field));
@@ -109,13 +111,13 @@
   }
 });
 
-test('ids of no valid form name no job', () => {
+test('malformed job ids are rejected', () => {
   assert.equal(parseJobId('j-000412'), 'j-000412');
   for (const id of ['', 'j-', 'j-1/2', 'k-1', 'j-a b', '../live', `j-${'9'.repeat(200)}`])
     assert.equal(parseJobId(id), null);
 });
 
-test('a job that can never run is refused with the reason', () => {
+test('a job that can never run is rejected with the reason', () => {
   const types = [
     {
       name: 's',
@@ -131,28 +133,28 @@
     },
   ];
   const teams = parseSettings(SETTINGS).teams;
-  const why = (over: object): string | null => {
-    const parsed = parseSubmission({ ...submission, ...over });
+  const rejectionOf = (overrides: object): string | null => {
+    const parsed = parseSubmission({ ...submission, ...overrides });
     assert.ok(parsed.ok);
     return whyNever(parsed.spec, teams, types);
   };
-  assert.equal(why({}), null);
-  assert.match(why({ owner: 'u' }) ?? '', /unknown team/);
-  assert.match(why({ vcpus: 5.0 }) ?? '', /fits no allowed machine type/);
-  assert.match(why({ hulls: ['other'] }) ?? '', /fits no allowed machine type/);
-  assert.equal(why({ berth: 'z' }), null);
-  assert.match(why({ berth: 'nowhere' }) ?? '', /fits no allowed machine type/);
-  // Two tasks at once in one zone, of which at most one may be there; an array's take turns.
-  assert.match(why({ pieces: 2, shape: 'ensemble', scatter: true, same_place: true }) ?? '', /one zone/);
-  assert.match(why({ pieces: 2, shape: 'daemon', scatter: true, berth: 'z' }) ?? '', /one zone/);
-  assert.equal(why({ pieces: 1, shape: 'ensemble', scatter: true, same_place: true }), null);
-  assert.equal(why({ pieces: 2, scatter: true, same_place: true }), null);
-  // An array needs one task within the limit, a gang and a service all of them.
-  assert.equal(why({ pieces: 50, vcpus: 4.0 }), null);
-  assert.match(why({ pieces: 3, vcpus: 4.0, shape: 'ensemble' }) ?? '', /cpus/);
+  assert.equal(rejectionOf({}), null);
+  assert.match(rejectionOf({ owner: 'u' }) ?? '', /unknown team/);
+  assert.match(rejectionOf({ vcpus: 5.0 }) ?? '', /fits no allowed machine type/);
+  assert.match(rejectionOf({ hulls: ['other'] }) ?? '', /fits no allowed machine type/);
+  assert.equal(rejectionOf({ berth: 'z' }), null);
+  assert.match(rejectionOf({ berth: 'nowhere' }) ?? '', /fits no allowed machine type/);
+  // Two concurrent tasks confined to one zone, where spreading allows one; an array runs its tasks one after the other.
+  assert.match(rejectionOf({ pieces: 2, shape: 'ensemble', scatter: true, same_place: true }) ?? '', /one zone/);
+  assert.match(rejectionOf({ pieces: 2, shape: 'daemon', scatter: true, berth: 'z' }) ?? '', /one zone/);
+  assert.equal(rejectionOf({ pieces: 1, shape: 'ensemble', scatter: true, same_place: true }), null);
+  assert.equal(rejectionOf({ pieces: 2, scatter: true, same_place: true }), null);
+  // The team limit must cover one task of an array, but all tasks of a gang or a service.
+  assert.equal(rejectionOf({ pieces: 50, vcpus: 4.0 }), null);
+  assert.match(rejectionOf({ pieces: 3, vcpus: 4.0, shape: 'ensemble' }) ?? '', /cpus/);
 });
 
-test('reports of any form are read or refused, never thrown on', () => {
+test('worker reports of any form are decoded or rejected without an exception', () => {
   fc.assert(
     fc.property(fc.jsonValue(), fc.jsonValue(), (a, b) => {
       const message = decodeMessage({ drifter: 'm', tide: 1, tally: 1, helm: 0, recall_s: a, pieces: b });
@@ -164,7 +166,7 @@
   assert.equal(decodeMessage({ drifter: 'm', tide: -1, tally: 1, helm: 0 }), null);
 });
 
-test("operators' tunables are checked, and what is stored garbled falls back to the defaults", () => {
+test("operators' tunables are validated, and malformed stored settings fall back to the defaults", () => {
   assert.deepEqual(parseTunables({ alpha: 0.4 }), { ok: true, patch: { alpha: 0.4 } });
   for (const body of [{ alpha: -1 }, { mu: 2 }, { gamma: 1 }, [], 'x', null]) assert.ok(!parseTunables(body).ok);
   const settings = decodeSettings({ tunables: { alpha: 'high' }, cordoned: ['m-1', 4] });
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the job registry: acceptance, queries, cancellation, dependencies and size limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -12,14 +13,14 @@
 const lab = new Lab();
 const { log } = lab;
 const { model: state, at: address } = lab.state();
-let nodes = 0;
+let nodeCount = 0;
 
-/** The next transaction goes wrong. */
-function spoilOnce(how: Spoiled): void {
+/** Makes the next transaction fail in the given way. */
+function failNextTransaction(fault: Spoiled): void {
   state.spoils = ({ path }) => {
     if (path !== '/txn') return null;
     state.spoils = () => null;
-    return how;
+    return fault;
   };
 }
 
@@ -36,30 +37,32 @@
   zones: ['a'],
 };
 
-interface Desk {
+/** One controller's registry and the answers of its hooks. */
+interface RegistryNode {
   readonly registry: JobRegistry;
-  /** Whose end was to be carried to the holders before it was said. */
+  /** Jobs whose cancellation the registry wanted confirmed by the holders, in order. */
   readonly cancelled: JobId[];
-  /** Do all holders hear of it? */
-  carries: boolean;
+  /** Whether all holders confirm that they know of a cancellation. */
+  holdersConfirm: boolean;
+  /** Machine types that the registry knows; null: not known yet. */
   types: MachineType[] | null;
 }
 
-/** One controller's registry; each has its own client and mirror, as each controller has. */
-function desk(limits: Partial<StateFacts> = {}): Desk {
-  const runtime = lab.process(`10.0.0.${++nodes}`);
+/** Creates one controller's registry with its own client and mirror. */
+function startNode(limits: Partial<StateFacts> = {}): RegistryNode {
+  const runtime = lab.process(`10.0.0.${++nodeCount}`);
   const client = new StateClient(address, { rps: 1000, writeRps: 1000, ...limits }, log, runtime);
   const cancelled: JobId[] = [];
-  const made: Desk = {
+  const node: RegistryNode = {
     cancelled,
-    carries: true,
+    holdersConfirm: true,
     types: [small],
     registry: new JobRegistry(
       client,
       new Mirror(client, LIVE, runtime, log),
       new Map([['t', { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }]]),
       {
-        types: () => made.types,
+        types: () => node.types,
         chooseShard: () => shardName('n-0'),
         running: () => ({ running: 0, done: 0 }),
         pipelines: () => true,
@@ -67,18 +70,18 @@
         ended: () => undefined,
         carried: (id) => {
           cancelled.push(id);
-          return Promise.resolve(made.carries);
+          return Promise.resolve(node.holdersConfirm);
         },
       },
       runtime,
       log,
     ),
   };
-  return made;
+  return node;
 }
 
-test('a job is accepted once, and any node knows it', async () => {
-  const [a, b] = [desk(), desk()];
+test('a job is accepted once, and every node knows it', async () => {
+  const [a, b] = [startNode(), startNode()];
   const job = spec({ id: 'j-1' });
   assert.equal((await lab.settle(a.registry.submit(job))).kind, 'created');
   assert.equal((await lab.settle(a.registry.submit(job))).kind, 'known');
@@ -87,26 +90,26 @@
   assert.equal((await lab.settle(b.registry.query(jobId('j-none')))).kind, 'absent');
 });
 
-test('a write without an answer is never guessed at', async () => {
-  const a = desk();
-  spoilOnce('lost-answer');
+test('the outcome of a write without an answer is read back, not assumed', async () => {
+  const a = startNode();
+  failNextTransaction('lost-answer');
   assert.equal(
     (await lab.settle(a.registry.submit(spec({ id: 'j-2' })))).kind,
     'known',
-    'it was executed, and is read back',
+    'the write was executed and is read back',
   );
-  spoilOnce('lost-request');
+  failNextTransaction('lost-request');
   assert.equal(
     (await lab.settle(a.registry.submit(spec({ id: 'j-3' })))).kind,
     'later',
-    'it may be applied yet: no promise',
+    'the write may still be applied, so nothing is promised',
   );
   assert.equal(state.get(jobKey(jobId('j-3'))) !== undefined, false);
   assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-3' })))).kind, 'created');
 });
 
-test('without the state service the answer is to come back later, at once', async () => {
-  const a = desk();
+test('without the state service users are told at once to retry later', async () => {
+  const a = startNode();
   state.outage(true);
   for (const outcome of [
     await lab.settle(a.registry.submit(spec({ id: 'j-4' }))),
@@ -118,8 +121,8 @@
   state.outage(false);
 });
 
-test('an ended job stays ended for every node, and a cancellation never undoes a completion', async () => {
-  const [a, b] = [desk(), desk()];
+test('an ended job stays ended on every node, and a cancellation never overrides a completion', async () => {
+  const [a, b] = [startNode(), startNode()];
   const id = jobId('j-5');
   await lab.settle(a.registry.submit(spec({ id })));
   const looked = await lab.settle(b.registry.look(id));
@@ -134,8 +137,8 @@
   assert.deepEqual(a.cancelled, []);
 });
 
-test('a cancellation wins against progress that another node has just written', async () => {
-  const a = desk();
+test('a cancellation succeeds although another node has just written progress', async () => {
+  const a = startNode();
   const id = jobId('j-6');
   await lab.settle(a.registry.submit(spec({ id, tasks: 4 })));
   const stale = await lab.settle(a.registry.look(id));
@@ -150,13 +153,13 @@
   assert.deepEqual(a.cancelled, [id]);
 });
 
-test('a cancellation that has not reached every holder is told to nobody, however they ask', async () => {
-  const [a, b] = [desk(), desk()];
+test('a cancellation is not reported by any request before every holder knows of it', async () => {
+  const [a, b] = [startNode(), startNode()];
   const id = jobId('j-61');
   const job = spec({ id });
   await lab.settle(a.registry.submit(job));
-  for (const node of [a, b]) node.carries = false;
-  const asked = [
+  for (const node of [a, b]) node.holdersConfirm = false;
+  const requests = [
     () => a.registry.cancel(id),
     () => a.registry.cancel(id),
     () => a.registry.query(id),
@@ -164,18 +167,18 @@
     () => b.registry.cancel(id),
     () => b.registry.submit(job),
   ];
-  for (const ask of asked) assert.equal((await lab.settle(ask())).kind, 'later');
-  assert.equal(state.get(jobKey(id)), undefined, 'it is stored all the same, and holders are told');
+  for (const request of requests) assert.equal((await lab.settle(request())).kind, 'later');
+  assert.equal(state.get(jobKey(id)), undefined, 'the cancellation is stored all the same, and holders are told');
   assert.deepEqual([...a.cancelled, ...b.cancelled], Array<JobId>(6).fill(id));
-  for (const node of [a, b]) node.carries = true;
-  for (const ask of asked) {
-    const answer = await lab.settle(ask());
+  for (const node of [a, b]) node.holdersConfirm = true;
+  for (const request of requests) {
+    const answer = await lab.settle(request());
     assert.ok(answer.kind === 'known' && answer.view.phase === 'cancelled');
   }
 });
 
-test('an accepted job is known whatever settings and machine types say now', async () => {
-  const a = desk();
+test('an accepted job stays known after settings and machine types have changed', async () => {
+  const a = startNode();
   const job = spec({ id: 'j-7', cpus: 4 });
   await lab.settle(a.registry.submit(job));
   a.types = [{ ...small, cpus: 1 }];
@@ -186,7 +189,7 @@
   assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-9' })))).kind, 'later');
 });
 
-test('a set of task numbers is what a plain set is, through writing and reading too', () => {
+test('Bits behaves like a plain set of task numbers, also after encoding and decoding', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 70 }), fc.array(fc.integer({ min: -2, max: 72 })), (size, numbers) => {
       const bits = Bits.empty(size);
@@ -203,75 +206,75 @@
         assert.equal(read.count, plain.size);
         for (let n = -1; n <= size + 8; n++) assert.equal(read.has(n), plain.has(n));
       }
-      // What was stored with more tasks than there are is cut.
+      // Stored bits beyond the number of tasks are dropped.
       assert.equal(Bits.decode(size, Buffer.alloc(20, 255).toString('base64')).count, size);
     }),
   );
 });
 
-test('a job names only jobs that were accepted: by fresh reads, through any node, whatever a repeat says', async () => {
-  const [a, b] = [desk(), desk()];
-  const [first, over, gone, none] = ['j-20', 'j-21', 'j-22', 'j-none'].map((id) => jobId(id)) as [
+test('dependencies must be accepted jobs, checked by fresh reads on any node; a repeated submission is not checked again', async () => {
+  const [a, b] = [startNode(), startNode()];
+  const [open, done, cancelledId, neverAccepted] = ['j-20', 'j-21', 'j-22', 'j-none'].map((id) => jobId(id)) as [
     JobId,
     JobId,
     JobId,
     JobId,
   ];
-  for (const id of [first, over, gone]) await lab.settle(a.registry.submit(spec({ id })));
-  const looked = await lab.settle(a.registry.look(over));
+  for (const id of [open, done, cancelledId]) await lab.settle(a.registry.submit(spec({ id })));
+  const looked = await lab.settle(a.registry.look(done));
   assert.ok(looked.kind === 'open');
-  await lab.settle(a.registry.end(over, looked.version, { phase: 'done', done: 1, at: null }, 1000));
-  await lab.settle(a.registry.cancel(gone));
-  const submit = (id: string, awaits: readonly JobId[], at = b, more: object = {}) =>
-    lab.settle(at.registry.submit(spec({ id, ...more }), awaits));
+  await lab.settle(a.registry.end(done, looked.version, { phase: 'done', done: 1, at: null }, 1000));
+  await lab.settle(a.registry.cancel(cancelledId));
+  const submit = (id: string, dependencies: readonly JobId[], node = b, overrides: object = {}) =>
+    lab.settle(node.registry.submit(spec({ id, ...overrides }), dependencies));
   const stored = (id: string): Record<string, unknown> | undefined =>
     state.get(jobKey(jobId(id))) as Record<string, unknown> | undefined;
 
-  const refused = await submit('j-30', [first, none]);
+  const refused = await submit('j-30', [open, neverAccepted]);
   assert.ok(refused.kind === 'never' && refused.reason.includes('j-none'));
-  assert.equal((await submit('j-30', [jobId('j-30')])).kind, 'never', 'itself was never accepted');
+  assert.equal((await submit('j-30', [jobId('j-30')])).kind, 'never', 'the job itself was never accepted');
   await lab.settle(a.registry.submit(spec({ id: 'j-23', kind: 'service' })));
   const service = await submit('j-30', [jobId('j-23')]);
   assert.ok(service.kind === 'never' && service.reason.includes('service'));
 
-  // What is done already is left out; a job that awaits nothing any more is an ordinary one.
-  assert.equal((await submit('j-31', [first, over])).kind, 'created');
+  // Dependencies that are done are left out; a job without remaining dependencies is stored as an ordinary one.
+  assert.equal((await submit('j-31', [open, done])).kind, 'created');
   assert.deepEqual([stored('j-31')?.['v'], stored('j-31')?.['spec'], stored('j-31')?.['awaits']], [2, undefined, '20']);
-  assert.equal((await submit('j-32', [over])).kind, 'created');
+  assert.equal((await submit('j-32', [done])).kind, 'created');
   assert.deepEqual([stored('j-32')?.['v'], stored('j-32')?.['awaits']], [undefined, undefined]);
-  // Named by its own life, not by what its list says now.
-  assert.equal((await submit('j-31', [none])).kind, 'known');
+  // The stored job decides, not the dependencies that a repeated submission names.
+  assert.equal((await submit('j-31', [neverAccepted])).kind, 'known');
 
-  const cancelled = await submit('j-33', [first, gone]);
+  const cancelled = await submit('j-33', [open, cancelledId]);
   assert.ok(cancelled.kind === 'created' && cancelled.view.phase === 'cancelled');
   assert.equal(stored('j-33'), undefined);
-  const again = await submit('j-33', [first, gone], a);
+  const again = await submit('j-33', [open, cancelledId], a);
   assert.ok(again.kind === 'known' && again.view.phase === 'cancelled');
 
   state.outage(true);
-  assert.equal((await submit('j-34', [first])).kind, 'later');
+  assert.equal((await submit('j-34', [open])).kind, 'later');
   state.outage(false);
 });
 
-test('a hundred names are stored within the smaller limit; what never can be is refused by a clear word', async () => {
-  const a = desk({ valueKb: 32, txnOps: 16, next: { writeRps: 1000, valueKb: 2, txnOps: 5 } });
-  const names = Array.from({ length: 100 }, (_, i) => jobId(`j-${String(800_000 + i)}`));
-  for (const id of names) await lab.settle(a.registry.submit(spec({ id })));
-  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-40' }), names))).kind, 'created');
+test('a job with a hundred dependencies fits the smaller size limit; a job that never fits is refused with the reason', async () => {
+  const a = startNode({ valueKb: 32, txnOps: 16, next: { writeRps: 1000, valueKb: 2, txnOps: 5 } });
+  const dependencies = Array.from({ length: 100 }, (_, i) => jobId(`j-${String(800_000 + i)}`));
+  for (const id of dependencies) await lab.settle(a.registry.submit(spec({ id })));
+  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-40' }), dependencies))).kind, 'created');
   const types = ['small', ...Array.from({ length: 199 }, (_, i) => `${'x'.repeat(190)}${i}`)];
   assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-41', types })))).kind, 'created');
-  const long = await lab.settle(a.registry.submit(spec({ id: 'j-42', image: 'é'.repeat(1000) })));
-  assert.ok(long.kind === 'malformed' && long.reason.includes('too long'));
+  const tooLong = await lab.settle(a.registry.submit(spec({ id: 'j-42', image: 'é'.repeat(1000) })));
+  assert.ok(tooLong.kind === 'malformed' && tooLong.reason.includes('too long'));
 });
 
-test('limits that fall are noticed by what is refused, and nothing that is too large is sent any more', async () => {
-  const runtime = lab.process(`10.0.0.${++nodes}`);
+test('a refused write reveals lowered limits, and the client then sends no value that is too large', async () => {
+  const runtime = lab.process(`10.0.0.${++nodeCount}`);
   const facts = { rps: 1000, writeRps: 40, valueKb: 4, txnOps: 16, next: { writeRps: 20, valueKb: 1, txnOps: 5 } };
   const client = new StateClient(address, facts, log, runtime);
   const put = (kb: number) =>
     lab.settle(client.txn(Urgency.shard, [], [{ put: 'live/x', value: 'x'.repeat(kb * 1024 - 10) }]));
   assert.equal((await put(3)).kind, 'ok');
-  assert.equal((await put(5)).kind, 'refused', 'longer than it takes now');
+  assert.equal((await put(5)).kind, 'refused', 'the value exceeds the current limit');
   assert.equal(client.limits.fallen, false);
   state.limit({ valueKb: 1 });
   assert.deepEqual(await put(3), { kind: 'refused', tooLarge: true });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the operators' settings store under concurrent changes, faults and size limits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -20,7 +21,7 @@
   readonly stores: readonly SettingsStore[];
 }
 
-/** As many settings stores as there are controllers, each with a client of its own, on one state service. */
+/** Creates one settings store per controller, each with its own client, on one state service. */
 function cluster(facts: Partial<StateFacts> = {}, seed = 1): Cluster {
   const lab = new Lab(seed);
   const { model, at } = lab.state({ rps: 350, writeRps: 50, ...facts });
@@ -42,43 +43,43 @@
 
 const kinds = (results: readonly SettingsResult[]): string[] => [...new Set(results.map(({ kind }) => kind))];
 
-test('sixty machines cordoned at once through seven controllers: every change is stored', async () => {
+test('sixty machines cordoned concurrently through seven controllers: every change is stored', async () => {
   for (const seed of [1, 2, 3, 4, 5]) {
-    const played = cluster({}, seed);
-    const results = await played.lab.settle(Promise.all(cordon(played, 60)));
+    const testCluster = cluster({}, seed);
+    const results = await testCluster.lab.settle(Promise.all(cordon(testCluster, 60)));
     assert.deepEqual(kinds(results), ['stored'], `seed ${seed}`);
-    assert.equal(decodeSettings(played.model.get(SETTINGS)).cordoned.size, 60);
-    // One write for each node that wins, and those that lost to it: far fewer than one for each change.
-    assert.ok(played.model.counts.changes <= CONTROLLERS * 2, `${played.model.counts.changes} changes`);
+    assert.equal(decodeSettings(testCluster.model.get(SETTINGS)).cordoned.size, 60);
+    // Group commit: about one write per controller and a few after conflicts, far fewer than one per change.
+    assert.ok(testCluster.model.counts.changes <= CONTROLLERS * 2, `${testCluster.model.counts.changes} changes`);
   }
 });
 
-test('transactions that are carried out late, or lose their answer, neither lose a change nor undo a newer one', async () => {
+test('transactions that are executed late or lose their answer neither lose a change nor undo a newer one', async () => {
   for (const lateAtOnce of [true, false]) {
-    const played = cluster();
-    played.model.lateWrites = 0.4;
-    played.model.lateAtOnce = lateAtOnce;
-    const results = await played.lab.settle(Promise.all(cordon(played, 14)));
-    played.model.lateWrites = 0;
-    const told = results.flatMap(({ kind }, i) => (kind === 'stored' ? [`m-${i}`] : []));
-    assert.ok(told.length > 0);
-    // Longer than any transaction is late.
-    await played.lab.pass(15_000);
-    const { cordoned } = decodeSettings(played.model.get(SETTINGS));
-    for (const id of told) assert.ok(cordoned.has(id), `${id} was told as stored`);
+    const testCluster = cluster();
+    testCluster.model.lateWrites = 0.4;
+    testCluster.model.lateAtOnce = lateAtOnce;
+    const results = await testCluster.lab.settle(Promise.all(cordon(testCluster, 14)));
+    testCluster.model.lateWrites = 0;
+    const stored = results.flatMap(({ kind }, i) => (kind === 'stored' ? [`m-${i}`] : []));
+    assert.ok(stored.length > 0);
+    // Longer than the longest delay of a transaction.
+    await testCluster.lab.pass(15_000);
+    const { cordoned } = decodeSettings(testCluster.model.get(SETTINGS));
+    for (const id of stored) assert.ok(cordoned.has(id), `${id} was reported as stored`);
   }
 });
 
-test('without the state service a change is told as unavailable by its deadline, and a full queue at once', async () => {
-  const played = cluster();
-  played.model.outage(true);
-  const { lab, stores } = played;
+test('without the state service a change is reported unavailable by its deadline, and at once if the queue is full', async () => {
+  const testCluster = cluster();
+  testCluster.model.outage(true);
+  const { lab, stores } = testCluster;
   const [store] = stores;
   assert.ok(store);
-  const began = lab.world.now;
-  const results = await lab.settle(Promise.all(cordon(played, 7)));
+  const startedAt = lab.world.now;
+  const results = await lab.settle(Promise.all(cordon(testCluster, 7)));
   assert.deepEqual(kinds(results), ['unavailable']);
-  assert.ok(lab.world.now - began < CHANGE_DEADLINE_MS + 2500, `${lab.world.now - began} ms`);
+  assert.ok(lab.world.now - startedAt < CHANGE_DEADLINE_MS + 2500, `${lab.world.now - startedAt} ms`);
   const waiting = Array.from({ length: MAX_PENDING_CHANGES + 10 }, () => store.change((settings) => settings));
   const last = waiting.at(-1);
   assert.ok(last);
@@ -86,13 +87,13 @@
   await lab.settle(Promise.all(waiting));
 });
 
-test('a batch that is too large for one value: what still fits is stored, each of the others is told', async () => {
-  const played = cluster({ valueKb: 0.5 });
-  const [store] = played.stores;
+test('a batch that is too large for one value: changes that fit are stored, each of the others is reported as too large', async () => {
+  const testCluster = cluster({ valueKb: 0.5 });
+  const [store] = testCluster.stores;
   assert.ok(store);
   const changes = Array.from({ length: 80 }, (_, i) => store.change((s) => mark(s, `machine-${i}`, 'cordon')));
-  const results = await played.lab.settle(Promise.all(changes));
+  const results = await testCluster.lab.settle(Promise.all(changes));
   assert.deepEqual(kinds(results).sort(), ['stored', 'too-large']);
-  const { cordoned } = decodeSettings(played.model.get(SETTINGS));
+  const { cordoned } = decodeSettings(testCluster.model.get(SETTINGS));
   results.forEach(({ kind }, i) => assert.equal(cordoned.has(`machine-${i}`), kind === 'stored', `machine-${i}`));
 });
