--- a/src/jobs/registry.ts
+++ b/src/jobs/registry.ts
@@ -60,6 +60,7 @@
 }
 
 const retryLater = (reason: string): Outcome => ({ kind: 'later', reason });
+/** Maximum number of ended jobs that the registry remembers, in each of its two caches. */
 const MAX_CACHED_FINALS = 20_000;
 /**
  * Room left for the growth of a record after acceptance: birth field, longer shard name, progress of a mid-sized job.
@@ -142,7 +143,9 @@
     this.reportedCancelled.add(id);
   }
 
-  /** Caches the final record of a job, stored at the given revision, and reports the first such record of each job. */
+  /**
+   * Caches the final record of a job, stored at the given revision, and notifies the hooks unless it is cached already.
+   */
   remember(id: JobId, final: JobFinal, version: Revision): void {
     if (this.finals.size >= MAX_CACHED_FINALS) {
       const oldest = this.finals.keys().next();
