--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -189,7 +189,7 @@
   assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-9' })))).kind, 'later');
 });
 
-test('Bits behaves like a plain set of task numbers, also after encoding and decoding', () => {
+test('a bit set behaves like a plain set of task numbers, also after encoding and decoding', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 70 }), fc.array(fc.integer({ min: -2, max: 72 })), (size, numbers) => {
       const bits = Bits.empty(size);
