--- a/src/admin/api.ts
+++ b/src/admin/api.ts
@@ -46,7 +46,7 @@
 
 /**
  * Routes of the administration API: operators' settings, the rollout and the state of this node. `trail` is null if
- * off.
+ * this controller keeps no event trail.
  */
 export function adminRouter(
   store: SettingsStore,
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -108,13 +108,17 @@
   readonly teams: ReadonlyMap<string, TeamFacts>;
   readonly objectives: readonly Objective[];
   readonly workers: {
+    /** Interval between the reports of a worker. */
     readonly reportMs: number;
+    /** Duration of a worker's lease. */
     readonly leaseMs: number;
     readonly gangWaitMs: number;
     readonly gangPeerMs: number;
     readonly cancelMs: number;
   };
+  /** Limits of the state service. */
   readonly stateLimits: StateFacts;
+  /** `rps`: requests per second to the cloud provider; `listLagMs`: how far its machine list may lag behind. */
   readonly cloudLimits: { readonly rps: number; readonly listLagMs: number };
   /** Maximum number of sockets that the controller may have open. */
   readonly maxConnections: number;
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -55,6 +55,7 @@
   readonly checkpointS: number;
   /** Time that saving a checkpoint takes. */
   readonly saveS: number;
+  /** Deadline of the whole job, from its submission; null: none. */
   readonly deadlineS: number | null;
 }
 
--- a/src/jobs/registry.ts
+++ b/src/jobs/registry.ts
@@ -287,8 +287,7 @@
       case 'open': {
         const awaits = this.hooks.awaits(id);
         if (awaits === null) {
-          // A dependency is cancelled. Once that is stored, every node reports this job as cancelled and as nothing
-          // else.
+          // A dependency is cancelled. Once this job's cancellation is stored, every node reports it as cancelled only.
           const ended = await this.withdraw(id);
           return ended ? this.query(id) : retryLater('the job is being cancelled because a dependency is cancelled');
         }
@@ -308,7 +307,9 @@
     }
   }
 
-  /** Whether the mirror is fresh enough to answer a query. Not needed for an ended job, whose final state is cached. */
+  /**
+   * Whether the mirror is fresh enough to answer a query; not checked for an ended job, whose final record is cached.
+   */
   private isMirrorUsable(id: JobId): Promise<boolean> {
     return this.finals.has(id) ? Promise.resolve(false) : this.freshness.ensure();
   }
