--- a/src/service/announcement.ts
+++ b/src/service/announcement.ts
@@ -5,8 +5,8 @@
 import { QUOTA_FORMAT } from '../quota/index.js';
 import { encodeAnnouncement, FEATURES, RELEASE, ROLLOUT_FORMAT } from '../rollout/index.js';
 
-/** The newest version of each kind of record that this program reads. */
-const RECORDS = {
+/** The newest format version of each kind of stored record that this release can read. */
+const RECORD_FORMATS = {
   shard: SHARD_FORMAT,
   page: PAGE_FORMAT,
   job: JOB_FORMAT,
@@ -16,13 +16,13 @@
   quota: QUOTA_FORMAT,
 };
 
-/** Names of the features that this program has. */
+/** Names of the rollout features that this release supports. */
 export const FEATURE_NAMES: readonly string[] = FEATURES.map(({ name }) => name);
 
-/** What a controller's key says of its program, beside its incarnation. */
+/** The encoded release announcement that a controller stores in its node key, next to its incarnation. */
 export const ANNOUNCEMENT = encodeAnnouncement({
   release: RELEASE,
   features: FEATURE_NAMES,
   frames: FRAME_VERSION,
-  records: RECORDS,
+  records: RECORD_FORMATS,
 });
--- a/src/service/forms.ts
+++ b/src/service/forms.ts
@@ -11,7 +11,8 @@
 import type { QuotaMode } from '../quota/index.js';
 import { JOBS, QUOTAS, type Mirror, type StateClient } from '../state/index.js';
 
-export interface FormsDeps {
+/** What `StorageFormats` needs from the rest of the node. */
+export interface StorageFormatsDeps {
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly directory: ShardDirectory;
@@ -19,67 +20,69 @@
   readonly conductor: Conductor;
 }
 
-/** In which form this node stores what has an older and a newer one. */
-export class Forms {
-  constructor(private readonly deps: FormsDeps) {}
+/** Selects, from the rollout state of the features, the format in which this node writes data that has two formats. */
+export class StorageFormats {
+  constructor(private readonly deps: StorageFormatsDeps) {}
 
   /**
-   * May jobs that await others be stored? What is stored does no harm in other hands, so the feature goes on as soon as
-   * all have it, and nobody is refused while the leader's write is under way.
+   * Whether jobs that depend on other jobs may be stored. Such records are harmless to the other controllers, so the
+   * feature counts as on as soon as all controllers support it: no user is refused while the leader's write that
+   * switches it on is under way.
    */
   get pipelines(): boolean {
     return this.deps.switches.on(PIPELINES) || this.deps.conductor.wouldGoOn(PIPELINES);
   }
 
-  /** How machines of shards are to be stored; any: as they are. */
-  get blocks(): 'pages' | 'record' | 'any' {
+  /** Format in which the machine lists of shards are written; `any` leaves each list in its present format. */
+  get blockFormat(): 'pages' | 'record' | 'any' {
     const { mirror, state, switches } = this.deps;
     if (!mirror.loaded) return 'any';
-    const stands = switches.state.features.get(PAGED_BLOCKS)?.state;
-    if (stands === 'on') return state.limits.fallen ? 'pages' : 'any';
-    return stands === 'returning' ? 'record' : 'any';
+    const featureState = switches.state.features.get(PAGED_BLOCKS)?.state;
+    if (featureState === 'on') return state.limits.fallen ? 'pages' : 'any';
+    return featureState === 'returning' ? 'record' : 'any';
   }
 
-  /** How teams' limits are kept. */
-  get quotas(): QuotaMode {
-    const stands = this.deps.switches.state.features.get(QUOTA_SHARES)?.state;
-    if (stands === 'on') return 'shared';
-    return stands === 'returning' ? 'returning' : 'whole';
+  /** Whether each team's limit is kept whole, divided into shares, or on its way back from shares to whole. */
+  get quotaMode(): QuotaMode {
+    const featureState = this.deps.switches.state.features.get(QUOTA_SHARES)?.state;
+    if (featureState === 'on') return 'shared';
+    return featureState === 'returning' ? 'returning' : 'whole';
   }
 
   /**
-   * Are shards' records to be sealed against releases without quota shares? null: as they are. They are opened once no
-   * share is stored any more; none can be from then on, since every write that shares is guarded by the switch.
+   * Whether shard records are to be sealed against releases without quota shares; null leaves them as they are. Records
+   * are unsealed once no share is stored any more. No new share can be stored after that, because every write of a
+   * share is guarded by the stored state of the feature.
    */
-  get seal(): boolean | null {
+  get sealRecords(): boolean | null {
     const { mirror } = this.deps;
     if (!mirror.loaded) return null;
-    if (this.quotas === 'shared') return true;
-    return this.quotas === 'returning' && [...mirror.under(QUOTAS)].length === 0 ? false : null;
+    if (this.quotaMode === 'shared') return true;
+    return this.quotaMode === 'returning' && [...mirror.under(QUOTAS)].length === 0 ? false : null;
   }
 
-  /** How many records of a feature are left to be put back; below 0: it can't be done any more. */
-  leftOf(feature: string): number {
+  /** Number of records that still have to be converted back for a feature; negative if that is no longer possible. */
+  remainingRecords(feature: string): number {
     const { mirror, state, directory } = this.deps;
-    let left = 0;
-    // Nothing of it is stored in another form.
-    if (feature === CARRIED_CANCELLATIONS) return left;
+    let remaining = 0;
+    // The feature stores no record in a different format.
+    if (feature === CARRIED_CANCELLATIONS) return remaining;
     if (feature === PIPELINES) {
-      for (const { value } of mirror.under(JOBS)) if (awaitsOf(value).length > 0) left += 1;
-      return left;
+      for (const { value } of mirror.under(JOBS)) if (awaitsOf(value).length > 0) remaining += 1;
+      return remaining;
     }
     if (feature === QUOTA_SHARES) {
-      for (const { value } of directory.all.values()) if (value.sealed === true) left += 1;
-      return left + [...mirror.under(QUOTAS)].length;
+      for (const { value } of directory.all.values()) if (value.sealed === true) remaining += 1;
+      return remaining + [...mirror.under(QUOTAS)].length;
     }
     const { limits } = state;
     for (const [shard, known] of directory.all) {
       const { value } = known;
       if (value.epoch === null) continue;
-      const fits = value.machines.length <= blockLimit(limits.presentValueKb);
-      if (!fits || foldGuards(shard, known).length > limits.conditions) return -1;
-      left += 1;
+      const fitsInRecord = value.machines.length <= blockLimit(limits.presentValueKb);
+      if (!fitsInRecord || foldGuards(shard, known).length > limits.conditions) return -1;
+      remaining += 1;
     }
-    return left;
+    return remaining;
   }
 }
--- a/src/service/health.ts
+++ b/src/service/health.ts
@@ -1,34 +1,38 @@
 import type { Millis } from '../kernel/index.js';
 
-/** So long a node that is cut off from everything but its users keeps them: it may be over in a moment. */
-const ISOLATED_FOR_MS = 10_000;
+/** How long an isolated node stays healthy, since a network fault may end quickly. */
+const ISOLATION_GRACE_MS = 10_000;
 
-export interface HealthView {
-  /** Everything is read, and the node's key stands. */
+/** The inputs of one health check. */
+export interface HealthInputs {
+  /** The mirror is loaded and the node is registered in the state service. */
   readonly ready: boolean;
-  /** It is not about to be ended, or nobody else could take its place. */
-  readonly mayTake: boolean;
+  /** The node is not leaving, or no other node can take over its shards. */
+  readonly mayTakeShards: boolean;
+  /** This node can use the state service. */
   readonly stateOk: boolean;
-  /** The other controllers: null for one that isn't heard, otherwise whether it has the state service. */
-  readonly others: readonly (boolean | null)[];
+  /** For each other controller: whether it can use the state service, or null if it is not heard. */
+  readonly othersStateOk: readonly (boolean | null)[];
 }
 
-/** Should users be sent here? Told again and again how things stand; `now` is steady time. */
-export class Health {
+/** Decides whether the load balancer should send users to this node. */
+export class HealthCheck {
   private isolatedSince: Millis | null = null;
 
-  look({ ready, mayTake, stateOk, others }: HealthView, now: Millis): boolean {
-    const heard = others.filter((other) => other !== null).length;
-    const isolated = !stateOk && (heard + 1) * 2 <= others.length + 1;
+  /** Evaluates the present inputs; called repeatedly. `now` is monotonic time. */
+  check({ ready, mayTakeShards, stateOk, othersStateOk }: HealthInputs, now: Millis): boolean {
+    const heardCount = othersStateOk.filter((stateOk) => stateOk !== null).length;
+    const isolated = !stateOk && (heardCount + 1) * 2 <= othersStateOk.length + 1;
     if (!isolated) this.isolatedSince = null;
     else this.isolatedSince ??= now;
-    if (!ready || !mayTake) return false;
+    if (!ready || !mayTakeShards) return false;
     if (stateOk) return true;
-    // In an outage that hits all, nodes stay healthy: coming back after a removal is slow.
-    if (others.includes(true)) return false;
-    // Who hears neither the state service nor a majority can't tell such an outage from being cut off alone. Its users
-    // would be held with no answer for as long as that lasts, while others are served: found by a drawn meeting, in
-    // which a job was forgotten so.
-    return this.isolatedSince === null || now - this.isolatedSince < ISOLATED_FOR_MS;
+    // During an outage of the state service for all controllers, the nodes stay healthy, because a node that the
+    // balancer has removed returns slowly.
+    if (othersStateOk.includes(true)) return false;
+    // A node that reaches neither the state service nor a majority cannot tell such an outage from its own isolation.
+    // If only this node is isolated, its users get no answer for as long as that lasts, while other nodes could serve
+    // them. A randomly generated fault scenario lost a job in this way.
+    return this.isolatedSince === null || now - this.isolatedSince < ISOLATION_GRACE_MS;
   }
 }
--- a/src/service/http.ts
+++ b/src/service/http.ts
@@ -23,32 +23,43 @@
 import { decodeMessage, type WorkerMessage } from '../workers/index.js';
 import type { UserAnswer, UserRequest } from './users.js';
 
-const BODY_LIMIT = 64 * 1024;
-const IDLE_MS = 120_000;
-/** From this share of its connections on, users' idle ones give way to new ones. */
-const CROWDED = 0.9;
-const LOOKED_AT = 8;
-/** The balancer's probes and workers' reports keep their connections. */
-const STAYS = /^\/(?:healthz|v1\/report)$/;
+const BODY_LIMIT_BYTES = 64 * 1024;
+/** Idle timeout of connections that the Express app serves. */
+const IDLE_TIMEOUT_MS = 120_000;
+/** Fraction of `maxConnections` above which each new connection evicts an idle user connection. */
+const EVICTION_LOAD_FRACTION = 0.9;
+/** Upper bound on the user connections that one eviction examines. */
+const MAX_EVICTION_CANDIDATES = 8;
+/**
+ * Connections whose last request had such a path are not evicted: health probes of the balancer, reports of workers.
+ */
+const NEVER_EVICTED_PATHS = /^\/(?:healthz|v1\/report)$/;
 
+/** The operations behind the HTTP interface. */
 export interface Handlers {
+  /** Whether the load balancer should send users here. */
   healthy(): boolean;
+  /** Serves a request of a user. */
   serve(request: UserRequest): Promise<UserAnswer>;
+  /** Handles a report of a worker. */
   report(message: WorkerMessage): ReportReply;
 }
 
-/** Users poll every job they have: this is written without the router's help, which costs more than the answer. */
-function send(res: ServerResponse, answer: UserAnswer): void {
+/**
+ * Writes an answer without Express's response helpers, which cost more than the answer itself: users poll every job
+ * that they have.
+ */
+function sendAnswer(res: ServerResponse, answer: UserAnswer): void {
   const text = JSON.stringify(answer.body);
   if (answer.retryAfterS !== undefined) res.setHeader('retry-after', String(answer.retryAfterS));
   res.writeHead(answer.status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) });
   res.end(text);
 }
 
-/** The interface of users, workers and operators. */
+/** Creates the Express app with the HTTP interface for users, workers and operators. */
 export function createApp(handlers: Handlers, admin: Router, log: Logger): Express {
-  const user = (res: Response, next: NextFunction, request: UserRequest): void => {
-    handlers.serve(request).then((answer) => send(res, answer), next);
+  const respond = (res: Response, next: NextFunction, request: UserRequest): void => {
+    handlers.serve(request).then((answer) => sendAnswer(res, answer), next);
   };
   const app = express();
   app.disable('x-powered-by');
@@ -57,15 +68,15 @@
     if (handlers.healthy()) res.status(200).json({ ok: true });
     else res.status(503).set('Retry-After', '1').json({ ok: false });
   });
-  app.use(express.json({ limit: BODY_LIMIT, strict: false, type: () => true }));
+  app.use(express.json({ limit: BODY_LIMIT_BYTES, strict: false, type: () => true }));
 
   app.post('/v1/jobs', (req, res, next) => {
-    submit(handlers, req.body).then((answer) => send(res, answer), next);
+    submit(handlers, req.body).then((answer) => sendAnswer(res, answer), next);
   });
-  app.get('/v1/jobs/:id', (req, res, next) => user(res, next, { op: 'query', id: req.params.id }));
-  app.post('/v1/jobs/:id/cancel', (req, res, next) => user(res, next, { op: 'cancel', id: req.params.id }));
-  // Reports that are not plain enough for the lane.
-  app.post('/v1/report', (req, res) => send(res, answerReport(handlers, log, req.body)));
+  app.get('/v1/jobs/:id', (req, res, next) => respond(res, next, { op: 'query', id: req.params.id }));
+  app.post('/v1/jobs/:id/cancel', (req, res, next) => respond(res, next, { op: 'cancel', id: req.params.id }));
+  // Reports whose HTTP form the fast path (`Lane`) does not handle.
+  app.post('/v1/report', (req, res) => sendAnswer(res, answerReport(handlers, log, req.body)));
   app.use('/admin/v1', admin);
   app.use((_req, res) => {
     res.status(404).json({ error: 'not found' });
@@ -77,10 +88,10 @@
     }
     const status = (error as { status?: unknown }).status;
     const reason = error instanceof Error ? error.message : String(error);
-    // What the body parser refuses is malformed in the users' terms, too long included.
+    // Whatever the body parser rejects is a malformed request for the user, also a body that is too long.
     if (typeof status === 'number' && status >= 400 && status < 500) res.status(400).json({ error: reason });
     else {
-      log.error({ err: error }, 'a request failed');
+      log.error({ err: error }, 'HTTP request failed');
       res.status(503).set('Retry-After', '1').json({ error: 'cannot serve this now' });
     }
   };
@@ -89,18 +100,19 @@
 }
 
 /**
- * A job that was accepted is known, whatever its submission looks like when it is repeated: an earlier release took some
- * that this one finds malformed.
+ * Handles a submission. A malformed one whose job exists already is answered with that job, because an earlier release
+ * accepted some submissions that this release finds malformed.
  */
 async function submit(handlers: Handlers, body: unknown): Promise<UserAnswer> {
   const submission = parseSubmission(body);
   if (submission.ok) return handlers.serve({ op: 'submit', spec: submission.spec, awaits: submission.awaits });
   const id = parseJobId(isObject(body) && typeof body['ref'] === 'string' ? body['ref'] : '');
-  const known = id && (await handlers.serve({ op: 'query', id }));
-  return known && known.status !== 404 ? known : { status: 400, body: { error: submission.reason } };
+  const existing = id && (await handlers.serve({ op: 'query', id }));
+  return existing && existing.status !== 404 ? existing : { status: 400, body: { error: submission.reason } };
 }
 
-function parsed(body: Buffer): unknown {
+/** Parses a body as JSON; undefined if it is invalid. */
+function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
@@ -111,123 +123,134 @@
 function answerReport(handlers: Handlers, log: Logger, body: unknown): ReportReply {
   const message = decodeMessage(body);
   if (message) return handlers.report(message);
-  log.warn('a report of no valid form was refused');
+  log.warn('malformed worker report refused');
   return { status: 400, body: { error: 'not a report' } };
 }
 
-const toLane = (answer: UserAnswer): LaneAnswer => ({
+const toLaneAnswer = (answer: UserAnswer): LaneAnswer => ({
   status: answer.status,
   text: JSON.stringify(answer.body),
   ...(answer.retryAfterS === undefined ? {} : { retryAfterS: answer.retryAfterS }),
 });
-const FAILED: UserAnswer = { status: 503, body: { error: 'cannot serve this now' }, retryAfterS: 1 };
+/** The answer to a request whose handler failed. */
+const UNAVAILABLE: UserAnswer = { status: 503, body: { error: 'cannot serve this now' }, retryAfterS: 1 };
 
-const POLL = /^\/v1\/jobs\/([^/?#%]+)$/;
-const CANCEL = /^\/v1\/jobs\/([^/?#%]+)\/cancel$/;
+const QUERY_PATH = /^\/v1\/jobs\/([^/?#%]+)$/;
+const CANCEL_PATH = /^\/v1\/jobs\/([^/?#%]+)\/cancel$/;
 
-/** What passes by the router: reports, polls, health, submissions and cancellations, as `createApp` answers them. */
+/**
+ * Returns the handlers of the requests that bypass Express: reports, polls, health checks, submissions and
+ * cancellations. They answer as the app of `createApp` does.
+ */
 export function laneRoutes(handlers: Handlers, log: Logger): (head: RequestHead) => LaneHandler | undefined {
-  const guarded =
+  const withErrorAnswer =
     (serve: (head: RequestHead, body: Buffer) => UserAnswer | Promise<UserAnswer>): LaneHandler =>
     (head, body) => {
-      const failed = (error: unknown): LaneAnswer => {
-        log.error({ err: error }, 'a request failed');
-        return toLane(FAILED);
+      const onFailure = (error: unknown): LaneAnswer => {
+        log.error({ err: error }, 'HTTP request failed');
+        return toLaneAnswer(UNAVAILABLE);
       };
       try {
         const answer = serve(head, body);
-        return answer instanceof Promise ? answer.then(toLane, failed) : toLane(answer);
+        return answer instanceof Promise ? answer.then(toLaneAnswer, onFailure) : toLaneAnswer(answer);
       } catch (error) {
-        return failed(error);
+        return onFailure(error);
       }
     };
-  const report = guarded((_head, body) => answerReport(handlers, log, parsed(body)));
-  const submits = guarded((_head, body) => submit(handlers, parsed(body)));
-  const query = guarded((head) => handlers.serve({ op: 'query', id: POLL.exec(head.path)?.[1] ?? '' }));
-  const cancel = guarded((head) => handlers.serve({ op: 'cancel', id: CANCEL.exec(head.path)?.[1] ?? '' }));
-  const health = guarded(() =>
+  const report = withErrorAnswer((_head, body) => answerReport(handlers, log, parseJson(body)));
+  const submitJob = withErrorAnswer((_head, body) => submit(handlers, parseJson(body)));
+  const queryJob = withErrorAnswer((head) =>
+    handlers.serve({ op: 'query', id: QUERY_PATH.exec(head.path)?.[1] ?? '' }),
+  );
+  const cancelJob = withErrorAnswer((head) =>
+    handlers.serve({ op: 'cancel', id: CANCEL_PATH.exec(head.path)?.[1] ?? '' }),
+  );
+  const health = withErrorAnswer(() =>
     handlers.healthy() ? { status: 200, body: { ok: true } } : { status: 503, body: { ok: false }, retryAfterS: 1 },
   );
   return ({ method, path }) => {
     if (method === 'POST') {
       if (path === '/v1/report') return report;
-      if (path === '/v1/jobs') return submits;
-      return CANCEL.test(path) ? cancel : undefined;
+      if (path === '/v1/jobs') return submitJob;
+      return CANCEL_PATH.test(path) ? cancelJob : undefined;
     }
     if (method !== 'GET') return undefined;
     if (path === '/healthz') return health;
-    return POLL.test(path) ? query : undefined;
+    return QUERY_PATH.test(path) ? queryJob : undefined;
   };
 }
 
+/** A listening HTTP server. */
 export interface Listener {
-  /** The port that it listens on. */
+  /** The port that it listens on, once it does. */
   readonly ready: Promise<number>;
-  /** Ends it and every connection. */
+  /** Stops listening and destroys every connection. */
   shut(): void;
 }
 
-/** The listener: plain requests by the short way, everything else through the router. */
+/** Listens for HTTP requests: plain ones take the fast path (`Lane`), all others go through the Express app. */
 export function listen(
   app: Express,
-  find: (head: RequestHead) => LaneHandler | undefined,
-  on: Address,
+  findHandler: (head: RequestHead) => LaneHandler | undefined,
+  address: Address,
   maxConnections: number,
   runtime: Runtime,
   log: Logger,
 ): Listener {
-  // Never listens itself: it is given the connections that need it, and what they have sent so far.
-  const web = createWebServer(app);
-  web.keepAliveTimeout = IDLE_MS;
-  web.timeout = IDLE_MS;
-  web.on('clientError', (_error, socket) => {
+  // This server never listens itself. It takes over connections that the fast path cannot serve, with their unread
+  // bytes.
+  const appServer = createWebServer(app);
+  appServer.keepAliveTimeout = IDLE_TIMEOUT_MS;
+  appServer.timeout = IDLE_TIMEOUT_MS;
+  appServer.on('clientError', (_error, socket) => {
     if (socket.writable) socket.end('HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n');
     else socket.destroy();
   });
-  const sockets = new Set<Connection>();
-  /** Connections whose last request was a user's, the longest ago first. */
-  const users = new Map<Connection, Lane>();
-  // A worker that is shut out loses its lease and all that runs there; a user connects again.
-  const makeRoom = (): void => {
-    let looked = 0;
-    for (const [socket, lane] of users) {
-      looked += 1;
+  const connections = new Set<Connection>();
+  /** Connections whose last request came from a user, least recently used first. */
+  const userConnections = new Map<Connection, Lane>();
+  // Only user connections are evicted: a user reconnects, but a worker that is refused a connection loses its lease and
+  // all its running tasks.
+  const evictIdleUserConnection = (): void => {
+    let examined = 0;
+    for (const [socket, lane] of userConnections) {
+      examined += 1;
       if (lane.resting) socket.end();
-      if (lane.resting || looked >= LOOKED_AT) {
-        users.delete(socket);
+      if (lane.resting || examined >= MAX_EVICTION_CANDIDATES) {
+        userConnections.delete(socket);
         return;
       }
     }
   };
   const listening: Listening = runtime.listen({
-    ...on,
+    ...address,
     maxConnections,
     allowHalfOpen: true,
     accept: (socket) => {
-      sockets.add(socket);
+      connections.add(socket);
       socket.on('close', () => {
-        sockets.delete(socket);
-        users.delete(socket);
+        connections.delete(socket);
+        userConnections.delete(socket);
       });
-      if (sockets.size > maxConnections * CROWDED) makeRoom();
-      const lane = Lane.serve(socket, noted, BODY_LIMIT, (given, unread) => {
-        users.delete(given);
-        given.unshift(unread);
-        web.emit('connection', given);
+      if (connections.size > maxConnections * EVICTION_LOAD_FRACTION) evictIdleUserConnection();
+      const lane = Lane.serve(socket, trackAndFindHandler, BODY_LIMIT_BYTES, (connection, unread) => {
+        userConnections.delete(connection);
+        connection.unshift(unread);
+        appServer.emit('connection', connection);
       });
-      function noted(head: RequestHead): LaneHandler | undefined {
-        users.delete(socket);
-        if (!STAYS.test(head.path)) users.set(socket, lane);
-        return find(head);
+      function trackAndFindHandler(head: RequestHead): LaneHandler | undefined {
+        userConnections.delete(socket);
+        if (!NEVER_EVICTED_PATHS.test(head.path)) userConnections.set(socket, lane);
+        return findHandler(head);
       }
     },
-    failed: (error) => log.error({ err: error }, 'the listener failed'),
+    failed: (error) => log.error({ err: error }, 'HTTP listener failed'),
   });
   return {
     ready: listening.ready,
     shut: () => {
       listening.close();
-      for (const socket of sockets) socket.destroy();
+      for (const socket of connections) socket.destroy();
     },
   };
 }
--- a/src/service/index.ts
+++ b/src/service/index.ts
@@ -1,3 +1,3 @@
 export * from './service.js';
 export { createApp, laneRoutes, listen, type Handlers } from './http.js';
-export { Health, type HealthView } from './health.js';
+export { HealthCheck, type HealthInputs } from './health.js';
--- a/src/service/overview.ts
+++ b/src/service/overview.ts
@@ -5,7 +5,8 @@
 import { FEATURES, RELEASE, whyNotNext, type Conductor, type RolloutShard, type Switches } from '../rollout/index.js';
 import type { ShardOwnership } from './ownership.js';
 
-export interface OverviewDeps {
+/** What the rollout overview needs from the rest of the node. */
+export interface RolloutOverviewDeps {
   readonly self: NodeName;
   readonly clock: Clock;
   readonly directory: ShardDirectory;
@@ -13,22 +14,27 @@
   readonly conductor: Conductor;
   readonly switches: Switches;
   readonly ownership: ShardOwnership;
+  /** All shards. */
   shards(): readonly ShardName[];
 }
 
-const shardsOf = ({ shards, directory }: OverviewDeps): RolloutShard[] =>
+/** Holder and readability of every shard, as the rollout rules need them. */
+const rolloutShards = ({ shards, directory }: RolloutOverviewDeps): RolloutShard[] =>
   shards().map((shard) => {
     const known = directory.all.get(shard)?.value;
     const holder = known && !known.released ? known.holder : null;
     return { shard, holder, unreadable: directory.unreadable.has(shard) };
   });
 
-/** What operators see of a rollout: who runs what, what is on, what is waited for, and whether the next may go. */
-export function rolloutOverview(deps: OverviewDeps): unknown {
+/**
+ * The rollout overview for operators: the release of each node, the state of each feature and what it waits for, and
+ * whether the next node may be replaced.
+ */
+export function rolloutOverview(deps: RolloutOverviewDeps): unknown {
   const { self, peers, conductor, switches, ownership } = deps;
-  const heard = new Map(peers.views().map((view) => [view.node, view]));
-  const shards = shardsOf(deps);
-  const leaving = [...heard.values()].filter((view) => view.leaving).map(({ node }) => node);
+  const peerViews = new Map(peers.views().map((view) => [view.node, view]));
+  const shards = rolloutShards(deps);
+  const leaving = [...peerViews.values()].filter((view) => view.leaving).map(({ node }) => node);
   if (ownership.leaving) leaving.push(self);
   const { nodes, watching: watched, now } = conductor;
   const why = whyNotNext({ now, nodes, shards, leaving, watched });
@@ -37,11 +43,11 @@
     nodes: nodes.map(({ node, announced }) => ({
       node,
       registered: announced !== null,
-      heard: node === self || heard.has(node),
+      heard: node === self || peerViews.has(node),
       release: announced?.release ?? null,
       features: announced?.features ?? [],
-      // Of the frames that this node sends to it.
-      frames: heard.get(node)?.frames ?? null,
+      // The format version of the frames that this node sends to that node.
+      frames: peerViews.get(node)?.frames ?? null,
       leaving: leaving.includes(node),
       holds: shards.filter(({ holder }) => holder === node).map(({ shard }) => shard),
     })),
@@ -50,12 +56,12 @@
       return {
         ...{ name, needs, state: stored?.state ?? 'off', why: stored?.why ?? '' },
         since: stored ? new Date(stored.since).toISOString() : null,
-        // Closed by an operator, or what is stored fits no more into the earlier form.
+        // False once an operator has closed the way back, or once stored data no longer fits into the earlier format.
         wayBack: stored?.finished !== true && conductor.leftOf(name) >= 0,
         waitsFor: conductor.waits.get(name) ?? null,
       };
     }),
-    // Features of later releases: this one lacks them.
+    // Features of later releases, which this release does not support.
     unknownFeatures: [...switches.state.features.keys()].filter((name) => !FEATURES.some((f) => f.name === name)),
     paused: conductor.paused,
     unreadable: shards.filter(({ unreadable }) => unreadable).map(({ shard }) => shard),
@@ -64,8 +70,8 @@
   };
 }
 
-/** What operators may ask and tell of a rollout. */
-export function rolloutDesk(deps: OverviewDeps): RolloutDesk {
+/** The rollout operations behind the admin API. */
+export function rolloutOperations(deps: RolloutOverviewDeps): RolloutDesk {
   const { conductor, ownership, switches } = deps;
   return {
     clock: deps.clock,
@@ -79,7 +85,7 @@
     overview: () => rolloutOverview(deps),
     wish: (how) => conductor.wish(how),
     leave: () => ownership.leave(),
-    stay: () => ownership.stay('an operator wants it to stay'),
+    stay: () => ownership.stay('an operator cancelled the shutdown'),
     leaving: () => {
       const { leaving, left, staysInMs } = ownership;
       return { leaving, left, staysInS: staysInMs === null ? null : Math.ceil(staysInMs / 1000) };
--- a/src/service/ownership.ts
+++ b/src/service/ownership.ts
@@ -22,17 +22,21 @@
 import { reread, shardKey, SHARDS, type Change, type Mirror, type StateClient } from '../state/index.js';
 import type { Trail } from '../trail/index.js';
 
-/** How long the watch may take to come up to a claim before we look again. */
-const CAUGHT_UP_MS = 1000;
-const CUT_OFF = 'this node cannot reach the workers';
-const HAND_BACK_AFTER_MS = 3000;
-/** Whoever asked this node to leave should have ended it by then: it takes part again. */
-const LEAVING_FOR_MS = 60_000;
+/** Longest wait for the watch to reach the revision of a claim before the shard is evaluated again. */
+const WATCH_CATCH_UP_MS = 1000;
+/** Why a node releases its shards when it is cut off from the workers. */
+const CUT_OFF_REASON = 'this node cannot reach the workers';
+/** How long the own node of a shard (the node of the same name) has to be available before it gets the shard back. */
+const HAND_BACK_DELAY_MS = 3000;
+/** A node that was asked to leave and still runs after this time takes part again. */
+const LEAVING_TIMEOUT_MS = 60_000;
 
+/** What `ShardOwnership` needs from the rest of the node. */
 export interface OwnershipDeps {
   readonly self: NodeName;
   readonly incarnation: Incarnation;
-  readonly own: ShardName;
+  /** The shard that has the name of this node. */
+  readonly ownShard: ShardName;
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly peers: PeerLink;
@@ -41,26 +45,33 @@
   readonly log: Logger;
   readonly trail: Trail | null;
   membership(): Membership;
-  /** This node reaches the workers. */
-  reaches(): boolean;
-  make(shard: ShardName, version: Revision, value: ShardValue): ShardHolder;
-  /** How machines of shards are to be stored; any: as they are. */
-  form(): 'pages' | 'record' | 'any';
-  /** Are shards' records to be sealed; null: they stay as they are. */
-  seal(): boolean | null;
-  /** Work of limited teams waits or runs in a shard whose account another shard keeps. */
+  /** Whether this node reaches the workers. */
+  reachesWorkers(): boolean;
+  /** Creates the holder of a shard that this node has claimed at a version. */
+  createHolder(shard: ShardName, version: Revision, value: ShardValue): ShardHolder;
+  /** Format in which the machine lists of shards are written; `any` leaves each list in its present format. */
+  blockFormat(): 'pages' | 'record' | 'any';
+  /** Whether shard records are to be sealed; null leaves them as they are. */
+  sealRecords(): boolean | null;
+  /** Whether work of teams with a limit waits or runs in this shard although another shard keeps the team's account. */
   hasForeignWork(shard: ShardName): boolean;
-  /** A shard is held here no more. */
-  dropped(shard: ShardName): void;
+  /** Called after this node has stopped holding a shard. */
+  onShardDropped(shard: ShardName): void;
 }
 
-export type LeaveAnswer = { readonly ok: true } | { readonly ok: false; readonly reason: string };
+/** Result of a request to leave; `reason` says why the node cannot leave now. */
+export type LeaveResult = { readonly ok: true } | { readonly ok: false; readonly reason: string };
 
-/** Which shards this node holds: taking them up, handing them on and back, and leaving before a planned end. */
+/**
+ * The shards that this node holds: acquires them, hands them over to peers or back to their own nodes, and drains this
+ * node before a planned shutdown.
+ */
 export class ShardOwnership {
   readonly holders = new Map<ShardName, ShardHolder>();
-  private readonly ousted = new Map<ShardName, number>();
-  private readonly homeSince = new Map<ShardName, Millis>();
+  /** Per shard, the latest version at which another node is known to have claimed it. */
+  private readonly supersededAt = new Map<ShardName, number>();
+  /** Per shard, since when its own node can take it back. */
+  private readonly ownNodeBackSince = new Map<ShardName, Millis>();
   private leavingSince: Millis | null = null;
 
   private readonly seals: Seals;
@@ -69,158 +80,184 @@
     this.seals = new Seals(deps);
   }
 
-  /** A shard's record or head has changed. */
+  /** Handles a change of a shard's record or head. */
   onShard(change: Change): void {
-    this.look(shardName(change.key.slice(SHARDS.length)), { key: change.key, revision: change.version });
+    this.updateHolder(shardName(change.key.slice(SHARDS.length)), { key: change.key, revision: change.version });
   }
 
-  /** A page of a shard has changed. */
+  /** Handles a change of a page of a shard's machine list. */
   onPage(change: Change): void {
-    this.look(parsePageKey(change.key).shard, { key: change.key, revision: change.version });
+    this.updateHolder(parsePageKey(change.key).shard, { key: change.key, revision: change.version });
   }
 
-  private look(shard: ShardName, source: BlockSource): void {
+  /** Creates, updates or drops the holder of a shard according to the shard's record. */
+  private updateHolder(shard: ShardName, source: BlockSource): void {
     const known = this.deps.directory.all.get(shard);
     const value = known?.value ?? null;
-    const mine =
+    const isOurs =
       known !== undefined &&
       value !== null &&
       value.holder === this.deps.self &&
       value.incarnation === this.deps.incarnation &&
       !value.released &&
-      known.version >= (this.ousted.get(shard) ?? 0);
+      known.version >= (this.supersededAt.get(shard) ?? 0);
     const holder = this.holders.get(shard);
-    if (!mine) {
-      if (holder) this.drop(shard, holder);
+    if (!isOurs) {
+      if (holder) this.dropHolder(shard, holder);
     } else if (holder) holder.onShard(value, source);
     else if (this.deps.mirror.seenUpTo < known.version) {
-      // A page that the earlier holder had before our claim, and that we have yet to see, is one that it may have used:
-      // taken for new, its machines would not be fenced. And a job that ended before our claim, of which only the
-      // earlier holder knew, would go on here if the state service were gone before the watch had shown its end.
-      void this.deps.mirror.reach(known.version, CAUGHT_UP_MS).then(() => this.look(shard, source));
+      // The holder is created only after the watch has reached the claim. The earlier holder may have used a page that
+      // was written before the claim; if such a page arrived later, it would count as new and its machines would not be
+      // fenced. Likewise, a job that ended before the claim, known only to the earlier holder, would continue here if
+      // the state service became unavailable before the watch delivered the end of the job.
+      void this.deps.mirror.reach(known.version, WATCH_CATCH_UP_MS).then(() => this.updateHolder(shard, source));
     } else {
       this.deps.trail?.note({ kind: 'claimed', shard });
-      this.holders.set(shard, this.deps.make(shard, known.version, value));
+      this.holders.set(shard, this.deps.createHolder(shard, known.version, value));
     }
   }
 
-  private drop(shard: ShardName, holder: ShardHolder): void {
-    this.deps.log.info({ shard }, 'this node holds the shard no more');
+  /** Stops holding a shard. */
+  private dropHolder(shard: ShardName, holder: ShardHolder): void {
+    this.deps.log.info({ shard }, 'this node no longer holds the shard');
     holder.drop();
     this.holders.delete(shard);
-    this.deps.dropped(shard);
+    this.deps.onShardDropped(shard);
     this.deps.trail?.note({ kind: 'dropped', shard });
   }
 
-  /** Somebody has claimed a shard in this version and asks that we command nothing there any more. */
-  standDown(from: NodeName, shard: ShardName, version: number): void {
+  /**
+   * Handles the request of a node that has claimed a shard at this version: this node must send no more commands to the
+   * workers of the shard, and confirms that. A claim that is not newer than the claim of this node is ignored.
+   */
+  onStandDown(from: NodeName, shard: ShardName, version: number): void {
     const holder = this.holders.get(shard);
     if (holder && holder.claimedAt >= version) return;
-    this.oust(shard, version);
+    this.supersede(shard, version);
     this.deps.peers.send(from, { kind: 'stooddown', shard, version });
   }
 
-  /** Another has claimed a shard in this version: nothing is commanded there any more, whatever the watch shows yet. */
-  oust(shard: ShardName, version: number): void {
+  /**
+   * Records that another node has claimed a shard at this version. Commands to the workers of the shard stop at once,
+   * even if the watch has not delivered that claim yet.
+   */
+  supersede(shard: ShardName, version: number): void {
     const holder = this.holders.get(shard);
     if (holder && holder.claimedAt >= version) return;
-    this.ousted.set(shard, Math.max(version, this.ousted.get(shard) ?? 0));
-    if (holder) this.drop(shard, holder);
+    this.supersededAt.set(shard, Math.max(version, this.supersededAt.get(shard) ?? 0));
+    if (holder) this.dropHolder(shard, holder);
   }
 
-  /** Reads afresh whether the shards are still ours; false when that could not be read. */
+  /**
+   * Rereads the records of the held shards from the state service; a shard that another node has claimed is dropped as
+   * its record arrives. Returns false if any record could not be read.
+   */
   async verify(): Promise<boolean> {
-    let all = true;
+    let allRead = true;
     for (const shard of [...this.holders.keys()]) {
       const read = await reread(this.deps.state, this.deps.mirror, shardKey(shard));
-      if (read.kind === 'unavailable') all = false;
+      if (read.kind === 'unavailable') allRead = false;
     }
-    return all;
+    return allRead;
   }
 
-  isFit(node: NodeName): boolean {
+  /** Whether a peer can take shards: it has the state service, reaches the workers and is not leaving. */
+  canTakeShards(node: NodeName): boolean {
     const status = this.deps.peers.statusOf(node);
     return status !== null && status.stateOk && status.fit && !status.leaving;
   }
 
-  /** May this node take shards up, or lead? Not while it is leaving and others can. */
-  get mayTake(): boolean {
-    return !this.leaving || !this.deps.peers.names.some((peer) => this.isFit(peer));
+  /** Whether this node may claim shards or lead. It may not while it is leaving and a peer can take shards. */
+  get mayTakeShards(): boolean {
+    return !this.leaving || !this.deps.peers.names.some((peer) => this.canTakeShards(peer));
   }
 
-  /** Of the peers that can serve a shard, the one that holds fewest. */
-  private fittestPeer(): NodeName | null {
-    const load = (node: NodeName): number => {
+  /** The peer that holds the fewest shards among those that can take shards, or null. */
+  private leastLoadedPeer(): NodeName | null {
+    const heldShards = (node: NodeName): number => {
       let held = 0;
       for (const { value } of this.deps.directory.all.values()) if (value.holder === node && !value.released) held += 1;
       return held;
     };
-    const fit = this.deps.peers.names.filter((peer) => this.isFit(peer));
-    return fit.sort((a, b) => load(a) - load(b) || (a < b ? -1 : 1))[0] ?? null;
+    const candidates = this.deps.peers.names.filter((peer) => this.canTakeShards(peer));
+    return candidates.sort((a, b) => heldShards(a) - heldShards(b) || (a < b ? -1 : 1))[0] ?? null;
   }
 
-  /** One round: who has to stand down, and what is handed on or back. */
-  async review(): Promise<void> {
+  /**
+   * One reconcile round: asks earlier holders to stop commanding workers, and hands shards over to peers or back to
+   * their own nodes.
+   */
+  async reconcile(): Promise<void> {
     const { peers, runtime } = this.deps;
     const now = runtime.now();
-    if (this.leavingSince !== null && now - this.leavingSince > LEAVING_FOR_MS) this.stay('nobody has ended this node');
+    if (this.leavingSince !== null && now - this.leavingSince > LEAVING_TIMEOUT_MS)
+      this.stay('this node was not shut down in time');
     for (const [shard, holder] of this.holders) {
-      for (const { node, incarnation: life } of holder.doubtful) {
-        const heard = peers.statusOf(node)?.incarnation ?? this.deps.membership().alive(node);
-        // A later life of that node proves that the earlier one has ended.
-        if (heard !== null && heard !== life) holder.proven(node);
+      for (const { node, incarnation: earlierIncarnation } of holder.doubtful) {
+        const currentIncarnation = peers.statusOf(node)?.incarnation ?? this.deps.membership().alive(node);
+        // A later incarnation of that node proves that the earlier one has ended.
+        if (currentIncarnation !== null && currentIncarnation !== earlierIncarnation) holder.proven(node);
         else peers.send(node, { kind: 'standdown', shard, version: holder.claimedAt });
       }
-      const why = this.leaving ? 'this node is about to be ended' : this.deps.reaches() ? null : CUT_OFF;
-      const better = why === null ? null : this.fittestPeer();
-      if (why !== null && better !== null) {
-        await holder.giveUp(why, better);
+      const reason = this.leaving
+        ? 'this node is about to be shut down'
+        : this.deps.reachesWorkers()
+          ? null
+          : CUT_OFF_REASON;
+      const successor = reason === null ? null : this.leastLoadedPeer();
+      if (reason !== null && successor !== null) {
+        await holder.giveUp(reason, successor);
         continue;
       }
-      await this.reform(shard);
-      if (shard !== this.deps.own) await this.handBack(shard, holder, now);
+      await this.reconcileBlockFormat(shard);
+      if (shard !== this.deps.ownShard) await this.handBack(shard, holder, now);
     }
   }
 
-  /** Its machines are in the form in which they are to be stored. */
-  private async reform(shard: ShardName): Promise<void> {
+  /** Converts the stored machine list and the seal of a shard to the wanted formats. */
+  private async reconcileBlockFormat(shard: ShardName): Promise<void> {
     const known = this.deps.directory.all.get(shard);
     const { paging } = this.deps.membership();
-    const wanted = this.deps.form();
+    const blockFormat = this.deps.blockFormat();
     if (!known) return;
-    await this.reseal(shard, known);
-    if (wanted === 'any') return;
-    if (wanted === 'pages' && known.value.epoch === null) await paging.flip(shard, known);
-    else if (wanted === 'record' && known.value.epoch !== null && !(await paging.fold(shard, known)))
-      this.deps.log.debug({ shard }, "a shard's machines could not be put back into its record");
+    await this.reconcileSeal(shard, known);
+    if (blockFormat === 'any') return;
+    if (blockFormat === 'pages' && known.value.epoch === null) await paging.flip(shard, known);
+    else if (blockFormat === 'record' && known.value.epoch !== null && !(await paging.fold(shard, known)))
+      this.deps.log.debug({ shard }, 'machine list of the shard could not be moved back into its record');
   }
 
-  private async reseal(shard: ShardName, known: KnownShard): Promise<void> {
-    const sealed = this.deps.seal();
+  /** Seals or unseals a shard's record if the wanted state differs. */
+  private async reconcileSeal(shard: ShardName, known: KnownShard): Promise<void> {
+    const sealed = this.deps.sealRecords();
     if (sealed === null || sealed === (known.value.sealed === true)) return;
-    // What another's account has to cover would be started here without it.
+    // Unsealing now would let work start here without being counted in the account of another shard that has to cover
+    // it.
     if (!sealed && this.deps.hasForeignWork(shard)) return;
     await this.seals.set(shard, known, sealed);
   }
 
+  /**
+   * Returns a shard to its own node once that node has been available for `HAND_BACK_DELAY_MS` and the shard is quiet.
+   */
   private async handBack(shard: ShardName, holder: ShardHolder, now: Millis): Promise<void> {
-    const home = shard as unknown as NodeName;
-    if (this.deps.membership().alive(home) === null || !this.isFit(home)) {
-      this.homeSince.delete(shard);
+    const ownNode = shard as unknown as NodeName;
+    if (this.deps.membership().alive(ownNode) === null || !this.canTakeShards(ownNode)) {
+      this.ownNodeBackSince.delete(shard);
       return;
     }
-    const since = this.homeSince.get(shard) ?? now;
-    this.homeSince.set(shard, since);
-    if (now - since > HAND_BACK_AFTER_MS && holder.quiet && (await holder.giveUp('its own node is back')))
-      this.homeSince.delete(shard);
+    const since = this.ownNodeBackSince.get(shard) ?? now;
+    this.ownNodeBackSince.set(shard, since);
+    if (now - since > HAND_BACK_DELAY_MS && holder.quiet && (await holder.giveUp('its own node is available again')))
+      this.ownNodeBackSince.delete(shard);
   }
 
-  /** Under which claim each shard is held here, and how many machines are missing from its block. */
+  /** For each held shard: the version of its claim and the number of machines that are missing from its block. */
   get held(): { readonly shard: ShardName; readonly claimedAt: Revision; readonly missing: number }[] {
     return [...this.holders].map(([shard, { claimedAt, members }]) => ({ shard, claimedAt, missing: members.missing }));
   }
 
-  /** Where teams with a limit start nothing, and how many tasks of jobs that nobody knows any more are why. */
+  /** The shards in which teams with a limit start nothing, with the number of tasks of unknown jobs that cause this. */
   get heldBack(): { readonly shard: ShardName; readonly tasksOfUnknownJobs: number }[] {
     return [...this.holders.values()]
       .filter(({ heldBackBy }) => heldBackBy > 0)
@@ -229,37 +266,41 @@
 
   // ---- leaving
 
+  /** Whether an operator has asked this node to leave. */
   get leaving(): boolean {
     return this.leavingSince !== null;
   }
 
-  /** Everything is handed on: this node may be ended, and nobody has to wait for a lease. */
+  /** Whether all shards and the leadership are handed over: no lease has to expire if this node is shut down now. */
   get left(): boolean {
     return this.leaving && this.holders.size === 0 && this.deps.membership().leading === null;
   }
 
-  /** An operator is about to end this node: its shards go to peers, it takes nothing new and leads no more. */
-  leave(): LeaveAnswer {
-    if (this.fittestPeer() === null) return { ok: false, reason: 'no other controller can take its shards now' };
+  /** Prepares a planned shutdown: hands the shards over to peers, claims nothing new and gives up leadership. */
+  leave(): LeaveResult {
+    if (this.leastLoadedPeer() === null) return { ok: false, reason: 'no other controller can take its shards now' };
     if (!this.leaving) {
-      this.deps.log.info({ shards: [...this.holders.keys()] }, 'an operator is about to end this node: it leaves');
+      this.deps.log.info(
+        { shards: [...this.holders.keys()] },
+        'preparing for a shutdown by an operator: handing over shards',
+      );
       this.leavingSince = this.deps.runtime.now();
       this.deps.peers.greet();
     }
     return { ok: true };
   }
 
-  /** It is not ended after all. */
-  stay(why: string): void {
+  /** Cancels `leave`. */
+  stay(reason: string): void {
     if (!this.leaving) return;
     this.leavingSince = null;
-    this.deps.log.info({ why }, 'this node stays and takes part again');
+    this.deps.log.info({ why: reason }, 'shutdown cancelled: this node may claim shards and lead again');
     this.deps.peers.greet();
   }
 
-  /** Milliseconds until it takes part again by itself; null: it isn't leaving. */
+  /** Milliseconds until `leave` is cancelled automatically; null if this node is not leaving. */
   get staysInMs(): Millis | null {
     if (this.leavingSince === null) return null;
-    return millis(Math.max(0, this.leavingSince + LEAVING_FOR_MS - this.deps.runtime.now()));
+    return millis(Math.max(0, this.leavingSince + LEAVING_TIMEOUT_MS - this.deps.runtime.now()));
   }
 }
--- a/src/service/peers.ts
+++ b/src/service/peers.ts
@@ -3,33 +3,34 @@
 import type { PeerLink, Received } from '../peers/index.js';
 import type { QuotaShares } from '../quota/index.js';
 import type { StateClient } from '../state/index.js';
-import { demandOf } from './quota.js';
-import type { ShardRoutes } from './routes.js';
+import { decodeDemand } from './quota.js';
+import type { ShardRouter } from './routes.js';
 import type { ShardOwnership } from './ownership.js';
-import type { UserDesk } from './users.js';
+import type { UserRequestHandler } from './users.js';
 
-export interface PeerHandlerDeps {
+/** The parts of this node that handle messages of peers. */
+export interface PeerMessageDeps {
   readonly state: StateClient;
   readonly peers: PeerLink;
-  readonly routes: ShardRoutes;
+  readonly router: ShardRouter;
   readonly registry: JobRegistry;
   readonly ownership: ShardOwnership;
   readonly carrier: Carrier;
-  readonly desk: UserDesk;
+  readonly userRequests: UserRequestHandler;
   readonly quotas: QuotaShares;
-  /** Shares of teams' limits are looked at soon. */
-  nudgeQuotas(): void;
+  /** Requests a reconcile round of the shares of team limits. */
+  requestQuotaRound(): void;
 }
 
-/** Hands what a peer says to the part of this node that it is for. */
-export function handlePeer(deps: PeerHandlerDeps, { from, message }: Received): void {
-  const { state, peers, routes, registry, ownership, carrier, desk, quotas } = deps;
+/** Dispatches a message of a peer to the part of this node that handles it. */
+export function handlePeerMessage(deps: PeerMessageDeps, { from, message }: Received): void {
+  const { state, peers, router, registry, ownership, carrier, userRequests, quotas } = deps;
   switch (message.kind) {
     case 'hello':
       if (message.limitsFallen) state.fallen();
       break;
     case 'summary':
-      routes.note(message.summary);
+      router.recordSummary(message.summary);
       break;
     case 'cancelled':
       registry.heardOver(message.job);
@@ -44,16 +45,16 @@
       for (const holder of ownership.holders.values()) holder.transfer(message.machine, message.to);
       break;
     case 'quota':
-      quotas.hear(demandOf(message));
-      deps.nudgeQuotas();
+      quotas.hear(decodeDemand(message));
+      deps.requestQuotaRound();
       break;
     case 'ask':
-      void desk.onAsk(message.op, message.body).then((answer) => {
+      void userRequests.onAsk(message.op, message.body).then((answer) => {
         peers.send(from, { kind: 'answer', id: message.id, ...answer });
       });
       break;
     case 'standdown':
-      ownership.standDown(from, message.shard, message.version);
+      ownership.onStandDown(from, message.shard, message.version);
       break;
     case 'stooddown': {
       const holder = ownership.holders.get(message.shard);
--- a/src/service/quota.ts
+++ b/src/service/quota.ts
@@ -9,18 +9,19 @@
 
 type QuotaMessage = Extract<PeerMessage, { kind: 'quota' }>;
 
-const toNeed = ([team, { use, waiting, unit, priority, waitedMs }]: readonly [string, TeamNeed]): QuotaNeed => ({
+/** Encodes the demand of one team. */
+const encodeNeed = ([team, { use, waiting, unit, priority, waitedMs }]: readonly [string, TeamNeed]): QuotaNeed => ({
   ...{ team, useCpus: use.cpus, useGpus: use.gpus, waitingCpus: waiting.cpus, waitingGpus: waiting.gpus },
   ...{ unitCpus: unit.cpus, unitGpus: unit.gpus, priority, waitedMs },
 });
 
-/** A shard's demand as it is sent to peers. */
-export const quotaMessage = ({ shard, claimedAt, teams }: ShardDemand): QuotaMessage => ({
-  ...{ kind: 'quota', shard, claimedAt, teams: [...teams].map(toNeed) },
+/** Encodes a shard's demand as a message to peers. */
+export const encodeDemand = ({ shard, claimedAt, teams }: ShardDemand): QuotaMessage => ({
+  ...{ kind: 'quota', shard, claimedAt, teams: [...teams].map(encodeNeed) },
 });
 
-/** A shard's demand as a peer has sent it. */
-export const demandOf = ({ shard, claimedAt, teams }: QuotaMessage): ShardDemand => ({
+/** Decodes a shard's demand from a message of a peer. */
+export const decodeDemand = ({ shard, claimedAt, teams }: QuotaMessage): ShardDemand => ({
   shard,
   claimedAt,
   teams: new Map(
@@ -36,14 +37,15 @@
   ),
 });
 
-/** Sends a shard's demand to every peer that has quota shares. */
-export function tellPeers(peers: PeerLink, demand: ShardDemand): void {
-  const message = quotaMessage(demand);
-  const has = (peer: NodeName): boolean => peers.statusOf(peer)?.features.includes(QUOTA_SHARES) === true;
-  for (const peer of peers.names) if (has(peer)) peers.send(peer, message);
+/** Sends a shard's demand to every peer whose release supports quota shares. */
+export function sendDemandToPeers(peers: PeerLink, demand: ShardDemand): void {
+  const message = encodeDemand(demand);
+  const supportsShares = (peer: NodeName): boolean => peers.statusOf(peer)?.features.includes(QUOTA_SHARES) === true;
+  for (const peer of peers.names) if (supportsShares(peer)) peers.send(peer, message);
 }
 
-export interface QuotaParts {
+/** What the quota shares need from the rest of the node. */
+export interface QuotaSharesDeps {
   readonly teams: ReadonlyMap<string, TeamFacts>;
   readonly state: StateClient;
   readonly mirror: Mirror;
@@ -53,21 +55,22 @@
   readonly log: Logger;
   /** The shards that this node holds. */
   readonly holders: ReadonlyMap<ShardName, ShardHolder>;
+  /** How teams' limits are kept at present. */
   mode(): QuotaMode;
   /** All shards. */
   shards(): readonly ShardName[];
 }
 
-/** The division of teams' limits, as this node takes part in it. */
-export function createQuotas(parts: QuotaParts): QuotaShares {
-  const { teams, state, mirror, directory, peers, runtime, log, holders } = parts;
+/** Creates this node's part in dividing the team limits between shards. */
+export function createQuotaShares(deps: QuotaSharesDeps): QuotaShares {
+  const { teams, state, mirror, directory, peers, runtime, log, holders } = deps;
   return new QuotaShares({
     ...{ teams, state, mirror, runtime, log },
-    mode: () => parts.mode(),
-    shards: () => parts.shards(),
+    mode: () => deps.mode(),
+    shards: () => deps.shards(),
     sealed: () => directory.sealed,
     holders: () => holders.values(),
-    tell: (demand) => tellPeers(peers, demand),
+    tell: (demand) => sendDemandToPeers(peers, demand),
     settle: (shard) => settleShard(shard, state, mirror, runtime, () => holders.get(shard)?.dropped === false),
   });
 }
--- a/src/service/reachability.ts
+++ b/src/service/reachability.ts
@@ -2,50 +2,55 @@
 import type { KnownShard } from '../membership/index.js';
 import { probeWorkers, PROBES, type WorkerReachability } from '../workers/index.js';
 
-/** While this node is cut off from the workers, it probes again after so long. */
-const PROBE_AGAIN_MS = 800;
+/** Delay before the next probe while this node is cut off from the workers. */
+const REPROBE_DELAY_MS = 800;
 
-/** Addresses of some machines of the blocks that are held here; of all blocks, when none is. */
-export function someAddresses(
+/** Returns addresses of random machines from the blocks that are held here, or from all blocks if none is held. */
+export function sampleAddresses(
   blocks: ReadonlyMap<ShardName, KnownShard>,
   held: ReadonlyMap<ShardName, unknown>,
   runtime: Runtime,
 ): string[] {
-  const known = [...blocks].flatMap(([shard, { value }]) => (held.size === 0 || held.has(shard) ? value.machines : []));
-  const chosen = new Set<string>();
-  for (let i = 0; i < PROBES && known.length > 0; i++)
-    chosen.add(known[Math.floor(runtime.random() * known.length)]?.address ?? '');
-  chosen.delete('');
-  return [...chosen];
+  const pool = [...blocks].flatMap(([shard, { value }]) => (held.size === 0 || held.has(shard) ? value.machines : []));
+  const sampled = new Set<string>();
+  for (let i = 0; i < PROBES && pool.length > 0; i++)
+    sampled.add(pool[Math.floor(runtime.random() * pool.length)]?.address ?? '');
+  sampled.delete('');
+  return [...sampled];
 }
 
+/** What `checkReachability` needs from the rest of the node. */
 export interface ReachabilityDeps {
   readonly reachability: WorkerReachability;
-  /** Every shard's block, and the shards that are held here with their machines. */
+  /** The blocks of all shards. */
   blocks(): ReadonlyMap<ShardName, KnownShard>;
+  /** The shards that are held here, with their machines. */
   held(): ReadonlyMap<ShardName, { readonly machines: ReadonlyMap<unknown, unknown> }>;
+  /** Interval between the reports of a worker. */
   readonly reportMs: number;
   readonly runtime: Runtime;
   readonly log: Logger;
-  /** The verdict has changed: the peers are told. */
-  changed(): void;
+  /** Called when the verdict has changed, so that the peers learn of it. */
+  onVerdictChanged(): void;
 }
 
-/** One round: when too little is heard of the workers, some are probed, and the verdict is kept. */
+/**
+ * One round: probes some workers if too few reports arrive, and updates the verdict on whether this node reaches them.
+ */
 export async function checkReachability(deps: ReachabilityDeps): Promise<void> {
   const { reachability, runtime, log, reportMs } = deps;
   const held = deps.held();
   let machines = 0;
   for (const shard of held.values()) machines += shard.machines.size;
   if (reachability.look(runtime.now(), machines, reportMs) === 'nothing') return;
-  const addresses = someAddresses(deps.blocks(), held, runtime);
+  const addresses = sampleAddresses(deps.blocks(), held, runtime);
   const answered = await probeWorkers(addresses, runtime);
   if (reachability.probed(addresses.length, answered)) {
     log.info(
       { reachable: reachability.ok, asked: addresses.length, answered },
-      reachability.ok ? 'this node reaches the workers again' : 'this node is cut off from the workers',
+      reachability.ok ? 'this node reaches the workers again' : 'this node cannot reach the workers',
     );
-    deps.changed();
+    deps.onVerdictChanged();
   }
-  if (!reachability.ok) await runtime.sleep(PROBE_AGAIN_MS);
+  if (!reachability.ok) await runtime.sleep(REPROBE_DELAY_MS);
 }
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -7,98 +7,108 @@
 import type { ShardSummary } from '../peers/index.js';
 import { limitOf, type QuotaShares } from '../quota/index.js';
 
+/** Age from which a shard summary is no longer used for routing. */
 const SUMMARY_VALID_MS = 5000;
 
-export interface RoutesDeps {
+/** What `ShardRouter` needs from the rest of the node. */
+export interface ShardRouterDeps {
   readonly self: NodeName;
   readonly clock: Clock;
-  /** Limits of teams: who keeps a team's account, and whether they are shared out between all shards. */
+  /** Team limits: which shard keeps a team's account, and whether the limits are divided between all shards. */
   readonly quotas: Pick<QuotaShares, 'account' | 'returning' | 'routesFreely' | 'startableIn'>;
   readonly teams: ReadonlyMap<string, TeamFacts>;
   /** The shards that this node holds. */
   readonly holders: ReadonlyMap<ShardName, ShardHolder>;
   /** This node's own shard. */
-  readonly own: ShardName;
+  readonly ownShard: ShardName;
+  /** The known machine types, by name. */
   types(): ReadonlyMap<string, MachineType>;
 }
 
-/** What is known of every shard from its holder's last summary, and where a job is sent by it. */
-export class ShardRoutes {
+/** Keeps the last summary of every shard, as sent by its holder, and uses the summaries to route jobs to shards. */
+export class ShardRouter {
   private readonly summaries = new Map<ShardName, { summary: ShardSummary; at: number }>();
 
-  constructor(private readonly deps: RoutesDeps) {}
+  constructor(private readonly deps: ShardRouterDeps) {}
 
-  note(summary: ShardSummary): void {
+  /** Stores a summary with its time of arrival. */
+  recordSummary(summary: ShardSummary): void {
     this.summaries.set(summary.shard, { summary, at: this.deps.clock.now() });
   }
 
-  forget(shard: ShardName): void {
+  /** Discards the summary of a shard. */
+  forgetSummary(shard: ShardName): void {
     this.summaries.delete(shard);
   }
 
-  /** However old. */
-  last(shard: ShardName): ShardSummary | undefined {
+  /** The last summary of a shard, of any age. */
+  lastSummary(shard: ShardName): ShardSummary | undefined {
     return this.summaries.get(shard)?.summary;
   }
 
-  get current(): ShardSummary[] {
+  /** The summaries that are recent enough for routing. */
+  get currentSummaries(): ShardSummary[] {
     const now = this.deps.clock.now();
-    const current: ShardSummary[] = [];
-    for (const { summary, at } of this.summaries.values()) if (now - at < SUMMARY_VALID_MS) current.push(summary);
-    return current;
+    const summaries: ShardSummary[] = [];
+    for (const { summary, at } of this.summaries.values()) if (now - at < SUMMARY_VALID_MS) summaries.push(summary);
+    return summaries;
   }
 
-  /** Where a new job goes; null when nobody knows. One that `waits` takes no room yet. */
-  choose(spec: JobSpec, waits = false): ShardName | null {
-    // Unless limits are shared, one shard keeps a limited team's whole account.
-    if (this.bound(spec)) return this.deps.quotas.account(spec.team);
-    const { holders, own } = this.deps;
-    const here = holders.has(own) ? own : ([...holders.keys()][0] ?? null);
+  /**
+   * Chooses the shard of a new job; null if none is known. A job that is `waiting` for others reserves no capacity yet.
+   */
+  chooseShardFor(spec: JobSpec, waiting = false): ShardName | null {
+    // Unless limits are divided into shares, one shard keeps the whole account of a team with a limit.
+    if (this.mustFollowAccount(spec)) return this.deps.quotas.account(spec.team);
+    const { holders, ownShard } = this.deps;
+    const localShard = holders.has(ownShard) ? ownShard : ([...holders.keys()][0] ?? null);
     const { quotas } = this.deps;
-    const shared = limitOf(this.deps.teams.get(spec.team)) !== null;
-    const allowedIn = shared ? (shard: ShardName): number => quotas.startableIn(spec.team, shard, spec) : undefined;
-    const chosen = chooseShard(spec, this.current, this.deps.types(), here, allowedIn);
-    return waits ? chosen : this.booked(chosen, spec);
+    const limited = limitOf(this.deps.teams.get(spec.team)) !== null;
+    const allowedIn = limited ? (shard: ShardName): number => quotas.startableIn(spec.team, shard, spec) : undefined;
+    const chosen = chooseShard(spec, this.currentSummaries, this.deps.types(), localShard, allowedIn);
+    return waiting ? chosen : this.reserve(chosen, spec);
   }
 
-  /** Another shard that has room for a waiting job now. */
-  elsewhere(from: ShardName, spec: JobSpec, count: number): ShardName | null {
-    if (this.bound(spec)) {
+  /** Another shard with capacity for `count` waiting tasks of a job now, or null. */
+  findOtherShard(from: ShardName, spec: JobSpec, count: number): ShardName | null {
+    if (this.mustFollowAccount(spec)) {
       if (!this.deps.quotas.returning) return null;
-      // What was sent elsewhere while limits were shared goes back to where the account is.
+      // Jobs that were routed elsewhere while limits were divided return to the shard that keeps the account.
       const account = this.deps.quotas.account(spec.team);
       return account === from ? null : account;
     }
-    const { current } = this;
-    const others = current.filter(
+    const { currentSummaries: summaries } = this;
+    const candidates = summaries.filter(
       (s) => s.shard !== from && !(this.deps.holders.has(s.shard) && s.holder !== this.deps.self),
     );
-    const here = current.find((s) => s.shard === from);
-    return this.booked(betterShard(spec, count, here, others, this.deps.types()), spec);
+    const fromSummary = summaries.find((s) => s.shard === from);
+    return this.reserve(betterShard(spec, count, fromSummary, candidates, this.deps.types()), spec);
   }
 
-  /** How many tasks of a job run, as far as this node knows. */
-  running(id: JobId): { running: number; done: number } {
+  /** Numbers of running and done tasks of a job, as far as this node knows. */
+  progressOf(id: JobId): { running: number; done: number } {
     for (const holder of this.deps.holders.values()) {
-      const seen = holder.runningOf(id);
-      if (seen) return seen;
+      const progress = holder.runningOf(id);
+      if (progress) return progress;
     }
     for (const { summary } of this.summaries.values()) {
-      const found = summary.running.find((r) => r.job === id);
-      if (found) return { running: found.running, done: found.done };
+      const reported = summary.running.find((r) => r.job === id);
+      if (reported) return { running: reported.running, done: reported.done };
     }
     return { running: 0, done: 0 };
   }
 
-  /** Must it be where its team's account is? */
-  private bound({ team }: JobSpec): boolean {
+  /** Whether a job must be in the shard that keeps its team's account. */
+  private mustFollowAccount({ team }: JobSpec): boolean {
     return limitOf(this.deps.teams.get(team)) !== null && !this.deps.quotas.routesFreely;
   }
 
-  /** The next job sees what this one takes before the holder says so. */
-  private booked(chosen: ShardName | null, spec: JobSpec): ShardName | null {
-    const entry = chosen === null ? undefined : this.summaries.get(chosen);
-    if (chosen !== null && entry) this.summaries.set(chosen, { ...entry, summary: bookRoom(spec, entry.summary) });
-    return chosen;
+  /**
+   * Subtracts a routed job's capacity from the shard's summary, so that the next job sees it before the holder reports.
+   */
+  private reserve(shard: ShardName | null, spec: JobSpec): ShardName | null {
+    const entry = shard === null ? undefined : this.summaries.get(shard);
+    if (shard !== null && entry) this.summaries.set(shard, { ...entry, summary: bookRoom(spec, entry.summary) });
+    return shard;
   }
 }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -38,38 +38,45 @@
 import { ANNOUNCEMENT, FEATURE_NAMES } from './announcement.js';
 import { createApp, laneRoutes, listen, type Handlers, type Listener } from './http.js';
 import { Trail } from '../trail/index.js';
-import { Forms } from './forms.js';
-import { Health } from './health.js';
+import { StorageFormats } from './forms.js';
+import { HealthCheck } from './health.js';
 import { checkReachability } from './reachability.js';
-import { handlePeer } from './peers.js';
-import { createQuotas } from './quota.js';
-import { ShardRoutes } from './routes.js';
-import { TypeBook } from './types.js';
-import { rolloutDesk } from './overview.js';
+import { handlePeerMessage } from './peers.js';
+import { createQuotaShares } from './quota.js';
+import { ShardRouter } from './routes.js';
+import { MachineTypeCache } from './types.js';
+import { rolloutOperations } from './overview.js';
 import { nodeStatus } from './status.js';
 import { ShardOwnership } from './ownership.js';
 import { trailView } from './trailview.js';
-import { UserDesk } from './users.js';
+import { UserRequestHandler } from './users.js';
 
-const SUMMARY_EVERY_MS = 800;
-const QUOTA_EVERY_MS = 400;
-/** Looking costs a walk through the shard's tasks. */
-const QUOTA_SETTLE_MS = 250;
-const CARRY_EVERY_MS = 500;
-const REST_FACTOR = 20;
-/** Sockets for the state service, the cloud, the peers and the listeners. */
-const KEPT_SOCKETS = 40;
+/** Interval at which the holders send summaries of their shards to the peers. */
+const SUMMARY_INTERVAL_MS = 800;
+/** Interval of the rounds that divide team limits. */
+const QUOTA_INTERVAL_MS = 400;
+/** Shortest interval between requested quota rounds: a round iterates over all tasks of the held shards. */
+const QUOTA_THROTTLE_MS = 250;
+/** Interval of the rounds that carry cancellations to other controllers. */
+const CARRY_INTERVAL_MS = 500;
+/** After a holder round, the event loop is left to other work for this many times the length of the round. */
+const HOLDER_REST_FACTOR = 20;
+/** Sockets that are reserved for the state service, the cloud, the peers and the listeners. */
+const RESERVED_SOCKETS = 40;
 
-/** Of the sockets that it may have: for users' and workers' connections, and for commands to workers. */
-const incoming = (most: number): number => Math.max(50, Math.floor(most * 0.7));
-const outgoing = (most: number): number => Math.max(20, most - incoming(most) - KEPT_SOCKETS);
+/** How many of the allowed connections are for incoming ones, from users and workers. */
+const incomingConnectionLimit = (maxConnections: number): number => Math.max(50, Math.floor(maxConnections * 0.7));
+/** How many of the allowed connections are for commands to workers. */
+const commandSocketLimit = (maxConnections: number): number =>
+  Math.max(20, maxConnections - incomingConnectionLimit(maxConnections) - RESERVED_SOCKETS);
 
+/** Options of a controller that are not part of its settings. */
 export interface ServiceOptions {
-  /** How many of its last events it keeps for those who record them; none are kept when not given. */
+  /** How many of the latest events are kept for trace recorders; without it, none are kept. */
   readonly trailEvents?: number;
 }
 
-/** One controller: all slices put together. */
+/** One controller node: creates its parts, connects them and runs their reconcile loops. */
 export class Service {
   private readonly incarnation: Incarnation;
   private readonly state: StateClient;
@@ -79,28 +86,28 @@
   private readonly membership: Membership;
   private readonly registry: JobRegistry;
   private readonly carrier: Carrier;
-  private readonly bound: BoundFacts;
+  private readonly boundFacts: BoundFacts;
   private readonly settingsStore: SettingsStore;
-  private readonly desk: UserDesk;
+  private readonly userRequests: UserRequestHandler;
   private readonly leader: Leader;
   private readonly directory: ShardDirectory;
   private readonly ownership: ShardOwnership;
   private readonly steward: Steward;
   private readonly conductor: Conductor;
   private readonly switches: Switches;
-  private readonly routes: ShardRoutes;
+  private readonly router: ShardRouter;
   private readonly quotas: QuotaShares;
-  private readonly quotaRounds: ReconcileLoop;
+  private readonly quotaLoop: ReconcileLoop;
   private readonly ownShard: ShardName;
-  private readonly types: TypeBook;
-  private readonly forms: Forms;
+  private readonly machineTypes: MachineTypeCache;
+  private readonly storageFormats: StorageFormats;
   private readonly reachability: WorkerReachability;
-  private readonly health = new Health();
+  private readonly healthCheck = new HealthCheck();
   private readonly sockets: SocketBudget;
-  private readonly rounds: ReconcileLoop;
-  private readonly leaderRounds: ReconcileLoop;
+  private readonly holderLoop: ReconcileLoop;
+  private readonly leaderLoop: ReconcileLoop;
   private readonly loops: ReconcileLoop[] = [];
-  private server: Listener | undefined;
+  private listener: Listener | undefined;
   private readonly trail: Trail | null;
 
   constructor(
@@ -112,17 +119,17 @@
     this.trail = options.trailEvents === undefined ? null : new Trail(options.trailEvents, runtime);
     this.incarnation = incarnation(runtime.uniqueId());
     this.reachability = new WorkerReachability(runtime.now());
-    this.sockets = new SocketBudget(outgoing(settings.maxConnections));
+    this.sockets = new SocketBudget(commandSocketLimit(settings.maxConnections));
     this.ownShard = shardName(settings.node);
     this.state = new StateClient(settings.state, settings.stateLimits, log, runtime);
     this.state.writers = settings.seeds.length + 1;
     this.mirror = new Mirror(this.state, LIVE, runtime, log);
     this.directory = new ShardDirectory(this.mirror);
     this.cloud = new CloudClient(settings.cloud, settings.cloudLimits.rps, log, runtime);
-    this.types = new TypeBook({
+    this.machineTypes = new MachineTypeCache({
       ...{ state: this.state, mirror: this.mirror, cloud: this.cloud, clock: runtime },
-      leads: () => this.membership.leading !== null,
-      learned: () => this.rounds.nudge(),
+      isLeading: () => this.membership.leading !== null,
+      onTypesChanged: () => this.holderLoop.nudge(),
     });
     this.peers = new PeerLink(
       settings.node,
@@ -139,14 +146,14 @@
     );
     this.switches = new Switches(this.mirror, new Set(FEATURE_NAMES));
     this.ownership = new ShardOwnership({
-      ...{ self: settings.node, incarnation: this.incarnation, own: this.ownShard, state: this.state },
+      ...{ self: settings.node, incarnation: this.incarnation, ownShard: this.ownShard, state: this.state },
       ...{ mirror: this.mirror, peers: this.peers, directory: this.directory, runtime, log, trail: this.trail },
       membership: () => this.membership,
-      reaches: () => this.reachability.ok,
-      make: (shard, version, value) => this.makeHolder(shard, version, value),
-      dropped: (shard) => this.routes.forget(shard),
-      form: () => this.forms.blocks,
-      seal: () => this.forms.seal,
+      reachesWorkers: () => this.reachability.ok,
+      createHolder: (shard, version, value) => this.createHolder(shard, version, value),
+      onShardDropped: (shard) => this.router.forgetSummary(shard),
+      blockFormat: () => this.storageFormats.blockFormat,
+      sealRecords: () => this.storageFormats.sealRecords,
       hasForeignWork: (shard) => this.ownership.holders.get(shard)?.hasForeignWork === true,
     });
     this.membership = new Membership(
@@ -160,40 +167,40 @@
         held: () => [...this.ownership.holders.keys()],
         verify: () => this.ownership.verify(),
         mayClaim: () =>
-          this.ownership.mayTake &&
-          (this.reachability.ok || !this.peers.names.some((peer) => this.ownership.isFit(peer))),
-        mayLead: () => this.ownership.mayTake,
-        paged: () => this.forms.blocks === 'pages',
+          this.ownership.mayTakeShards &&
+          (this.reachability.ok || !this.peers.names.some((peer) => this.ownership.canTakeShards(peer))),
+        mayLead: () => this.ownership.mayTakeShards,
+        paged: () => this.storageFormats.blockFormat === 'pages',
         announcement: () => ANNOUNCEMENT,
       },
       runtime,
       log,
     );
-    this.quotas = createQuotas({
+    this.quotas = createQuotaShares({
       ...{ teams: settings.teams, state: this.state, mirror: this.mirror, directory: this.directory },
       ...{ peers: this.peers, runtime, log, holders: this.ownership.holders },
-      mode: () => this.forms.quotas,
+      mode: () => this.storageFormats.quotaMode,
       shards: () => this.membership.shards,
     });
-    this.routes = new ShardRoutes({
+    this.router = new ShardRouter({
       self: settings.node,
       clock: runtime,
       teams: settings.teams,
       quotas: this.quotas,
       holders: this.ownership.holders,
-      own: this.ownShard,
-      types: () => this.types.all,
+      ownShard: this.ownShard,
+      types: () => this.machineTypes.all,
     });
     this.registry = new JobRegistry(
       this.state,
       this.mirror,
       settings.teams,
       {
-        types: () => this.types.list,
-        chooseShard: (spec, waits) => this.routes.choose(spec, waits),
-        pipelines: () => this.forms.pipelines,
+        types: () => this.machineTypes.list,
+        chooseShard: (spec, waits) => this.router.chooseShardFor(spec, waits),
+        pipelines: () => this.storageFormats.pipelines,
         awaits: (id) => this.steward.awaits(id),
-        running: (id) => this.routes.running(id),
+        running: (id) => this.router.progressOf(id),
         carried: (id, final, version) => this.carrier.carried(id, final, version),
         ended: (id, final) => {
           const { phase, done } = final;
@@ -205,15 +212,15 @@
       log,
     );
     const { cancelMs, leaseMs } = settings.workers;
-    this.bound = { cancelMs, leaseMs, nodeLeaseMs: LEASE_MS };
+    this.boundFacts = { cancelMs, leaseMs, nodeLeaseMs: LEASE_MS };
     this.carrier = new Carrier({
-      ...{ self: settings.node, incarnation: this.incarnation, facts: this.bound, runtime, log },
+      ...{ self: settings.node, incarnation: this.incarnation, facts: this.boundFacts, runtime, log },
       ...{ state: this.state, mirror: this.mirror, directory: this.directory, peers: this.peers },
       others: settings.seeds.map((seed) => seed.node),
       on: () => this.switches.on(CARRIED_CANCELLATIONS),
       renewedAt: () => this.membership.heldUntilAtLeast,
       held: () => [...this.ownership.holders].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
-      ousted: (shard, version) => this.ownership.oust(shard, version),
+      ousted: (shard, version) => this.ownership.supersede(shard, version),
       over: (id, final, version) => this.registry.remember(id, final, version),
     });
     this.steward = new Steward({
@@ -224,23 +231,23 @@
       },
       objectives: settings.objectives,
       begun: (id) => {
-        const { running, done } = this.routes.running(id);
+        const { running, done } = this.router.progressOf(id);
         return running + done > 0;
       },
-      fetchS: (spec) => this.types.fetchS(spec),
+      fetchS: (spec) => this.machineTypes.imageFetchS(spec),
     });
     this.conductor = new Conductor({
       ...{ features: FEATURES, state: this.state, mirror: this.mirror, runtime, log },
       nodes: [settings.node, ...settings.seeds.map((seed) => seed.node)].sort(),
       leading: () => this.membership.leading,
-      leftOf: (feature) => this.forms.leftOf(feature),
+      leftOf: (feature) => this.storageFormats.remainingRecords(feature),
     });
-    this.forms = new Forms({
+    this.storageFormats = new StorageFormats({
       ...{ state: this.state, mirror: this.mirror, directory: this.directory },
       ...{ switches: this.switches, conductor: this.conductor },
     });
     this.settingsStore = new SettingsStore(this.state, this.mirror, runtime);
-    this.desk = new UserDesk(
+    this.userRequests = new UserRequestHandler(
       this.registry,
       this.peers,
       () => this.mirror.loaded,
@@ -257,22 +264,22 @@
       listLagMs: settings.cloudLimits.listLagMs,
       shards: this.directory,
       leading: () => this.membership.leading,
-      summaries: () => this.routes.current,
+      summaries: () => this.router.currentSummaries,
       coming: () => this.steward.coming(),
-      types: () => this.types.all,
-      tell: (node, message) => this.tell(node, message),
-      nudge: () => this.leaderRounds.nudge(),
+      types: () => this.machineTypes.all,
+      tell: (node, message) => this.sendToPeer(node, message),
+      nudge: () => this.leaderLoop.nudge(),
     });
-    this.leaderRounds = new ReconcileLoop('leader', 1000, runtime, log, () => this.leader.round(), 700);
-    this.quotaRounds = new ReconcileLoop(
+    this.leaderLoop = new ReconcileLoop('leader', 1000, runtime, log, () => this.leader.round(), 700);
+    this.quotaLoop = new ReconcileLoop(
       'quotas',
-      QUOTA_EVERY_MS,
+      QUOTA_INTERVAL_MS,
       runtime,
       log,
       () => this.quotas.round(),
-      QUOTA_SETTLE_MS,
+      QUOTA_THROTTLE_MS,
     );
-    this.rounds = new ReconcileLoop(
+    this.holderLoop = new ReconcileLoop(
       'holders',
       250,
       runtime,
@@ -281,20 +288,31 @@
         for (const holder of this.ownership.holders.values()) holder.round();
       },
       100,
-      // A report that waits for a plan is worse than a plan that waits for a report.
-      REST_FACTOR,
+      // Rounds pause in favour of reports: delaying a report by a plan is worse than delaying a plan by a report.
+      HOLDER_REST_FACTOR,
     );
   }
 
+  /** Starts the listeners, the watch and the reconcile loops. */
   start(): void {
     const { log, runtime, settings } = this;
     this.mirror.changes.subscribe((change) => this.onChange(change));
     this.peers.received.subscribe((received) => this.onPeer(received));
     this.peers.start();
-    const { incarnation: life, membership, state, mirror, settingsStore, steward, carrier, ownership, peers } = this;
-    const seen = {
+    const {
+      incarnation: ownIncarnation,
+      membership,
+      state,
+      mirror,
+      settingsStore,
+      steward,
+      carrier,
+      ownership,
+      peers,
+    } = this;
+    const statusDeps = {
       node: settings.node,
-      incarnation: life,
+      incarnation: ownIncarnation,
       membership,
       state,
       mirror,
@@ -306,76 +324,96 @@
     };
     const admin = adminRouter(
       this.settingsStore,
-      { status: () => nodeStatus(seen), quotas: () => this.quotas.overview() },
-      rolloutDesk({
+      { status: () => nodeStatus(statusDeps), quotas: () => this.quotas.overview() },
+      rolloutOperations({
         ...{ self: settings.node, clock: runtime, directory: this.directory, peers: this.peers },
         ...{ conductor: this.conductor, switches: this.switches, ownership: this.ownership },
         shards: () => this.membership.shards,
       }),
       this.trail &&
         trailView(this.trail, settings, this.incarnation, {
-          types: () => this.types.list ?? [],
-          operator: () => this.settingsStore.current,
+          types: () => this.machineTypes.list ?? [],
+          operatorSettings: () => this.settingsStore.current,
         }),
     );
     this.trail?.note({ kind: 'up' });
     const handlers: Handlers = {
-      healthy: () => this.healthy(),
-      serve: (request) => this.desk.serve(request),
+      healthy: () => this.isHealthy(),
+      serve: (request) => this.userRequests.serve(request),
       report: (message) => this.onReport(message),
     };
     const app = createApp(handlers, admin, log);
-    const sockets = incoming(settings.maxConnections);
+    const incomingLimit = incomingConnectionLimit(settings.maxConnections);
     const { host, port } = settings.serveOn;
-    this.server = listen(app, laneRoutes(handlers, log), { host, port }, sockets, runtime, log);
+    this.listener = listen(app, laneRoutes(handlers, log), { host, port }, incomingLimit, runtime, log);
     void this.mirror.run();
-    const session = new ReconcileLoop('session', this.membership.renewEveryMs, runtime, log, () =>
+    const sessionLoop = new ReconcileLoop('session', this.membership.renewEveryMs, runtime, log, () =>
       this.membership.keep(),
     );
-    const claims = new ReconcileLoop('claims', 200, runtime, log, () => this.claims());
-    const summaries = new ReconcileLoop('summaries', SUMMARY_EVERY_MS, runtime, log, () => this.publish());
-    const types = new ReconcileLoop('types', 500, runtime, log, () => this.types.learn());
-    const carry = new ReconcileLoop('carry', CARRY_EVERY_MS, runtime, log, () => this.carrier.round());
-    const reachability = {
+    const claimLoop = new ReconcileLoop('claims', 200, runtime, log, () => this.reconcileClaims());
+    const summaryLoop = new ReconcileLoop('summaries', SUMMARY_INTERVAL_MS, runtime, log, () =>
+      this.publishSummaries(),
+    );
+    const typesLoop = new ReconcileLoop('types', 500, runtime, log, () => this.machineTypes.refresh());
+    const carryLoop = new ReconcileLoop('carry', CARRY_INTERVAL_MS, runtime, log, () => this.carrier.round());
+    const reachabilityDeps = {
       ...{ reachability: this.reachability, runtime, log, reportMs: settings.workers.reportMs },
       blocks: () => this.directory.all,
       held: () => this.ownership.holders,
-      changed: () => this.peers.greet(),
+      onVerdictChanged: () => this.peers.greet(),
     };
-    const reach = new ReconcileLoop('reachability', 200, runtime, log, () => checkReachability(reachability));
-    this.loops.push(session, claims, carry, reach, types, summaries, this.leaderRounds, this.quotaRounds, this.rounds);
+    const reachabilityLoop = new ReconcileLoop('reachability', 200, runtime, log, () =>
+      checkReachability(reachabilityDeps),
+    );
+    this.loops.push(
+      sessionLoop,
+      claimLoop,
+      carryLoop,
+      reachabilityLoop,
+      typesLoop,
+      summaryLoop,
+      this.leaderLoop,
+      this.quotaLoop,
+      this.holderLoop,
+    );
     for (const loop of this.loops) loop.start();
-    session.nudge();
+    sessionLoop.nudge();
     log.info({ serve: settings.serveOn, incarnation: this.incarnation }, 'wooddrift is up');
   }
 
-  /** Ends this controller as a crash would: nothing is handed over. */
+  /** Stops this controller as abruptly as a crash: nothing is handed over. */
   stop(): void {
     for (const loop of this.loops) loop.stop();
     for (const holder of this.ownership.holders.values()) holder.drop();
     this.mirror.stop();
     this.peers.stop();
-    this.server?.shut();
+    this.listener?.shut();
     this.state.close();
   }
 
-  private async claims(): Promise<void> {
+  /** One round of leader election, shard claims, ownership and rollout. */
+  private async reconcileClaims(): Promise<void> {
     if (!this.mirror.loaded) return;
     await this.membership.elect();
     await this.membership.claim();
-    await this.ownership.review();
+    await this.ownership.reconcile();
     await this.conductor.round();
   }
 
-  private healthy(): boolean {
+  /** Whether the load balancer should send users to this node. */
+  private isHealthy(): boolean {
     const ready = this.mirror.loaded && this.membership.registered;
-    const others = this.peers.names.map((node) => this.peers.statusOf(node)?.stateOk ?? null);
-    const { mayTake } = this.ownership;
-    return this.health.look({ ready, mayTake, stateOk: this.state.available, others }, this.runtime.now());
+    const othersStateOk = this.peers.names.map((node) => this.peers.statusOf(node)?.stateOk ?? null);
+    const { mayTakeShards } = this.ownership;
+    return this.healthCheck.check(
+      { ready, mayTakeShards, stateOk: this.state.available, othersStateOk },
+      this.runtime.now(),
+    );
   }
 
   // ---- shards
 
+  /** Dispatches a change in the state service by its key. */
   private onChange(change: Change): void {
     if (change.key.startsWith(JOBS)) {
       this.steward.onJob(change);
@@ -384,24 +422,26 @@
     else if (change.key.startsWith(PAGES)) this.ownership.onPage(change);
     else if (change.key.startsWith(PROGRESS))
       this.ownership.holders.get(shardName(change.key.slice(PROGRESS.length)))?.onProgress(change);
-    else if (change.key.startsWith(QUOTAS)) this.onQuota();
-    else if (change.key === TYPES) this.types.onChange(change);
+    else if (change.key.startsWith(QUOTAS)) this.onQuotaChange();
+    else if (change.key === TYPES) this.machineTypes.onChange(change);
   }
 
-  /** Shares have changed: what waits may start, and others may give. */
-  private onQuota(): void {
+  /** Handles a change of quota shares: waiting tasks may be able to start, and shards may be able to give up shares. */
+  private onQuotaChange(): void {
     for (const holder of this.ownership.holders.values()) holder.soon();
-    this.quotaRounds.nudge();
+    this.quotaLoop.nudge();
   }
 
-  private makeHolder(shard: ShardName, version: Revision, value: ShardValue): ShardHolder {
+  /** Creates the holder of a shard that this node has claimed, with the faulty machines of the last summary. */
+  private createHolder(shard: ShardName, version: Revision, value: ShardValue): ShardHolder {
     const previous = this.membership.previousOf(shard);
-    const last = this.routes.last(shard)?.machines ?? [];
-    const faulty = last.filter((machine) => machine.faulty).map((machine) => machine.id);
-    this.rounds.nudge();
+    const lastMachines = this.router.lastSummary(shard)?.machines ?? [];
+    const faulty = lastMachines.filter((machine) => machine.faulty).map((machine) => machine.id);
+    this.holderLoop.nudge();
     return new ShardHolder(shard, version, value, previous, faulty, this.holderDeps());
   }
 
+  /** What shard holders need from the rest of the node. */
   private holderDeps(): HolderDeps {
     return {
       self: this.settings.node,
@@ -417,35 +457,40 @@
         leftOf: (team) => this.quotas.leftOf(team),
         account: (team) => this.quotas.account(team),
         isReturning: () => this.quotas.returning,
-        wanted: () => this.quotaRounds.nudge(),
+        wanted: () => this.quotaLoop.nudge(),
       },
       runtime: this.runtime,
       sockets: this.sockets,
       log: this.log,
       trail: this.trail,
-      types: () => this.types.all,
+      types: () => this.machineTypes.all,
       operator: () => this.settingsStore.current,
       heldUntil: () => this.membership.heldUntilAtLeast,
       certain: () => this.membership.certain,
       standing: () => this.carrier.standing,
-      leftoverMs: leftoverForMs(this.bound),
+      leftoverMs: leftoverForMs(this.boundFacts),
       grouped: () => this.switches.on(GROUPED_PROGRESS),
-      nudge: () => this.rounds.nudge(),
+      nudge: () => this.holderLoop.nudge(),
       heard: () => this.reachability.heard(),
-      roomElsewhere: (from, spec, count) => this.routes.elsewhere(from, spec, count),
+      roomElsewhere: (from, spec, count) => this.router.findOtherShard(from, spec, count),
     };
   }
 
   // ---- workers
 
+  /**
+   * Handles a worker's report if its machine is in a held block; otherwise redirects the worker to the holder of its
+   * machine or, for a machine in no block, to the leader.
+   */
   private onReport(message: WorkerMessage): ReportReply {
     this.reachability.heard();
     for (const holder of this.ownership.holders.values()) {
       if (holder.members.present(message.machine)) return holder.onReport(message);
     }
     const shard = this.directory.shardOf(message.machine);
-    const owner = shard === null ? undefined : this.directory.all.get(shard)?.value.holder;
-    if (owner !== undefined) return { status: 421, body: encodeRedirect(owner === this.settings.node ? null : owner) };
+    const holderNode = shard === null ? undefined : this.directory.all.get(shard)?.value.holder;
+    if (holderNode !== undefined)
+      return { status: 421, body: encodeRedirect(holderNode === this.settings.node ? null : holderNode) };
     if (this.membership.leading !== null) {
       this.leader.noteUp(message);
       return { status: 421, body: encodeRedirect(null) };
@@ -456,22 +501,28 @@
 
   // ---- peers
 
+  /** Dispatches a message of a peer. */
   private onPeer(received: Received): void {
-    const { state, peers, routes, registry, ownership, carrier, desk, quotas } = this;
-    const nudgeQuotas = (): void => this.quotaRounds.nudge();
-    handlePeer({ state, peers, routes, registry, ownership, carrier, desk, quotas, nudgeQuotas }, received);
+    const { state, peers, router, registry, ownership, carrier, userRequests, quotas } = this;
+    const requestQuotaRound = (): void => this.quotaLoop.nudge();
+    handlePeerMessage(
+      { state, peers, router, registry, ownership, carrier, userRequests, quotas, requestQuotaRound },
+      received,
+    );
   }
 
-  private tell(node: NodeName, message: PeerMessage): void {
+  /** Sends a message to a node; a message to this node is handled locally. */
+  private sendToPeer(node: NodeName, message: PeerMessage): void {
     if (node === this.settings.node) this.onPeer({ from: node, message });
     else this.peers.send(node, message);
   }
 
-  private publish(): void {
+  /** Sends the summaries of the held shards to all peers. */
+  private publishSummaries(): void {
     this.state.writers = Math.max(1, this.membership.aliveCount);
     for (const holder of this.ownership.holders.values()) {
       const summary = holder.summary();
-      this.routes.note(summary);
+      this.router.recordSummary(summary);
       this.peers.broadcast({ kind: 'summary', summary });
     }
   }
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -7,6 +7,7 @@
 import type { Mirror, StateClient } from '../state/index.js';
 import type { ShardOwnership } from './ownership.js';
 
+/** The parts of a node that its status is read from. */
 export interface StatusDeps {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
@@ -20,7 +21,7 @@
   readonly peers: PeerLink;
 }
 
-/** What `admin status` shows of a node. */
+/** The status of a node as shown by `admin status`. */
 export function nodeStatus({ node, incarnation, membership, state, settingsStore, ...deps }: StatusDeps): unknown {
   const { mirror, steward, carrier, ownership, peers } = deps;
   return {
--- a/src/service/types.ts
+++ b/src/service/types.ts
@@ -3,61 +3,70 @@
 import type { Clock } from '../kernel/index.js';
 import { TYPES, Urgency, valueBytes, type Change, type Mirror, type StateClient } from '../state/index.js';
 
-const EVERY_MS = 30_000;
+/** Interval at which the leader asks the cloud for the machine types. */
+const REFRESH_INTERVAL_MS = 30_000;
 
-export interface TypeBookDeps {
+/** What `MachineTypeCache` needs from the rest of the node. */
+export interface MachineTypeCacheDeps {
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly cloud: CloudClient;
   readonly clock: Clock;
-  leads(): boolean;
-  learned(): void;
+  /** Whether this node leads. */
+  isLeading(): boolean;
+  /** Called after the machine types have been set. */
+  onTypesChanged(): void;
 }
 
-/** The machine types that the cloud has. The first node that learns them stores them: others start without the cloud. */
-export class TypeBook {
+/**
+ * The machine types that the cloud offers. The first node that fetches them stores them in the state service, so that
+ * other nodes can start without the cloud.
+ */
+export class MachineTypeCache {
   private types = new Map<string, MachineType>();
-  private askedAt = 0;
+  private lastFetchedAt = 0;
 
-  constructor(private readonly deps: TypeBookDeps) {}
+  constructor(private readonly deps: MachineTypeCacheDeps) {}
 
+  /** The known machine types by name; empty until they are known. */
   get all(): ReadonlyMap<string, MachineType> {
     return this.types;
   }
 
-  /** null: not known yet. */
+  /** The machine types, or null while they are not known. */
   get list(): readonly MachineType[] | null {
     return this.types.size > 0 ? [...this.types.values()] : null;
   }
 
-  /** About how long the job's image takes to come, in seconds. */
-  fetchS({ imageGb }: JobSpec): number {
-    let fastest = 0;
-    for (const { fetchGbPerS } of this.types.values()) fastest = Math.max(fastest, fetchGbPerS);
-    return fastest > 0 ? imageGb / fastest : 0;
+  /** Estimated seconds to fetch the job's image, at the speed of the fastest machine type. */
+  imageFetchS({ imageGb }: JobSpec): number {
+    let fastestGbPerS = 0;
+    for (const { fetchGbPerS } of this.types.values()) fastestGbPerS = Math.max(fastestGbPerS, fetchGbPerS);
+    return fastestGbPerS > 0 ? imageGb / fastestGbPerS : 0;
   }
 
+  /** Handles a change of the stored machine types. */
   onChange({ value }: Change): void {
-    if (Array.isArray(value)) this.take(value as MachineType[]);
+    if (Array.isArray(value)) this.setTypes(value as MachineType[]);
   }
 
-  private take(types: readonly MachineType[]): void {
+  private setTypes(types: readonly MachineType[]): void {
     this.types = new Map(types.map((t) => [t.name, t]));
-    this.deps.learned();
+    this.deps.onTypesChanged();
   }
 
-  /** One round. */
-  async learn(): Promise<void> {
+  /** One round: fetches the machine types if they are unknown, or if this node leads and the interval is over. */
+  async refresh(): Promise<void> {
     const { state, mirror, cloud, clock } = this.deps;
     const now = clock.now();
-    if (this.types.size > 0 && (!this.deps.leads() || now - this.askedAt < EVERY_MS)) return;
+    if (this.types.size > 0 && (!this.deps.isLeading() || now - this.lastFetchedAt < REFRESH_INTERVAL_MS)) return;
     if (!mirror.loaded || (this.types.size > 0 && !cloud.mayCall())) return;
     const types = await cloud.types();
     if (!types) return;
-    this.askedAt = now;
-    this.take(types);
+    this.lastFetchedAt = now;
+    this.setTypes(types);
     const stored = mirror.get(TYPES);
-    // Too many kinds for one value: others ask the cloud themselves.
+    // A list that is too large for one value is not stored; the other nodes then ask the cloud themselves.
     if (JSON.stringify(stored?.value) === JSON.stringify(types) || valueBytes(types) > state.limits.valueBytes) return;
     await state.txn(Urgency.progress, [{ key: TYPES, version: stored?.version ?? 0 }], [{ put: TYPES, value: types }]);
   }
--- a/src/service/users.ts
+++ b/src/service/users.ts
@@ -3,17 +3,21 @@
 import { isObject, type JobId, type NodeName } from '../kernel/index.js';
 import type { AskOp, PeerLink } from '../peers/index.js';
 
+/** A request of a user. */
 export type UserRequest =
   | { readonly op: 'submit'; readonly spec: JobSpec; readonly awaits?: readonly JobId[] }
   | { readonly op: 'query' | 'cancel'; readonly id: string };
 
+/** The HTTP status and JSON body of an answer to a user. */
 export interface UserAnswer {
   readonly status: number;
   readonly body: unknown;
+  /** Value of the Retry-After header, in seconds. */
   readonly retryAfterS?: number;
 }
 
-const FORWARD_MS = 1200;
+/** Longest wait for the answer of a peer to a forwarded request. */
+const FORWARD_TIMEOUT_MS = 1200;
 
 const toAnswer = (outcome: Outcome): UserAnswer => {
   switch (outcome.kind) {
@@ -32,8 +36,8 @@
   }
 };
 
-/** Serves users' requests here, or through a peer that has the state service when this node lacks it. */
-export class UserDesk {
+/** Serves requests of users on this node, or through a peer that has the state service if this node lacks it. */
+export class UserRequestHandler {
   constructor(
     private readonly registry: JobRegistry,
     private readonly peers: PeerLink,
@@ -41,18 +45,20 @@
     private readonly stateOk: () => boolean,
   ) {}
 
+  /** Serves a request on this node or through a peer. */
   async serve(request: UserRequest): Promise<UserAnswer> {
-    // While we know that the state service gives us nothing, a peer is asked first: nobody is held.
+    // While this node knows that it lacks the state service, it asks a peer first, so that the user does not wait.
     if (!this.stateOk() || !this.ready()) {
       const forwarded = await this.forward(request);
       if (forwarded) return forwarded;
     }
-    const here = await this.serveHere(request);
-    if (here.status !== 503) return here;
-    return (await this.forward(request)) ?? here;
+    const local = await this.serveLocally(request);
+    if (local.status !== 503) return local;
+    return (await this.forward(request)) ?? local;
   }
 
-  async serveHere(request: UserRequest): Promise<UserAnswer> {
+  /** Serves a request on this node. */
+  async serveLocally(request: UserRequest): Promise<UserAnswer> {
     if (!this.ready()) return toAnswer({ kind: 'later', reason: 'starting' });
     if (request.op === 'submit') return toAnswer(await this.registry.submit(request.spec, request.awaits));
     const id = parseJobId(request.id);
@@ -60,15 +66,16 @@
     return toAnswer(request.op === 'query' ? await this.registry.query(id) : await this.registry.cancel(id));
   }
 
+  /** Forwards a request to a peer that has the state service; null if no peer gives a usable answer. */
   private async forward(request: UserRequest): Promise<UserAnswer | null> {
-    // A release that doesn't know `awaits` would drop it and start the job too early.
-    const pipelined = request.op === 'submit' && (request.awaits?.length ?? 0) > 0;
+    // A release that does not know `awaits` would drop the dependencies and start the job too early.
+    const hasDependencies = request.op === 'submit' && (request.awaits?.length ?? 0) > 0;
     const peer = this.peers.names.find((node: NodeName) => {
       const status = this.peers.statusOf(node);
-      return status?.stateOk === true && (!pipelined || status.features.includes(PIPELINES));
+      return status?.stateOk === true && (!hasDependencies || status.features.includes(PIPELINES));
     });
     if (peer === undefined) return null;
-    const answer = await this.peers.ask(peer, request.op, JSON.stringify(request), FORWARD_MS);
+    const answer = await this.peers.ask(peer, request.op, JSON.stringify(request), FORWARD_TIMEOUT_MS);
     if (!answer || answer.status === 503) return null;
     try {
       return { status: answer.status, body: JSON.parse(answer.body) as unknown };
@@ -77,7 +84,7 @@
     }
   }
 
-  /** A peer asks us to serve its user. */
+  /** Serves a request that a peer has forwarded for its user. */
   async onAsk(op: AskOp, body: string): Promise<{ status: number; body: string }> {
     let request: unknown;
     try {
@@ -87,7 +94,7 @@
     }
     if (!isObject(request) || request['op'] !== op) return { status: 400, body: '{}' };
     if (!this.stateOk()) return { status: 503, body: '{}' };
-    const answer = await this.serveHere(request as unknown as UserRequest);
+    const answer = await this.serveLocally(request as unknown as UserRequest);
     return { status: answer.status, body: JSON.stringify(answer.body) };
   }
 }
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -38,7 +38,7 @@
   ...over,
 });
 
-test('taskIndex agree with a walk through all beliefs, whatever comes in', () => {
+test('the task index agrees with a scan of all worker trackers after any sequence of events', () => {
   const KEYS = [0, 1, 2].flatMap((job) => [0, 1].map((index) => taskKey(jobId(`j-${job}`), index)));
   fc.assert(
     fc.property(
@@ -49,36 +49,36 @@
         const taskIndex = new TaskIndex();
         const ids = [0, 1, 2].map((i) => machineId(`m${i}`));
         const workers = ids.map((id) => new StandInWorker(id));
-        const beliefs = ids.map(
+        const trackers = ids.map(
           (machine) => new MachineBelief(revision(5), millis(0), { mentions: taskIndex, machine }),
         );
-        let number = 0;
-        for (const [m, what, k] of steps) {
-          const [worker, belief, key] = [workers[m], beliefs[m], KEYS[k]];
-          assert.ok(worker && belief && key);
-          if (what === 'start') {
-            number += 1;
-            belief.noteStart(key, attempt(number));
-            if (k % 2 === 0)
-              worker.onCommands(belief.token, belief.session, [{ op: 'start', key, attempt: attempt(number) }]);
-          } else if (what === 'report') {
-            worker.onReply(belief.token, []);
-            belief.take(worker.report(), millis(1));
-          } else if (what === 'bump') belief.raiseToken();
-          else if (what === 'settle') belief.settleStarts([key]);
-          else belief.expire();
+        let lastAttempt = 0;
+        for (const [machineIndex, event, keyIndex] of steps) {
+          const [worker, tracker, key] = [workers[machineIndex], trackers[machineIndex], KEYS[keyIndex]];
+          assert.ok(worker && tracker && key);
+          if (event === 'start') {
+            lastAttempt += 1;
+            tracker.noteStart(key, attempt(lastAttempt));
+            if (keyIndex % 2 === 0)
+              worker.onCommands(tracker.token, tracker.session, [{ op: 'start', key, attempt: attempt(lastAttempt) }]);
+          } else if (event === 'report') {
+            worker.onReply(tracker.token, []);
+            tracker.take(worker.report(), millis(1));
+          } else if (event === 'bump') tracker.raiseToken();
+          else if (event === 'settle') tracker.settleStarts([key]);
+          else tracker.expire();
         }
         for (const key of KEYS) {
-          const walked = ids.filter((_, i) => beliefs[i]?.tasks.has(key) || beliefs[i]?.pendingStarts.has(key));
-          assert.deepEqual([...taskIndex.machinesOf(key)].sort(), walked);
+          const scanned = ids.filter((_, i) => trackers[i]?.tasks.has(key) || trackers[i]?.pendingStarts.has(key));
+          assert.deepEqual([...taskIndex.machinesOf(key)].sort(), scanned);
         }
         for (const job of ['j-0', 'j-1', 'j-2'].map(jobId)) {
-          const named = (key: TaskKey): boolean => key.startsWith(`${job}/`);
-          const walked = ids.filter((_, i) =>
-            [...(beliefs[i]?.tasks.keys() ?? []), ...(beliefs[i]?.pendingStarts.keys() ?? [])].some(named),
+          const ofJob = (key: TaskKey): boolean => key.startsWith(`${job}/`);
+          const scanned = ids.filter((_, i) =>
+            [...(trackers[i]?.tasks.keys() ?? []), ...(trackers[i]?.pendingStarts.keys() ?? [])].some(ofJob),
           );
-          assert.deepEqual([...taskIndex.machinesOfJob(job)].sort(), walked);
-          assert.equal(taskIndex.names(job), walked.length > 0);
+          assert.deepEqual([...taskIndex.machinesOfJob(job)].sort(), scanned);
+          assert.equal(taskIndex.names(job), scanned.length > 0);
         }
       },
     ),
@@ -86,22 +86,22 @@
   );
 });
 
-test('a report that says nothing new changes nothing that a plan depends on', () => {
+test('a report without news does not change the generation that plans depend on', () => {
   const worker = new StandInWorker('m0');
-  const belief = new MachineBelief(revision(5), millis(0));
-  worker.onReply(belief.token, []);
-  belief.take(worker.report(), millis(1));
-  worker.onCommands(belief.token, belief.session, [
+  const tracker = new MachineBelief(revision(5), millis(0));
+  worker.onReply(tracker.token, []);
+  tracker.take(worker.report(), millis(1));
+  worker.onCommands(tracker.token, tracker.session, [
     { op: 'start', key: taskKey(jobId('j-1'), 0), attempt: attempt(1) },
   ]);
-  belief.take(worker.report(), millis(2));
-  const before = belief.generation;
-  belief.take(worker.report(), millis(3));
-  assert.equal(belief.generation, before);
-  assert.equal(belief.lastHeardAt, 3, 'it has been heard all the same');
+  tracker.take(worker.report(), millis(2));
+  const before = tracker.generation;
+  tracker.take(worker.report(), millis(3));
+  assert.equal(tracker.generation, before);
+  assert.equal(tracker.lastHeardAt, 3, 'the report still counts as the last message');
 });
 
-test('a block as large as the leader makes it is a value that the state service takes', () => {
+test('a block of the maximum size fits into a value of the state service', () => {
   const machines = Array.from({ length: blockLimit(32) }, (_, i) => ({
     id: machineId(`host-${String(i).padStart(6, '0')}`),
     type: i % 2 ? 'dispensary' : 'theatre',
@@ -112,31 +112,35 @@
   assert.ok(machines.length * 3 > 970);
   const stored = JSON.stringify(encodeShard(shard({ machines })));
   assert.ok(Buffer.byteLength(stored) <= 32 * 1024, `${Buffer.byteLength(stored)} bytes`);
-  const read = decodeShard(JSON.parse(stored));
+  const decoded = decodeShard(JSON.parse(stored));
   const byId = (a: { id: string }, b: { id: string }): number => (a.id < b.id ? -1 : 1);
-  assert.deepEqual([...(read?.machines ?? [])].sort(byId), machines);
+  assert.deepEqual([...(decoded?.machines ?? [])].sort(byId), machines);
 });
 
-test('whoever claims after a claimant without proof inherits the doubt', () => {
-  // Else the leases of workers that the first holder still answers would be counted from the second one's end.
-  const [zombie, second, third] = ['n-0', 'n-1', 'n-2'].map(nodeName);
-  assert.ok(zombie && second && third);
-  const first = shard({ holder: zombie, incarnation: incarnation('z') });
-  const claimed = shard({ holder: second, incarnation: incarnation('s'), earlier: earlierHolders(first, second) });
+test('a new claim inherits the earlier holders that are not known to have stopped', () => {
+  // Otherwise the leases of workers that the first holder still answers would be counted from the end of the second.
+  const [staleHolder, second, third] = ['n-0', 'n-1', 'n-2'].map(nodeName);
+  assert.ok(staleHolder && second && third);
+  const firstRecord = shard({ holder: staleHolder, incarnation: incarnation('z') });
+  const claimed = shard({
+    holder: second,
+    incarnation: incarnation('s'),
+    earlier: earlierHolders(firstRecord, second),
+  });
   assert.deepEqual(
     earlierHolders(claimed, third).map((h) => h.node),
-    [zombie, second],
+    [staleHolder, second],
   );
-  // The second one's own restart proves its own end, not the first one's.
+  // A restart of the second holder proves that its own earlier incarnation has ended, not that of the first.
   assert.deepEqual(
     earlierHolders(claimed, second).map((h) => h.node),
-    [zombie],
+    [staleHolder],
   );
   assert.deepEqual(earlierHolders(shard({ released: true }), second), []);
   assert.deepEqual(decodeShard(JSON.parse(JSON.stringify(encodeShard(claimed))))?.earlier, claimed.earlier);
 });
 
-test('polls that come together share a request, and none is answered from an older mirror', async () => {
+test('concurrent freshness checks share a request, and none accepts an outdated mirror', async () => {
   const lab = new Lab();
   const runtime = lab.process('10.0.0.1');
   const { model: state, at } = lab.state();
@@ -149,16 +153,20 @@
   assert.ok(mirror.loaded);
   for (let i = 1; i <= 10; i++) {
     state.put('live/jobs/j-1', { at: i });
-    const asked = await lab.settle(Promise.all([freshness.ensure(), freshness.ensure(), freshness.ensure()]));
-    assert.deepEqual(asked, [true, true, true]);
+    const fresh = await lab.settle(Promise.all([freshness.ensure(), freshness.ensure(), freshness.ensure()]));
+    assert.deepEqual(fresh, [true, true, true]);
     assert.deepEqual(mirror.get('live/jobs/j-1')?.value, { at: i });
   }
   state.outage(true);
-  assert.equal(await lab.settle(freshness.ensure()), false, 'without the state service nothing is fresh');
+  assert.equal(
+    await lab.settle(freshness.ensure()),
+    false,
+    'without the state service, the mirror is not known to be fresh',
+  );
   mirror.stop();
 });
 
-test('the directory knows whose each machine is after every change of a block', async () => {
+test('the directory knows the shard of each machine after every change of a block', async () => {
   const lab = new Lab();
   const runtime = lab.process('10.0.0.1');
   const client = new StateClient(lab.state().at, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
@@ -175,11 +183,11 @@
       version: revision(version),
     });
   };
-  const owners = (): (string | null)[] => ['m1', 'm2', 'm3'].map((id) => directory.shardOf(id as MachineId));
+  const shards = (): (string | null)[] => ['m1', 'm2', 'm3'].map((id) => directory.shardOf(id as MachineId));
   put('a', ['m1', 'm2'], 1);
-  assert.deepEqual(owners(), ['a', 'a', null]);
-  // A machine moves; the block it enters may be seen before the one that it has left.
+  assert.deepEqual(shards(), ['a', 'a', null]);
+  // A machine moves: the change of its new block may arrive before the change of its old one.
   put('b', ['m2', 'm3'], 2);
   put('a', ['m1'], 3);
-  assert.deepEqual(owners(), ['a', 'b', 'b']);
+  assert.deepEqual(shards(), ['a', 'b', 'b']);
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -62,18 +62,18 @@
   return port;
 }
 
-/** Waits for as long as the test may run: nothing here depends on how fast the machine is. */
-async function until(what: string, holds: () => boolean | Promise<boolean>): Promise<void> {
+/** Polls a condition for as long as the test may run, so that the test does not depend on the speed of the machine. */
+async function until(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
   for (let i = 0; i < 4000; i++) {
-    if (await holds()) return;
+    if (await condition()) return;
     await systemRuntime.sleep(20);
   }
-  assert.fail(`never came about: ${what}`);
+  assert.fail(`condition not reached: ${what}`);
 }
 
-/** The same on real sockets as the region plays in simulated time: what only real sockets do shows here. */
+/** The scenario that the region simulates, on real sockets: guards against faults that only real sockets show. */
 test(
-  'two controllers on real sockets run a job, and the second takes a running service over',
+  'two controllers on real sockets run a job, and the second takes over a running service',
   {
     timeout: 120_000,
   },
@@ -87,8 +87,8 @@
       ];
       seats.push({ name, zone: 'z', serveOn, peerOn });
     }
-    const happened: string[] = [];
-    const region = await serveRegion(day, 3, seats, log, (what) => happened.push(what));
+    const events: string[] = [];
+    const region = await serveRegion(day, 3, seats, log, (what) => events.push(what));
     const services = seats.map(
       (seat) => new Service(parseSettings(settingsFor(day, seat, seats, region)), log, systemRuntime),
     );
@@ -127,11 +127,11 @@
       await accepted(0, 'j-2', 'daemon');
       for (const node of [0, 1])
         await until(`j-1 done at ${node}`, async () => (await call(node, '/v1/jobs/j-1')).phase === 'done');
-      const runs = (): number => happened.filter((what) => what.startsWith('runs j-2/0')).length;
-      await until('the replica runs', () => runs() === 1);
+      const replicaStarts = (): number => events.filter((what) => what.startsWith('runs j-2/0')).length;
+      await until('the replica runs', () => replicaStarts() === 1);
       assert.equal((await call(0, '/v1/jobs/j-none')).status, 404);
 
-      // The first controller dies; the other takes over, and what runs there goes on untouched.
+      // The first controller stops as in a crash; the second takes over its shard, and the replica keeps running.
       services[0]?.stop();
       await until('the second holds both shards', () =>
         seats.every(({ name }) => {
@@ -141,8 +141,8 @@
       );
       assert.equal((await call(1, '/v1/jobs/j-2')).status, 200);
       await until('cancelled', async () => (await call(1, '/v1/jobs/j-2/cancel', {})).phase === 'withdrawn');
-      await until('the replica is gone', () => happened.some((what) => what.startsWith('off j-2/0')));
-      assert.equal(runs(), 1, 'the replica was not started again');
+      await until('the replica has stopped', () => events.some((what) => what.startsWith('off j-2/0')));
+      assert.equal(replicaStarts(), 1, 'the replica was not started again');
       assert.equal((await call(1, '/v1/jobs', job('j-2', 'daemon'))).phase, 'withdrawn');
       assert.deepEqual(checker.breaches, []);
     } finally {
