--- a/src/service/http.ts
+++ b/src/service/http.ts
@@ -21,7 +21,7 @@
 import { parseJobId, parseSubmission } from '../jobs/index.js';
 import type { ReportReply } from '../holder/index.js';
 import { decodeMessage, type WorkerMessage } from '../workers/index.js';
-import type { UserAnswer, UserRequest } from './users.js';
+import type { UserResponse, UserRequest } from './users.js';
 
 const BODY_LIMIT_BYTES = 64 * 1024;
 /** Idle timeout of connections that the Express app serves. */
@@ -40,26 +40,26 @@
   /** Whether the load balancer should send users here. */
   healthy(): boolean;
   /** Serves a request of a user. */
-  serve(request: UserRequest): Promise<UserAnswer>;
+  serve(request: UserRequest): Promise<UserResponse>;
   /** Handles a report of a worker. */
   report(message: WorkerMessage): ReportReply;
 }
 
 /**
- * Writes an answer without Express's response helpers, which cost more than the answer itself: users poll every job
+ * Writes a response without Express's response helpers, which cost more than the response itself: users poll every job
  * that they have.
  */
-function sendAnswer(res: ServerResponse, answer: UserAnswer): void {
-  const text = JSON.stringify(answer.body);
-  if (answer.retryAfterS !== undefined) res.setHeader('retry-after', String(answer.retryAfterS));
-  res.writeHead(answer.status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) });
+function sendResponse(res: ServerResponse, response: UserResponse): void {
+  const text = JSON.stringify(response.body);
+  if (response.retryAfterS !== undefined) res.setHeader('retry-after', String(response.retryAfterS));
+  res.writeHead(response.status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(text) });
   res.end(text);
 }
 
 /** Creates the Express app with the HTTP interface for users, workers and operators. */
 export function createApp(handlers: Handlers, admin: Router, log: Logger): Express {
   const respond = (res: Response, next: NextFunction, request: UserRequest): void => {
-    handlers.serve(request).then((answer) => sendAnswer(res, answer), next);
+    handlers.serve(request).then((response) => sendResponse(res, response), next);
   };
   const app = express();
   app.disable('x-powered-by');
@@ -71,12 +71,12 @@
   app.use(express.json({ limit: BODY_LIMIT_BYTES, strict: false, type: () => true }));
 
   app.post('/v1/jobs', (req, res, next) => {
-    submit(handlers, req.body).then((answer) => sendAnswer(res, answer), next);
+    submit(handlers, req.body).then((response) => sendResponse(res, response), next);
   });
   app.get('/v1/jobs/:id', (req, res, next) => respond(res, next, { op: 'query', id: req.params.id }));
   app.post('/v1/jobs/:id/cancel', (req, res, next) => respond(res, next, { op: 'cancel', id: req.params.id }));
-  // Reports whose HTTP form the fast path (`Lane`) does not handle.
-  app.post('/v1/report', (req, res) => sendAnswer(res, answerReport(handlers, log, req.body)));
+  // Reports whose HTTP form the fast path (`FastPathConnection`) does not handle.
+  app.post('/v1/report', (req, res) => sendResponse(res, handleReport(handlers, log, req.body)));
   app.use('/admin/v1', admin);
   app.use((_req, res) => {
     res.status(404).json({ error: 'not found' });
@@ -103,7 +103,7 @@
  * Handles a submission. A malformed one whose job exists already is answered with that job, because an earlier release
  * accepted some submissions that this release finds malformed.
  */
-async function submit(handlers: Handlers, body: unknown): Promise<UserAnswer> {
+async function submit(handlers: Handlers, body: unknown): Promise<UserResponse> {
   const submission = parseSubmission(body);
   if (submission.ok) return handlers.serve({ op: 'submit', spec: submission.spec, awaits: submission.awaits });
   const id = parseJobId(isObject(body) && typeof body['ref'] === 'string' ? body['ref'] : '');
@@ -120,52 +120,54 @@
   }
 }
 
-function answerReport(handlers: Handlers, log: Logger, body: unknown): ReportReply {
+function handleReport(handlers: Handlers, log: Logger, body: unknown): ReportReply {
   const message = decodeMessage(body);
   if (message) return handlers.report(message);
   log.warn('malformed worker report refused');
   return { status: 400, body: { error: 'not a report' } };
 }
 
-const toLaneAnswer = (answer: UserAnswer): LaneAnswer => ({
-  status: answer.status,
-  text: JSON.stringify(answer.body),
-  ...(answer.retryAfterS === undefined ? {} : { retryAfterS: answer.retryAfterS }),
+const toFastPathResponse = (response: UserResponse): LaneAnswer => ({
+  status: response.status,
+  text: JSON.stringify(response.body),
+  ...(response.retryAfterS === undefined ? {} : { retryAfterS: response.retryAfterS }),
 });
-/** The answer to a request whose handler failed. */
-const UNAVAILABLE: UserAnswer = { status: 503, body: { error: 'cannot serve this now' }, retryAfterS: 1 };
+/** The response to a request whose handler failed. */
+const UNAVAILABLE: UserResponse = { status: 503, body: { error: 'cannot serve this now' }, retryAfterS: 1 };
 
 const QUERY_PATH = /^\/v1\/jobs\/([^/?#%]+)$/;
 const CANCEL_PATH = /^\/v1\/jobs\/([^/?#%]+)\/cancel$/;
 
 /**
  * Returns the handlers of the requests that bypass Express: reports, polls, health checks, submissions and
- * cancellations. They answer as the app of `createApp` does.
+ * cancellations. Their responses equal those of the app of `createApp`.
  */
 export function laneRoutes(handlers: Handlers, log: Logger): (head: RequestHead) => LaneHandler | undefined {
-  const withErrorAnswer =
-    (serve: (head: RequestHead, body: Buffer) => UserAnswer | Promise<UserAnswer>): LaneHandler =>
+  const withErrorResponse =
+    (serve: (head: RequestHead, body: Buffer) => UserResponse | Promise<UserResponse>): LaneHandler =>
     (head, body) => {
       const onFailure = (error: unknown): LaneAnswer => {
         log.error({ err: error }, 'HTTP request failed');
-        return toLaneAnswer(UNAVAILABLE);
+        return toFastPathResponse(UNAVAILABLE);
       };
       try {
-        const answer = serve(head, body);
-        return answer instanceof Promise ? answer.then(toLaneAnswer, onFailure) : toLaneAnswer(answer);
+        const response = serve(head, body);
+        return response instanceof Promise
+          ? response.then(toFastPathResponse, onFailure)
+          : toFastPathResponse(response);
       } catch (error) {
         return onFailure(error);
       }
     };
-  const report = withErrorAnswer((_head, body) => answerReport(handlers, log, parseJson(body)));
-  const submitJob = withErrorAnswer((_head, body) => submit(handlers, parseJson(body)));
-  const queryJob = withErrorAnswer((head) =>
+  const report = withErrorResponse((_head, body) => handleReport(handlers, log, parseJson(body)));
+  const submitJob = withErrorResponse((_head, body) => submit(handlers, parseJson(body)));
+  const queryJob = withErrorResponse((head) =>
     handlers.serve({ op: 'query', id: QUERY_PATH.exec(head.path)?.[1] ?? '' }),
   );
-  const cancelJob = withErrorAnswer((head) =>
+  const cancelJob = withErrorResponse((head) =>
     handlers.serve({ op: 'cancel', id: CANCEL_PATH.exec(head.path)?.[1] ?? '' }),
   );
-  const health = withErrorAnswer(() =>
+  const health = withErrorResponse(() =>
     handlers.healthy() ? { status: 200, body: { ok: true } } : { status: 503, body: { ok: false }, retryAfterS: 1 },
   );
   return ({ method, path }) => {
@@ -188,7 +190,10 @@
   shut(): void;
 }
 
-/** Listens for HTTP requests: plain ones take the fast path (`Lane`), all others go through the Express app. */
+/**
+ * Listens for HTTP requests: plain ones take the fast path
+ * (`FastPathConnection`), all others go through the Express app.
+ */
 export function listen(
   app: Express,
   findHandler: (head: RequestHead) => LaneHandler | undefined,
@@ -213,10 +218,10 @@
   // all its running tasks.
   const evictIdleUserConnection = (): void => {
     let examined = 0;
-    for (const [socket, lane] of userConnections) {
+    for (const [socket, fastPath] of userConnections) {
       examined += 1;
-      if (lane.resting) socket.end();
-      if (lane.resting || examined >= MAX_EVICTION_CANDIDATES) {
+      if (fastPath.resting) socket.end();
+      if (fastPath.resting || examined >= MAX_EVICTION_CANDIDATES) {
         userConnections.delete(socket);
         return;
       }
@@ -233,14 +238,14 @@
         userConnections.delete(socket);
       });
       if (connections.size > maxConnections * EVICTION_LOAD_FRACTION) evictIdleUserConnection();
-      const lane = Lane.serve(socket, trackAndFindHandler, BODY_LIMIT_BYTES, (connection, unread) => {
+      const fastPath = Lane.serve(socket, trackAndFindHandler, BODY_LIMIT_BYTES, (connection, unread) => {
         userConnections.delete(connection);
         connection.unshift(unread);
         appServer.emit('connection', connection);
       });
       function trackAndFindHandler(head: RequestHead): LaneHandler | undefined {
         userConnections.delete(socket);
-        if (!NEVER_EVICTED_PATHS.test(head.path)) userConnections.set(socket, lane);
+        if (!NEVER_EVICTED_PATHS.test(head.path)) userConnections.set(socket, fastPath);
         return findHandler(head);
       }
     },
--- a/src/service/ownership.ts
+++ b/src/service/ownership.ts
@@ -74,10 +74,10 @@
   private readonly ownNodeBackSince = new Map<ShardName, Millis>();
   private leavingSince: Millis | null = null;
 
-  private readonly seals: Seals;
+  private readonly sealer: Seals;
 
   constructor(private readonly deps: OwnershipDeps) {
-    this.seals = new Seals(deps);
+    this.sealer = new Seals(deps);
   }
 
   /** Handles a change of a shard's record or head. */
@@ -234,7 +234,7 @@
     // Unsealing now would let work start here without being counted in the account of another shard that has to cover
     // it.
     if (!sealed && this.deps.hasForeignWork(shard)) return;
-    await this.seals.set(shard, known, sealed);
+    await this.sealer.set(shard, known, sealed);
   }
 
   /**
--- a/src/service/peers.ts
+++ b/src/service/peers.ts
@@ -15,7 +15,7 @@
   readonly router: ShardRouter;
   readonly registry: JobRegistry;
   readonly ownership: ShardOwnership;
-  readonly carrier: Carrier;
+  readonly cancellationPropagator: Carrier;
   readonly userRequests: UserRequestHandler;
   readonly quotas: QuotaShares;
   /** Requests a reconcile round of the shares of team limits. */
@@ -24,7 +24,7 @@
 
 /** Dispatches a message of a peer to the part of this node that handles it. */
 export function handlePeerMessage(deps: PeerMessageDeps, { from, message }: Received): void {
-  const { state, peers, router, registry, ownership, carrier, userRequests, quotas } = deps;
+  const { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas } = deps;
   switch (message.kind) {
     case 'hello':
       if (message.limitsFallen) state.fallen();
@@ -39,7 +39,7 @@
     case 'withdrawn':
     case 'heard':
     case 'word':
-      carrier.onPeer(from, message);
+      cancellationPropagator.onPeer(from, message);
       break;
     case 'transfer':
       for (const holder of ownership.holders.values()) holder.transfer(message.machine, message.to);
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -58,7 +58,7 @@
 /** Shortest interval between requested quota rounds: a round iterates over all tasks of the held shards. */
 const QUOTA_THROTTLE_MS = 250;
 /** Interval of the rounds that carry cancellations to other controllers. */
-const CARRY_INTERVAL_MS = 500;
+const CANCELLATION_INTERVAL_MS = 500;
 /** After a holder round, the event loop is left to other work for this many times the length of the round. */
 const HOLDER_REST_FACTOR = 20;
 /** Sockets that are reserved for the state service, the cloud, the peers and the listeners. */
@@ -85,8 +85,8 @@
   private readonly peers: PeerLink;
   private readonly membership: Membership;
   private readonly registry: JobRegistry;
-  private readonly carrier: Carrier;
-  private readonly boundFacts: BoundFacts;
+  private readonly cancellationPropagator: Carrier;
+  private readonly holderTimings: BoundFacts;
   private readonly settingsStore: SettingsStore;
   private readonly userRequests: UserRequestHandler;
   private readonly leader: Leader;
@@ -201,7 +201,7 @@
         pipelines: () => this.storageFormats.pipelines,
         awaits: (id) => this.steward.awaits(id),
         running: (id) => this.router.progressOf(id),
-        carried: (id, final, version) => this.carrier.carried(id, final, version),
+        carried: (id, final, version) => this.cancellationPropagator.carried(id, final, version),
         ended: (id, final) => {
           const { phase, done } = final;
           this.trail?.note({ kind: 'ended', job: id, phase, done });
@@ -212,9 +212,9 @@
       log,
     );
     const { cancelMs, leaseMs } = settings.workers;
-    this.boundFacts = { cancelMs, leaseMs, nodeLeaseMs: LEASE_MS };
-    this.carrier = new Carrier({
-      ...{ self: settings.node, incarnation: this.incarnation, facts: this.boundFacts, runtime, log },
+    this.holderTimings = { cancelMs, leaseMs, nodeLeaseMs: LEASE_MS };
+    this.cancellationPropagator = new Carrier({
+      ...{ self: settings.node, incarnation: this.incarnation, facts: this.holderTimings, runtime, log },
       ...{ state: this.state, mirror: this.mirror, directory: this.directory, peers: this.peers },
       others: settings.seeds.map((seed) => seed.node),
       on: () => this.switches.on(CARRIED_CANCELLATIONS),
@@ -306,7 +306,7 @@
       mirror,
       settingsStore,
       steward,
-      carrier,
+      cancellationPropagator,
       ownership,
       peers,
     } = this;
@@ -318,7 +318,7 @@
       mirror,
       settingsStore,
       steward,
-      carrier,
+      cancellationPropagator,
       ownership,
       peers,
     };
@@ -355,7 +355,9 @@
       this.publishSummaries(),
     );
     const typesLoop = new ReconcileLoop('types', 500, runtime, log, () => this.machineTypes.refresh());
-    const carryLoop = new ReconcileLoop('carry', CARRY_INTERVAL_MS, runtime, log, () => this.carrier.round());
+    const cancellationLoop = new ReconcileLoop('carry', CANCELLATION_INTERVAL_MS, runtime, log, () =>
+      this.cancellationPropagator.round(),
+    );
     const reachabilityDeps = {
       ...{ reachability: this.reachability, runtime, log, reportMs: settings.workers.reportMs },
       blocks: () => this.directory.all,
@@ -368,7 +370,7 @@
     this.loops.push(
       sessionLoop,
       claimLoop,
-      carryLoop,
+      cancellationLoop,
       reachabilityLoop,
       typesLoop,
       summaryLoop,
@@ -467,8 +469,8 @@
       operator: () => this.settingsStore.current,
       heldUntil: () => this.membership.heldUntilAtLeast,
       certain: () => this.membership.certain,
-      standing: () => this.carrier.standing,
-      leftoverMs: leftoverForMs(this.boundFacts),
+      standing: () => this.cancellationPropagator.standing,
+      leftoverMs: leftoverForMs(this.holderTimings),
       grouped: () => this.switches.on(GROUPED_PROGRESS),
       nudge: () => this.holderLoop.nudge(),
       heard: () => this.reachability.heard(),
@@ -503,10 +505,10 @@
 
   /** Dispatches a message of a peer. */
   private onPeer(received: Received): void {
-    const { state, peers, router, registry, ownership, carrier, userRequests, quotas } = this;
+    const { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas } = this;
     const requestQuotaRound = (): void => this.quotaLoop.nudge();
     handlePeerMessage(
-      { state, peers, router, registry, ownership, carrier, userRequests, quotas, requestQuotaRound },
+      { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas, requestQuotaRound },
       received,
     );
   }
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -16,21 +16,21 @@
   readonly mirror: Mirror;
   readonly settingsStore: SettingsStore;
   readonly steward: Steward;
-  readonly carrier: Carrier;
+  readonly cancellationPropagator: Carrier;
   readonly ownership: ShardOwnership;
   readonly peers: PeerLink;
 }
 
 /** The status of a node as shown by `admin status`. */
 export function nodeStatus({ node, incarnation, membership, state, settingsStore, ...deps }: StatusDeps): unknown {
-  const { mirror, steward, carrier, ownership, peers } = deps;
+  const { mirror, steward, cancellationPropagator, ownership, peers } = deps;
   return {
     ...{ node, incarnation, leader: membership.leader, leading: membership.leading, stateAvailable: state.available },
     ...{ watch: mirror.lag, held: ownership.held },
     settingsRevision: settingsStore.revision,
     stateLimits: { fallen: state.limits.fallen, writeRps: state.limits.writeRps },
     pipelines: steward.counts,
-    ...{ cancellations: carrier.status, heldBack: ownership.heldBack, peers: peers.traffic },
+    ...{ cancellations: cancellationPropagator.status, heldBack: ownership.heldBack, peers: peers.traffic },
     shards: [...ownership.holders.values()].map((holder) => holder.summary()),
   };
 }
--- a/src/service/users.ts
+++ b/src/service/users.ts
@@ -8,18 +8,18 @@
   | { readonly op: 'submit'; readonly spec: JobSpec; readonly awaits?: readonly JobId[] }
   | { readonly op: 'query' | 'cancel'; readonly id: string };
 
-/** The HTTP status and JSON body of an answer to a user. */
-export interface UserAnswer {
+/** The HTTP status and JSON body of a response to a user. */
+export interface UserResponse {
   readonly status: number;
   readonly body: unknown;
   /** Value of the Retry-After header, in seconds. */
   readonly retryAfterS?: number;
 }
 
-/** Longest wait for the answer of a peer to a forwarded request. */
+/** Longest wait for the response of a peer to a forwarded request. */
 const FORWARD_TIMEOUT_MS = 1200;
 
-const toAnswer = (outcome: Outcome): UserAnswer => {
+const toUserResponse = (outcome: Outcome): UserResponse => {
   switch (outcome.kind) {
     case 'created':
       return { status: 201, body: encodeView(outcome.view) };
@@ -46,7 +46,7 @@
   ) {}
 
   /** Serves a request on this node or through a peer. */
-  async serve(request: UserRequest): Promise<UserAnswer> {
+  async serve(request: UserRequest): Promise<UserResponse> {
     // While this node knows that it lacks the state service, it asks a peer first, so that the user does not wait.
     if (!this.stateOk() || !this.ready()) {
       const forwarded = await this.forward(request);
@@ -58,16 +58,16 @@
   }
 
   /** Serves a request on this node. */
-  async serveLocally(request: UserRequest): Promise<UserAnswer> {
-    if (!this.ready()) return toAnswer({ kind: 'later', reason: 'starting' });
-    if (request.op === 'submit') return toAnswer(await this.registry.submit(request.spec, request.awaits));
+  async serveLocally(request: UserRequest): Promise<UserResponse> {
+    if (!this.ready()) return toUserResponse({ kind: 'later', reason: 'starting' });
+    if (request.op === 'submit') return toUserResponse(await this.registry.submit(request.spec, request.awaits));
     const id = parseJobId(request.id);
-    if (!id) return toAnswer({ kind: 'absent' });
-    return toAnswer(request.op === 'query' ? await this.registry.query(id) : await this.registry.cancel(id));
+    if (!id) return toUserResponse({ kind: 'absent' });
+    return toUserResponse(request.op === 'query' ? await this.registry.query(id) : await this.registry.cancel(id));
   }
 
-  /** Forwards a request to a peer that has the state service; null if no peer gives a usable answer. */
-  private async forward(request: UserRequest): Promise<UserAnswer | null> {
+  /** Forwards a request to a peer that has the state service; null if no peer gives a usable response. */
+  private async forward(request: UserRequest): Promise<UserResponse | null> {
     // A release that does not know `awaits` would drop the dependencies and start the job too early.
     const hasDependencies = request.op === 'submit' && (request.awaits?.length ?? 0) > 0;
     const peer = this.peers.names.find((node: NodeName) => {
@@ -75,10 +75,10 @@
       return status?.stateOk === true && (!hasDependencies || status.features.includes(PIPELINES));
     });
     if (peer === undefined) return null;
-    const answer = await this.peers.ask(peer, request.op, JSON.stringify(request), FORWARD_TIMEOUT_MS);
-    if (!answer || answer.status === 503) return null;
+    const response = await this.peers.ask(peer, request.op, JSON.stringify(request), FORWARD_TIMEOUT_MS);
+    if (!response || response.status === 503) return null;
     try {
-      return { status: answer.status, body: JSON.parse(answer.body) as unknown };
+      return { status: response.status, body: JSON.parse(response.body) as unknown };
     } catch {
       return null;
     }
@@ -94,7 +94,7 @@
     }
     if (!isObject(request) || request['op'] !== op) return { status: 400, body: '{}' };
     if (!this.stateOk()) return { status: 503, body: '{}' };
-    const answer = await this.serveLocally(request as unknown as UserRequest);
-    return { status: answer.status, body: JSON.stringify(answer.body) };
+    const response = await this.serveLocally(request as unknown as UserRequest);
+    return { status: response.status, body: JSON.stringify(response.body) };
   }
 }
