--- a/src/service/http.ts
+++ b/src/service/http.ts
@@ -26,7 +26,7 @@
 const BODY_LIMIT_BYTES = 64 * 1024;
 /** Idle timeout of connections that the Express app serves. */
 const IDLE_TIMEOUT_MS = 120_000;
-/** Fraction of `maxConnections` above which each new connection triggers an attempt to evict an idle user connection. */
+/** Fraction of `maxConnections` above which each new connection tries to evict an idle user connection. */
 const EVICTION_LOAD_FRACTION = 0.9;
 /** Upper bound on the user connections that one eviction examines. */
 const MAX_EVICTION_CANDIDATES = 8;
