--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -1,237 +1,275 @@
 import { Priority, type FinalPhase, type JobSpec } from '../jobs/index.js';
 import type { JobId, WallMillis } from '../kernel/index.js';
 
-/** What a job takes over from those that need it, directly or through others. */
+/** Priority and deadline that a job inherits from the open jobs that depend on it, directly or transitively. */
 export interface Inherited {
+  /** The highest priority among those jobs. */
   readonly priority: Priority;
-  /** When it has to be done, in milliseconds of time of day, so that those after it can be in time; null: nobody says. */
+  /**
+   * When the job has to be done so that those jobs can meet their deadlines, as wall-clock time in milliseconds; null
+   * when none of them has a deadline.
+   */
   readonly dueAt: number | null;
 }
 
-/** An open job that awaits others. */
-export interface Waiter {
+/** An open job that depends on other jobs. */
+export interface DependentJob {
   readonly spec: JobSpec;
   readonly submittedAt: WallMillis;
+  /** The jobs that have to be done before this one may start. */
   readonly awaits: readonly JobId[];
 }
 
 /**
- * A job may be treated as having the priority of any that needs it. All of that is used only once time presses: until
- * then it is an ordinary job with a deadline, or whole chains would go before everything whose own time is as short.
+ * Returns the job's spec with the priority and the deadline that it inherits. A priority above normal is inherited only
+ * once the deadline is close (`pressing`). Until then the job counts as an ordinary job with a deadline; otherwise
+ * whole chains would be placed before other jobs whose own deadlines are just as close.
  */
 export function inheriting(
-  { spec, submittedAt }: Pick<Waiter, 'spec' | 'submittedAt'>,
+  { spec, submittedAt }: Pick<DependentJob, 'spec' | 'submittedAt'>,
   inherited: Inherited | null,
   pressing: boolean,
 ): JobSpec {
   if (!inherited) return spec;
-  const { priority: most, dueAt } = inherited;
-  const priority = Math.max(spec.priority, pressing ? most : Math.min(most, Priority.normal)) as Priority;
-  const dueS = dueAt === null ? null : (dueAt - submittedAt) / 1000;
-  const deadlineS = dueS === null ? spec.deadlineS : Math.min(dueS, spec.deadlineS ?? dueS);
+  const { priority: inheritedPriority, dueAt } = inherited;
+  const priority = Math.max(
+    spec.priority,
+    pressing ? inheritedPriority : Math.min(inheritedPriority, Priority.normal),
+  ) as Priority;
+  const inheritedDeadlineS = dueAt === null ? null : (dueAt - submittedAt) / 1000;
+  const deadlineS =
+    inheritedDeadlineS === null ? spec.deadlineS : Math.min(inheritedDeadlineS, spec.deadlineS ?? inheritedDeadlineS);
   return { ...spec, priority, deadlineS };
 }
 
-interface Node extends Waiter {
-  /** Those that aren't known to be done. */
-  readonly left: Set<JobId>;
+/** A job in the graph. */
+interface JobNode extends DependentJob {
+  /** The dependencies that are not known to be done. */
+  readonly pending: Set<JobId>;
+  /** When the last dependency known to be done was done, as wall-clock time in milliseconds. */
   readyAt: number;
+  /** True when the job has to be cancelled because a dependency was cancelled. */
   doomed: boolean;
 }
 
-/** What has come of an ending: jobs that may start now, and jobs that have to be cancelled. */
-export interface Consequences {
+/** What follows from a job's final state: jobs that may start now, and jobs that have to be cancelled. */
+export interface FinalEffects {
   readonly ready: readonly JobId[];
   readonly doomed: readonly JobId[];
 }
 
-const NOTHING: Consequences = { ready: [], doomed: [] };
-/** An array is through with its slowest task: how much longer that runs than the estimate. */
-const LAST_TASK = 1.3;
-/** From a step's last task to the next one's first: final, watch, read, command. */
-const STEP_S = 2;
+const NO_EFFECTS: FinalEffects = { ready: [], doomed: [] };
+/** An array is done when its slowest task is: expected run time of that task as a multiple of the estimate. */
+const SLOWEST_TASK_FACTOR = 1.3;
+/**
+ * Time from the end of a job's last task to the start of its dependent's first one, in seconds: storing the final
+ * state, the watch, reading the final state, and the start command.
+ */
+const STEP_OVERHEAD_S = 2;
 
-/** How long before its own end a job has to begin, by its owner's estimate; seconds. */
-export const stepS = (spec: JobSpec, fetchS: number): number =>
-  spec.estimateS * (spec.kind === 'array' && spec.tasks > 1 ? LAST_TASK : 1) + fetchS + STEP_S;
+/**
+ * Returns how long before its deadline a job has to be ready to start, in seconds: the run time by its owner's
+ * estimate, the image fetch and the step overhead.
+ */
+export const stepDurationS = (spec: JobSpec, fetchS: number): number =>
+  spec.estimateS * (spec.kind === 'array' && spec.tasks > 1 ? SLOWEST_TASK_FACTOR : 1) + fetchS + STEP_OVERHEAD_S;
 
-const earlier = (a: number | null, b: number | null): number | null =>
+/** Returns the earlier of two times; null stands for none. */
+const earliest = (a: number | null, b: number | null): number | null =>
   a === null ? b : b === null ? a : Math.min(a, b);
 
 /**
- * Which open jobs await which others, what is known of those, and what each job inherits. Kept by changes: nothing here
- * walks over the jobs that wait. Without clock and network; an ending is for ever, so all that is concluded from endings
- * is the same at every holder, whatever the order in which it learns of them.
+ * The dependency graph of open jobs: which jobs await which others, the known final states of those, and the priority
+ * and deadline that each job inherits. It is updated incrementally; no update iterates over all waiting jobs. It uses
+ * neither a clock nor the network. Final states never change, so every holder derives the same results from them, in
+ * whatever order it learns of them.
  */
 export class JobGraph {
-  private readonly nodes = new Map<JobId, Node>();
-  /** From a job to those that await it. */
-  private readonly after = new Map<JobId, Set<JobId>>();
+  private readonly nodes = new Map<JobId, JobNode>();
+  /** Jobs that await a job, by the job that they await. */
+  private readonly dependents = new Map<JobId, Set<JobId>>();
+  /** What each job inherits that an open job depends on. */
   private readonly inherited = new Map<JobId, Inherited>();
-  /** Those that wait for nothing but jobs that may run: they are next. */
-  private readonly next = new Set<JobId>();
+  /** Jobs whose pending dependencies may all run already. */
+  private readonly upcoming = new Set<JobId>();
 
-  /** `fetchS`: about how long a job's image takes to come, in seconds. */
+  /** `fetchS` returns the approximate time that fetching a job's image takes, in seconds. */
   constructor(private readonly fetchS: (spec: JobSpec) => number = () => 0) {}
 
+  /** Returns whether the job is in the graph, that is, open and dependent on others. */
   has(id: JobId): boolean {
     return this.nodes.has(id);
   }
 
-  /** How many wait, how many may run, and how many are to be cancelled. */
+  /** How many jobs wait for a dependency, how many may run, and how many have to be cancelled. */
   get counts(): { readonly waiting: number; readonly ready: number; readonly doomed: number } {
     let [waiting, ready, doomed] = [0, 0, 0];
     for (const node of this.nodes.values()) {
       if (node.doomed) doomed += 1;
-      else if (node.left.size === 0) ready += 1;
+      else if (node.pending.size === 0) ready += 1;
       else waiting += 1;
     }
     return { waiting, ready, doomed };
   }
 
-  /** A job that is to be cancelled takes those that come later with it, too: the doomed among them are told. */
-  add(id: JobId, waiter: Waiter): readonly JobId[] {
+  /**
+   * Adds an open job with its dependencies. A job that depends on a doomed one is doomed, too, even if it is added
+   * later. Returns the jobs that are doomed by this.
+   */
+  add(id: JobId, job: DependentJob): readonly JobId[] {
     if (this.nodes.has(id)) return [];
-    const left = new Set(waiter.awaits);
-    this.nodes.set(id, { ...waiter, left, readyAt: waiter.submittedAt, doomed: false });
-    for (const before of waiter.awaits) {
-      let after = this.after.get(before);
-      if (!after) this.after.set(before, (after = new Set()));
-      after.add(id);
+    const pending = new Set(job.awaits);
+    this.nodes.set(id, { ...job, pending, readyAt: job.submittedAt, doomed: false });
+    for (const dependency of job.awaits) {
+      let dependents = this.dependents.get(dependency);
+      if (!dependents) this.dependents.set(dependency, (dependents = new Set()));
+      dependents.add(id);
     }
-    this.passOn(waiter.awaits);
-    this.lookNext(id);
+    this.propagateInheritance(job.awaits);
+    this.updateUpcoming(id);
     const doomed: JobId[] = [];
-    if (waiter.awaits.some((before) => this.isDoomed(before))) this.doom(id, doomed);
+    if (job.awaits.some((dependency) => this.isDoomed(dependency))) this.doom(id, doomed);
     return doomed;
   }
 
-  /** It is over, or nobody's any more: nothing is concluded from that alone. */
+  /** Removes a job that is no longer open. Nothing follows for its dependents until its final state is known. */
   remove(id: JobId): void {
     const node = this.nodes.get(id);
     if (!node) return;
     this.nodes.delete(id);
-    this.next.delete(id);
-    for (const later of this.after.get(id) ?? []) this.lookNext(later);
-    for (const before of node.awaits) {
-      const after = this.after.get(before);
-      after?.delete(id);
-      if (after?.size === 0) this.after.delete(before);
+    this.upcoming.delete(id);
+    for (const dependent of this.dependents.get(id) ?? []) this.updateUpcoming(dependent);
+    for (const dependency of node.awaits) {
+      const dependents = this.dependents.get(dependency);
+      dependents?.delete(id);
+      if (dependents?.size === 0) this.dependents.delete(dependency);
     }
-    this.passOn(node.awaits);
+    this.propagateInheritance(node.awaits);
   }
 
-  /** A job is over. */
-  over(id: JobId, phase: FinalPhase, at: number): Consequences {
-    const after = this.after.get(id);
-    if (!after) return NOTHING;
+  /**
+   * Records the final state of a job; `at` is wall-clock time in milliseconds. Repeated calls for a job have no effect.
+   */
+  recordFinal(id: JobId, phase: FinalPhase, at: number): FinalEffects {
+    const dependents = this.dependents.get(id);
+    if (!dependents) return NO_EFFECTS;
     const ready: JobId[] = [];
     const doomed: JobId[] = [];
-    for (const next of after) {
-      const node = this.nodes.get(next);
+    for (const dependent of dependents) {
+      const node = this.nodes.get(dependent);
       if (!node || node.doomed) continue;
-      if (phase === 'cancelled') this.doom(next, doomed);
-      else if (node.left.delete(id)) {
+      if (phase === 'cancelled') this.doom(dependent, doomed);
+      else if (node.pending.delete(id)) {
         node.readyAt = Math.max(node.readyAt, at);
-        if (node.left.size === 0) {
-          ready.push(next);
-          this.next.delete(next);
-          for (const later of this.after.get(next) ?? []) this.lookNext(later);
+        if (node.pending.size === 0) {
+          ready.push(dependent);
+          this.upcoming.delete(dependent);
+          for (const later of this.dependents.get(dependent) ?? []) this.updateUpcoming(later);
         }
       }
     }
     return { ready, doomed };
   }
 
-  /** The job and all that need it, directly or through others; by a list, since chains may be long. */
+  /**
+   * Marks a job and all its direct and transitive dependents as doomed. It uses an explicit stack, because chains may
+   * be too long for recursion.
+   */
   private doom(first: JobId, doomed: JobId[]): void {
-    const list = [first];
-    for (let id = list.pop(); id !== undefined; id = list.pop()) {
+    const stack = [first];
+    for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
       const node = this.nodes.get(id);
       if (!node || node.doomed) continue;
       node.doomed = true;
-      this.next.delete(id);
+      this.upcoming.delete(id);
       doomed.push(id);
-      list.push(...(this.after.get(id) ?? []));
+      stack.push(...(this.dependents.get(id) ?? []));
     }
   }
 
-  private lookNext(id: JobId): void {
+  /** Adds a job to the upcoming ones if all its pending dependencies may run. */
+  private updateUpcoming(id: JobId): void {
     const node = this.nodes.get(id);
-    if (!node || node.doomed || node.left.size === 0) return;
-    for (const before of node.left) if ((this.nodes.get(before)?.left.size ?? 0) > 0) return;
-    this.next.add(id);
+    if (!node || node.doomed || node.pending.size === 0) return;
+    for (const dependency of node.pending) if ((this.nodes.get(dependency)?.pending.size ?? 0) > 0) return;
+    this.upcoming.add(id);
   }
 
-  /** Some of the jobs that wait for nothing but jobs that may run, the longest known first. */
-  *soon(most: number): Generator<{ readonly id: JobId; readonly waiter: Waiter; readonly left: ReadonlySet<JobId> }> {
-    let told = 0;
-    for (const id of this.next) {
+  /** Yields at most `limit` jobs whose pending dependencies may all run already, the longest known first. */
+  *upcomingJobs(
+    limit: number,
+  ): Generator<{ readonly id: JobId; readonly job: DependentJob; readonly pending: ReadonlySet<JobId> }> {
+    let yielded = 0;
+    for (const id of this.upcoming) {
       const node = this.nodes.get(id);
-      if (told++ >= most) return;
-      if (node) yield { id, waiter: node, left: node.left };
+      if (yielded++ >= limit) return;
+      if (node) yield { id, job: node, pending: node.pending };
     }
   }
 
-  /** May its tasks start? Of a job that is not here nothing is known. */
+  /** Returns whether the tasks of a job may start; false for a job that is not in the graph. */
   isReady(id: JobId): boolean {
     const node = this.nodes.get(id);
-    return node !== undefined && !node.doomed && node.left.size === 0;
+    return node !== undefined && !node.doomed && node.pending.size === 0;
   }
 
+  /** Returns whether a job has to be cancelled because one that it depends on was cancelled. */
   isDoomed(id: JobId): boolean {
     return this.nodes.get(id)?.doomed === true;
   }
 
-  /** When the last job that it needs was done, in milliseconds of time of day. */
+  /**
+   * When the last dependency of a ready job was done, as wall-clock time in milliseconds; null when it is not ready.
+   */
   readyAt(id: JobId): number | null {
     const node = this.nodes.get(id);
-    return node && node.left.size === 0 ? node.readyAt : null;
+    return node && node.pending.size === 0 ? node.readyAt : null;
   }
 
-  /** What it waits for; empty when for nothing, or when it isn't here. */
-  leftOf(id: JobId): readonly JobId[] {
-    return [...(this.nodes.get(id)?.left ?? [])];
+  /** The dependencies that a job still waits for; empty when there are none or the job is not in the graph. */
+  pendingOf(id: JobId): readonly JobId[] {
+    return [...(this.nodes.get(id)?.pending ?? [])];
   }
 
-  /** Does somebody wait for it? */
-  isNeeded(id: JobId): boolean {
-    return this.after.has(id);
+  /** Returns whether an open job awaits this one. */
+  hasDependents(id: JobId): boolean {
+    return this.dependents.has(id);
   }
 
-  /** null: no job needs it. */
+  /** What a job inherits; null when no open job depends on it. */
   inheritedOf(id: JobId): Inherited | null {
     return this.inherited.get(id) ?? null;
   }
 
-  /** What the jobs before hand on has changed: only those whose share changes hand it on in turn. */
-  private passOn(changed: readonly JobId[]): void {
-    const list = [...changed];
-    for (let id = list.pop(); id !== undefined; id = list.pop()) {
-      const known = this.inherited.get(id);
-      const now = this.inheritAnew(id);
-      if (known?.priority === now?.priority && known?.dueAt === now?.dueAt) continue;
-      if (now) this.inherited.set(id, now);
+  /** Recomputes what jobs inherit, and continues with a job's own dependencies only where the result has changed. */
+  private propagateInheritance(changed: readonly JobId[]): void {
+    const stack = [...changed];
+    for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
+      const previous = this.inherited.get(id);
+      const current = this.computeInherited(id);
+      if (previous?.priority === current?.priority && previous?.dueAt === current?.dueAt) continue;
+      if (current) this.inherited.set(id, current);
       else this.inherited.delete(id);
-      list.push(...(this.nodes.get(id)?.awaits ?? []));
+      stack.push(...(this.nodes.get(id)?.awaits ?? []));
     }
   }
 
-  private inheritAnew(id: JobId): Inherited | null {
-    let found: Inherited | null = null;
-    for (const next of this.after.get(id) ?? []) {
-      const node = this.nodes.get(next);
+  /** Computes what a job inherits from its direct dependents and from what those inherit themselves. */
+  private computeInherited(id: JobId): Inherited | null {
+    let combined: Inherited | null = null;
+    for (const dependent of this.dependents.get(id) ?? []) {
+      const node = this.nodes.get(dependent);
       if (!node || node.doomed) continue;
       const { spec, submittedAt } = node;
-      const further = this.inherited.get(next);
-      const ownDue = spec.deadlineS === null ? null : submittedAt + spec.deadlineS * 1000;
-      const due = earlier(ownDue, further?.dueAt ?? null);
-      const dueAt = due === null ? null : due - stepS(spec, this.fetchS(spec)) * 1000;
-      const priority = Math.max(spec.priority, further?.priority ?? 0) as Priority;
-      found = found
-        ? { priority: Math.max(found.priority, priority) as Priority, dueAt: earlier(found.dueAt, dueAt) }
+      const transitive = this.inherited.get(dependent);
+      const ownDeadline = spec.deadlineS === null ? null : submittedAt + spec.deadlineS * 1000;
+      const deadline = earliest(ownDeadline, transitive?.dueAt ?? null);
+      const dueAt = deadline === null ? null : deadline - stepDurationS(spec, this.fetchS(spec)) * 1000;
+      const priority = Math.max(spec.priority, transitive?.priority ?? 0) as Priority;
+      combined = combined
+        ? { priority: Math.max(combined.priority, priority) as Priority, dueAt: earliest(combined.dueAt, dueAt) }
         : { priority, dueAt };
     }
-    return found;
+    return combined;
   }
 }
--- a/src/pipelines/steward.ts
+++ b/src/pipelines/steward.ts
@@ -10,93 +10,97 @@
 } from '../kernel/index.js';
 import { jobKey, JOBS, type Change, type Mirror } from '../state/index.js';
 import { slackOf, type ClassAim } from '../placement/index.js';
-import { inheriting, JobGraph, stepS, type Inherited } from './graph.js';
-
-/** Endings are read and written so many at a time: after a claim there may be thousands. */
-const AT_ONCE = 4;
-const AGAIN_MS = 400;
-/** So many are looked at for what is to be rented. */
-const MOST_COMING = 200;
-/** Who doesn't hold a job's shard cancels it only when its holder hasn't by then. */
-const HOLDER_FIRST_MS = 2500;
-
-/** A job that will be ready soon. */
+import { inheriting, JobGraph, stepDurationS, type Inherited } from './graph.js';
+
+/** Maximum number of concurrent reads, and of concurrent writes: after a claim there may be thousands to process. */
+const MAX_CONCURRENT_REQUESTS = 4;
+/** Delay before a failed read or cancellation is retried. */
+const RETRY_DELAY_MS = 400;
+/** Upcoming jobs considered in one forecast for renting machines. */
+const MAX_UPCOMING_JOBS = 200;
+/** How long a node that does not hold a job's shard leaves the cancellation to the holder before it does it itself. */
+const NON_HOLDER_CANCEL_DELAY_MS = 2500;
+
+/** A job that is expected to be ready soon. */
 export interface Coming {
   readonly spec: JobSpec;
-  /** In about so many seconds. */
+  /** Approximate time until the job is ready, in seconds. */
   readonly inS: number;
-  /** Seconds from now until it has to start. */
+  /** Seconds from now until the job has to start to meet its deadline or its class's objective. */
   readonly slackS: number;
 }
 
-export interface StewardDeps {
+/** What the dependency tracker depends on. */
+export interface DependencyTrackerDeps {
   readonly registry: JobRegistry;
   readonly mirror: Mirror;
   readonly runtime: Runtime;
   readonly log: Logger;
-  /** Does this node hold the shard? */
+  /** Returns whether this node holds the shard. */
   holds(shard: ShardName): boolean;
-  /** A job may start now. */
+  /** Called when all dependencies of a job are done, so that it may start. */
   ready(id: JobId): void;
+  /** The objectives of the job classes. */
   readonly objectives: readonly ClassAim[];
-  /** Does any task of it run, or is any done, as far as this node knows? */
+  /** Returns whether any task of the job runs or is done, as far as this node knows. */
   begun(id: JobId): boolean;
-  /** About how long an image takes to come, in seconds. */
+  /** Returns the approximate time that fetching the job's image takes, in seconds. */
   fetchS(spec: JobSpec): number;
 }
 
-/** Jobs that something is to be done about, a few at a time. */
-class Few {
+/** Processes queued jobs with limited concurrency; a job that is already queued is not queued again. */
+class JobWorkQueue {
   private readonly ids = new Set<JobId>();
-  private busy = 0;
+  private active = 0;
 
-  constructor(private readonly work: (id: JobId) => Promise<void>) {}
+  constructor(private readonly process: (id: JobId) => Promise<void>) {}
 
   add(id: JobId): void {
     this.ids.add(id);
-    this.pump();
+    this.startNext();
   }
 
   delete(id: JobId): void {
     this.ids.delete(id);
   }
 
-  private pump(): void {
-    while (this.busy < AT_ONCE) {
+  private startNext(): void {
+    while (this.active < MAX_CONCURRENT_REQUESTS) {
       const [id] = this.ids;
       if (id === undefined) return;
       this.ids.delete(id);
-      this.busy += 1;
-      void this.work(id).finally(() => {
-        this.busy -= 1;
-        this.pump();
+      this.active += 1;
+      void this.process(id).finally(() => {
+        this.active -= 1;
+        this.startNext();
       });
     }
   }
 }
 
 /**
- * Follows the jobs that await others: reads how those ended that they need, says who may start, and carries a
- * cancellation on to all that need the cancelled one. Only what is stored as final counts, and a final is for ever: so
- * after any handover every holder comes to the same conclusions, and what one has begun another goes on with.
+ * Tracks the jobs that depend on others: it reads the final states of their dependencies, reports which jobs may start,
+ * and propagates a cancellation to all jobs that depend on the cancelled one. Only stored final states count, and they
+ * never change. After any handover every holder therefore reaches the same results and completes what another has
+ * begun.
  */
 export class Steward {
   private readonly graph: JobGraph;
-  private readonly toRead = new Few((id) => this.read(id));
-  private readonly toEnd = new Few((id) => this.end(id));
+  private readonly readQueue = new JobWorkQueue((id) => this.readFinal(id));
+  private readonly cancelQueue = new JobWorkQueue((id) => this.cancelDoomed(id));
 
-  constructor(private readonly deps: StewardDeps) {
+  constructor(private readonly deps: DependencyTrackerDeps) {
     this.graph = new JobGraph((spec) => deps.fetchS(spec));
   }
 
-  /** Every change of a stored job, in the order in which the mirror has it. */
+  /** Handles a change of a stored job. Changes come in the order of the mirror. */
   onJob(change: Change): void {
     const id = jobId(change.key.slice(JOBS.length));
     if (change.removed) {
       this.graph.remove(id);
-      this.toEnd.delete(id);
-      // Over: how, its final tells. Asked for only where somebody waits for it.
-      if (this.graph.isNeeded(id)) this.toRead.add(id);
+      this.cancelQueue.delete(id);
+      // The job is over, and its final state says how. It is read only if another job waits for it.
+      if (this.graph.hasDependents(id)) this.readQueue.add(id);
       return;
     }
     if (this.graph.has(id)) return;
@@ -104,97 +108,103 @@
     const record = awaits.length > 0 ? decodeRecord(change.value) : null;
     if (!record) return;
     const doomed = this.graph.add(id, { spec: record.spec, submittedAt: record.submittedAt, awaits });
-    for (const next of doomed) this.cancelWith(next, awaits[0] ?? next);
-    for (const before of awaits) {
-      const known = this.deps.registry.finalOf(before);
-      if (known) this.over(before, known);
-      else if (!this.deps.mirror.get(jobKey(before))) this.toRead.add(before);
+    for (const dependent of doomed) this.scheduleCancellation(dependent, awaits[0] ?? dependent);
+    for (const dependency of awaits) {
+      const final = this.deps.registry.finalOf(dependency);
+      if (final) this.over(dependency, final);
+      else if (!this.deps.mirror.get(jobKey(dependency))) this.readQueue.add(dependency);
     }
   }
 
-  /** How a job has ended is known here, for the first time. */
+  /** Handles the final state of a job when this node first learns of it. */
   over(id: JobId, { phase, at }: JobFinal): void {
-    const { ready, doomed } = this.graph.over(id, phase, at ?? this.deps.runtime.wall());
-    for (const next of ready) {
-      this.deps.log.info({ job: next, last: id }, 'all that a job needs is done: it may start');
-      this.deps.ready(next);
+    const { ready, doomed } = this.graph.recordFinal(id, phase, at ?? this.deps.runtime.wall());
+    for (const dependent of ready) {
+      this.deps.log.info({ job: dependent, last: id }, 'all dependencies of the job are done: it may start');
+      this.deps.ready(dependent);
     }
-    for (const next of doomed) this.cancelWith(next, id);
+    for (const dependent of doomed) this.scheduleCancellation(dependent, id);
   }
 
-  private cancelWith(id: JobId, cause: JobId): void {
-    this.deps.log.info({ job: id, with: cause }, 'a job that it needs is cancelled: it is cancelled with that');
+  /** Queues the cancellation of a doomed job: at once for the shard's holder, after a delay for other nodes. */
+  private scheduleCancellation(id: JobId, cause: JobId): void {
+    this.deps.log.info({ job: id, with: cause }, 'the job has to be cancelled because a dependency was cancelled');
     const shard = this.shardOf(id);
-    if (shard === null || this.deps.holds(shard)) this.toEnd.add(id);
-    else this.deps.runtime.after(HOLDER_FIRST_MS, () => this.toEnd.add(id));
+    if (shard === null || this.deps.holds(shard)) this.cancelQueue.add(id);
+    else this.deps.runtime.after(NON_HOLDER_CANCEL_DELAY_MS, () => this.cancelQueue.add(id));
   }
 
+  /** The shard that a job is stored for; null when the mirror has no readable record of it. */
   private shardOf(id: JobId): ShardName | null {
     return decodeRecord(this.deps.mirror.get(jobKey(id))?.value)?.shard ?? null;
   }
 
-  private async read(id: JobId): Promise<void> {
-    if (!this.graph.isNeeded(id)) return;
-    // What is ended is remembered by the registry, which tells us.
+  /** Reads the final state of a job that others wait for; retries until it is known or the job is seen to be open. */
+  private async readFinal(id: JobId): Promise<void> {
+    if (!this.graph.hasDependents(id)) return;
+    // The registry remembers a final state that it has read and reports it to this class.
     const state = await this.deps.registry.look(id);
     if (state.kind === 'ended') {
       this.over(id, state.final);
       return;
     }
-    // Open after all: the watch has yet to show it, and will then show its end.
+    // The job is open after all, and the mirror has it, so the watch will show when it is removed.
     if (state.kind === 'open' && this.deps.mirror.get(jobKey(id))) return;
-    this.deps.runtime.after(AGAIN_MS, () => this.toRead.add(id));
+    this.deps.runtime.after(RETRY_DELAY_MS, () => this.readQueue.add(id));
   }
 
-  private async end(id: JobId): Promise<void> {
+  /** Stores the cancellation of a doomed job; retries until the job is over. */
+  private async cancelDoomed(id: JobId): Promise<void> {
     if (!this.graph.isDoomed(id) || (await this.deps.registry.withdraw(id))) return;
-    this.deps.runtime.after(AGAIN_MS, () => this.toEnd.add(id));
+    this.deps.runtime.after(RETRY_DELAY_MS, () => this.cancelQueue.add(id));
   }
 
-  // ---- what others ask
+  // ---- queries
 
-  /** May its tasks start, as far as is known here? */
+  /** Returns whether the job's tasks may start, as far as this node knows. */
   isReady(id: JobId): boolean {
     return this.graph.isReady(id);
   }
 
-  /** When it could start; null: not known here. */
+  /** When the job became ready; null when this node does not know. */
   readyAt(id: JobId): WallMillis | null {
     const at = this.graph.readyAt(id);
     return at === null ? null : wallMillis(at);
   }
 
-  /** What it waits for; null: it has to be cancelled. */
+  /** The dependencies that the job still waits for; null when the job has to be cancelled. */
   awaits(id: JobId): readonly JobId[] | null {
-    return this.graph.isDoomed(id) ? null : this.graph.leftOf(id);
+    return this.graph.isDoomed(id) ? null : this.graph.pendingOf(id);
   }
 
-  /** Jobs that will be ready soon, by their owners' estimates, for whoever rents machines. */
+  /** Returns the jobs that are expected to be ready soon, by their owners' estimates. Used to rent machines in time. */
   coming(): Coming[] {
     const { mirror, runtime, objectives } = this.deps;
     const wall = runtime.wall();
-    const found: Coming[] = [];
-    for (const { id, waiter, left } of this.graph.soon(MOST_COMING)) {
+    const upcoming: Coming[] = [];
+    for (const { id, job, pending } of this.graph.upcomingJobs(MAX_UPCOMING_JOBS)) {
       let inS = 0;
-      for (const before of left) {
-        const spec = decodeSpec(mirror.get(jobKey(before))?.value);
+      for (const dependency of pending) {
+        const spec = decodeSpec(mirror.get(jobKey(dependency))?.value);
         if (!spec) continue;
-        const wholeS = stepS(spec, this.deps.fetchS(spec));
-        // Nobody is told how far it is: halfway, on average.
-        inS = Math.max(inS, this.deps.begun(before) ? wholeS / 2 : wholeS);
+        const durationS = stepDurationS(spec, this.deps.fetchS(spec));
+        // The progress of a running job is not known, so it is assumed to be halfway, as it is on average.
+        inS = Math.max(inS, this.deps.begun(dependency) ? durationS / 2 : durationS);
       }
-      const spec = inheriting(waiter, this.graph.inheritedOf(id), false);
-      const from = { sinceS: -inS, always: true };
-      const { slackS } = slackOf(spec, (wall - waiter.submittedAt) / 1000, spec.estimateS, objectives, from);
-      found.push({ spec, inS, slackS });
+      const spec = inheriting(job, this.graph.inheritedOf(id), false);
+      const aimsFrom = { sinceS: -inS, always: true };
+      const { slackS } = slackOf(spec, (wall - job.submittedAt) / 1000, spec.estimateS, objectives, aimsFrom);
+      upcoming.push({ spec, inS, slackS });
     }
-    return found;
+    return upcoming;
   }
 
+  /** What the job inherits; null when no open job depends on it. */
   inherited(id: JobId): Inherited | null {
     return this.graph.inheritedOf(id);
   }
 
+  /** How many jobs wait, may run, and have to be cancelled. */
   get counts(): JobGraph['counts'] {
     return this.graph.counts;
   }
--- a/src/rollout/conductor.ts
+++ b/src/rollout/conductor.ts
@@ -12,16 +12,16 @@
 } from '../state/index.js';
 import {
   decideRollout,
-  UNWATCHED,
-  watch,
+  NO_OBSERVATIONS,
+  observeNodes,
   type RolloutDecision,
   type RolloutNode,
-  type Watchfulness,
+  type NodeObservations,
 } from './decide.js';
 import {
-  decodeState,
+  decodeRolloutState,
   decodeWishes,
-  encodeState,
+  encodeRolloutState,
   encodeWishes,
   NO_WISHES,
   type RolloutState,
@@ -29,35 +29,43 @@
 } from './record.js';
 import { decodeAnnouncement, GROUPED_PROGRESS, RELEASE, type Feature } from './release.js';
 
-export interface ConductorDeps {
-  /** All configured controllers, this one included: a feature waits for those that are down, too. */
+/** What the rollout reconciler depends on. */
+export interface RolloutReconcilerDeps {
+  /** All configured controllers, including this one: a feature waits for those that are down, too. */
   readonly nodes: readonly NodeName[];
+  /** The features that this program supports. */
   readonly features: readonly Feature[];
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly runtime: Runtime;
   readonly log: Logger;
+  /** The version of the leader key while this node is the leader; null otherwise. */
   leading(): Revision | null;
-  /** How many records of another slice's feature are yet to be put back; below 0: they can't be any more. */
+  /**
+   * Returns how many records of a feature other than grouped progress are still to be reverted; negative when they can
+   * no longer be reverted.
+   */
   leftOf(feature: string): number;
 }
 
+/** The outcome of storing an operator's request. */
 export type WishResult =
   | { readonly kind: 'ok'; readonly wishes: RolloutWishes }
-  /** The record is of a later release. */
+  /** The stored record was written by a later release and is left unchanged. */
   | { readonly kind: 'foreign' }
+  /** The request was not stored: the state service refused the write or did not answer, or every attempt failed. */
   | { readonly kind: 'unavailable' };
 
-/** Watches the controllers, and switches features while this node leads. */
+/** Observes the controllers, and switches features on and off while this node is the leader. */
 export class Conductor {
-  private watched: Watchfulness = UNWATCHED;
+  private nodeObservations: NodeObservations = NO_OBSERVATIONS;
   private decision: RolloutDecision = { next: null, changed: null, waits: new Map() };
-  private told = false;
-  private lacking = '';
+  private newerRecordLogged = false;
+  private loggedMissing = '';
 
-  constructor(private readonly deps: ConductorDeps) {}
+  constructor(private readonly deps: RolloutReconcilerDeps) {}
 
-  /** All configured controllers and what their keys say, with those keys' versions. */
+  /** All configured controllers with what their keys announce and the versions of those keys. */
   get nodes(): (RolloutNode & { readonly version: number })[] {
     return this.deps.nodes.map((node) => {
       const entry = this.deps.mirror.get(nodeKey(node));
@@ -65,96 +73,107 @@
     });
   }
 
-  get watching(): Watchfulness {
-    return this.watched;
+  /** What this node has observed of the controllers; its times are on the clock of `now`. */
+  get watching(): NodeObservations {
+    return this.nodeObservations;
   }
 
-  /** Operators have stopped it all. */
+  /** True when operators have paused the rollout. */
   get paused(): boolean {
     return decodeWishes(this.deps.mirror.get(ROLLOUT_WISHES)?.value)?.paused ?? false;
   }
 
-  /** What each feature that isn't where it will be waits for, as this node sees it. */
+  /** For each feature that has not reached its target state: what it waits for, as this node sees it. */
   get waits(): ReadonlyMap<string, string> {
     return this.decision.waits;
   }
 
-  /** One round: every node watches, so that a new leader need not begin anew; the leader also decides. */
+  /**
+   * Runs one reconcile round. Every node observes the controllers, so that a new leader does not have to start from
+   * nothing; only the leader stores a change.
+   */
   async round(): Promise<void> {
     const { mirror, runtime, features } = this.deps;
     if (!mirror.loaded) return;
     const { nodes } = this;
-    this.watched = watch(this.watched, nodes, runtime.now());
-    const stored = mirror.get(ROLLOUT_STATE);
-    const wanted = mirror.get(ROLLOUT_WISHES);
-    const state = decodeState(stored?.value);
-    const wishes = decodeWishes(wanted?.value);
+    this.nodeObservations = observeNodes(this.nodeObservations, nodes, runtime.now());
+    const storedState = mirror.get(ROLLOUT_STATE);
+    const storedWishes = mirror.get(ROLLOUT_WISHES);
+    const state = decodeRolloutState(storedState?.value);
+    const wishes = decodeWishes(storedWishes?.value);
     if (!state || !wishes) {
-      if (!this.told) this.deps.log.error('the record of the rollout is of a later release: it is left alone');
-      this.told = true;
+      if (!this.newerRecordLogged)
+        this.deps.log.error('the rollout record was written by a later release: it is left unchanged');
+      this.newerRecordLogged = true;
       return;
     }
-    this.told = false;
-    this.tellLacking(state);
+    this.newerRecordLogged = false;
+    this.warnAboutMissingFeatures(state);
     this.decision = decideRollout({
       ...{ now: runtime.now(), wall: runtime.wall(), features, state, wishes, nodes },
-      watched: this.watched,
-      leftOf: (feature) => this.leftOf(feature),
+      observations: this.nodeObservations,
+      recordsToRevert: (feature) => this.leftOf(feature),
     });
     const term = this.deps.leading();
     const { next, changed } = this.decision;
     if (term === null || !next || !changed) return;
-    // Whatever was read above must still hold when this is stored, or a controller of an older release that has
-    // registered since would be overlooked.
+    // Everything that the decision read must still be current when the change is stored. Otherwise a controller of an
+    // older release that has registered in the meantime would be overlooked.
     const guards: Guard[] = [
       { key: LEADER, version: term },
-      { key: ROLLOUT_STATE, version: stored?.version ?? 0 },
-      { key: ROLLOUT_WISHES, version: wanted?.version ?? 0 },
+      { key: ROLLOUT_STATE, version: storedState?.version ?? 0 },
+      { key: ROLLOUT_WISHES, version: storedWishes?.version ?? 0 },
       ...nodes.map(({ node, version }) => ({ key: nodeKey(node), version })),
     ];
-    const value = encodeState(next);
+    const value = encodeRolloutState(next);
     const result = await this.deps.state.txn(Urgency.shard, guards, [{ put: ROLLOUT_STATE, value }]);
     if (result.kind !== 'ok') return;
     mirror.apply({ key: ROLLOUT_STATE, value, removed: false, version: result.revision });
     this.deps.log.info(changed, 'a feature of the rollout is switched');
   }
 
-  /** Features that are on and that this program lacks: it is older than the others, and says so once. */
-  private tellLacking({ features }: RolloutState): void {
-    const own = new Set(this.deps.features.map(({ name }) => name));
-    const lacking = [...features]
-      .filter(([name, { state }]) => state !== 'off' && !own.has(name))
+  /**
+   * Logs which features are in use that this program lacks because it is older than the others. Logs once for each set
+   * of such features.
+   */
+  private warnAboutMissingFeatures({ features }: RolloutState): void {
+    const supported = new Set(this.deps.features.map(({ name }) => name));
+    const missing = [...features]
+      .filter(([name, { state }]) => state !== 'off' && !supported.has(name))
       .map(([name]) => name);
-    const text = lacking.join(' ');
-    if (text !== this.lacking && text !== '')
-      this.deps.log.warn({ features: lacking, release: RELEASE }, 'features are on that this release lacks');
-    this.lacking = text;
+    const text = missing.join(' ');
+    if (text !== this.loggedMissing && text !== '')
+      this.deps.log.warn({ features: missing, release: RELEASE }, 'features are on that this release lacks');
+    this.loggedMissing = text;
   }
 
-  /** It is off, and nothing but the leader's write is missing: every controller has it, and no operator holds it. */
+  /**
+   * Returns whether only the leader's write is missing before a feature is on: it is off, every controller supports it
+   * and no operator's request or automatic revert keeps it off.
+   */
   wouldGoOn(feature: string): boolean {
     const { mirror } = this.deps;
-    const state = decodeState(mirror.get(ROLLOUT_STATE)?.value)?.features.get(feature);
+    const state = decodeRolloutState(mirror.get(ROLLOUT_STATE)?.value)?.features.get(feature);
     const wishes = decodeWishes(mirror.get(ROLLOUT_WISHES)?.value);
     if (!wishes || wishes.paused || wishes.features.get(feature)?.wish !== undefined) return false;
     if ((state?.state ?? 'off') !== 'off' || state?.stopped === true) return false;
     return this.nodes.every(({ announced }) => announced?.features.includes(feature) === true);
   }
 
-  /** How many records a feature would have to put back; below 0: they can't be any more. */
+  /** Returns how many records of a feature would have to be reverted; negative when they can no longer be reverted. */
   leftOf(feature: string): number {
     return feature === GROUPED_PROGRESS ? [...this.deps.mirror.under(PROGRESS)].length : this.deps.leftOf(feature);
   }
 
-  /** Stores what an operator wants; any controller may do that. */
-  async wish(how: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult> {
+  /** Applies a change to the operators' requests and stores them. Any controller may do so. */
+  async wish(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult> {
     const { state, mirror } = this.deps;
-    for (let tries = 0; tries < 4; tries++) {
+    for (let attempt = 0; attempt < 4; attempt++) {
       const read = await state.get(ROLLOUT_WISHES);
       if (read.kind === 'unavailable') break;
       const before = read.kind === 'found' ? decodeWishes(read.entry.value) : NO_WISHES;
       if (!before) return { kind: 'foreign' };
-      const next = how(before);
+      const next = change(before);
       const value = encodeWishes(next);
       const version = read.kind === 'found' ? read.entry.version : 0;
       const guards = [{ key: ROLLOUT_WISHES, version: version as number }];
@@ -168,7 +187,7 @@
     return { kind: 'unavailable' };
   }
 
-  /** Steady time, as `watching` has it. */
+  /** Monotonic time, the clock of `observations`. */
   get now(): Millis {
     return this.deps.runtime.now();
   }
--- a/src/rollout/decide.ts
+++ b/src/rollout/decide.ts
@@ -2,151 +2,182 @@
 import type { Announcement, Feature } from './release.js';
 import type { FeatureState, RolloutState, RolloutWishes, StoredFeature } from './record.js';
 
-/** After a switch, controllers that end are counted for so long. */
-export const PROBATION_MS = 60_000;
+/** How long after a feature is switched on controller exits count towards switching it off again automatically. */
+export const AUTO_REVERT_WINDOW_MS = 60_000;
 
-/** A configured controller, alive or not. */
+/** A configured controller, whether it is running or not. */
 export interface RolloutNode {
   readonly node: NodeName;
-  /** What its key says; null: it has none now. */
+  /** What the controller's key announces; null when the key does not exist at the moment. */
   readonly announced: Announcement | null;
 }
 
-/** What the leader keeps in mind between two looks. */
-export interface Watchfulness {
-  /** Since when all configured controllers are there and none has been replaced; null: they are not. */
-  readonly wellSince: Millis | null;
-  /** Which lives were seen last. */
-  readonly lives: ReadonlyMap<NodeName, Incarnation>;
-  /** When controllers were seen to have ended, the latest last. */
-  readonly ends: readonly Millis[];
+/** What a node remembers about the controllers from one observation to the next. Kept in memory only. */
+export interface NodeObservations {
+  /** Since when all configured controllers have been registered without a replacement; null when one is missing. */
+  readonly stableSince: Millis | null;
+  /** The incarnation of each controller that was registered at the last observation. */
+  readonly incarnations: ReadonlyMap<NodeName, Incarnation>;
+  /** When controllers were observed to have exited, within the automatic revert window, latest last. */
+  readonly exitTimes: readonly Millis[];
 }
 
-export const UNWATCHED: Watchfulness = { wellSince: null, lives: new Map(), ends: [] };
+/** The observations of a node that has just started. */
+export const NO_OBSERVATIONS: NodeObservations = { stableSince: null, incarnations: new Map(), exitTimes: [] };
 
-/** One look at the controllers. Pure; `now` is steady time. */
-export function watch(before: Watchfulness, nodes: readonly RolloutNode[], now: Millis): Watchfulness {
-  const lives = new Map<NodeName, Incarnation>();
-  let [whole, ended] = [true, 0];
+/** Updates the observations with the current state of the controllers. Pure; `now` is monotonic time. */
+export function observeNodes(before: NodeObservations, nodes: readonly RolloutNode[], now: Millis): NodeObservations {
+  const incarnations = new Map<NodeName, Incarnation>();
+  let [allRegistered, exits] = [true, 0];
   for (const { node, announced } of nodes) {
-    const last = before.lives.get(node);
-    if (announced) lives.set(node, announced.incarnation);
-    else whole = false;
-    if (last !== undefined && announced?.incarnation !== last) ended += 1;
+    const last = before.incarnations.get(node);
+    if (announced) incarnations.set(node, announced.incarnation);
+    else allRegistered = false;
+    if (last !== undefined && announced?.incarnation !== last) exits += 1;
   }
-  const changed = ended > 0 || lives.size !== before.lives.size;
-  const ends = [...before.ends.filter((at) => now - at < PROBATION_MS), ...Array<Millis>(ended).fill(now)];
-  return { wellSince: !whole ? null : changed ? now : (before.wellSince ?? now), lives, ends };
+  const changed = exits > 0 || incarnations.size !== before.incarnations.size;
+  const exitTimes = [
+    ...before.exitTimes.filter((at) => now - at < AUTO_REVERT_WINDOW_MS),
+    ...Array<Millis>(exits).fill(now),
+  ];
+  return {
+    stableSince: !allRegistered ? null : changed ? now : (before.stableSince ?? now),
+    incarnations,
+    exitTimes,
+  };
 }
 
+/** Everything that the leader's decision about features depends on. */
 export interface RolloutSnapshot {
+  /** Monotonic time, the clock of `observations`. */
   readonly now: Millis;
+  /** Wall-clock time, the clock of the stored records. */
   readonly wall: WallMillis;
-  /** Of the program that leads. Those of other programs are left as they are. */
+  /** The features of the leader's program. Stored features that it lacks are left unchanged. */
   readonly features: readonly Feature[];
   readonly state: RolloutState;
   readonly wishes: RolloutWishes;
+  /** All configured controllers. */
   readonly nodes: readonly RolloutNode[];
-  readonly watched: Watchfulness;
-  /** How much a feature has stored that has yet to be put back; below 0: it can't be put back any more. */
-  leftOf(feature: string): number;
+  readonly observations: NodeObservations;
+  /** Returns how many records of a feature are still to be reverted; negative when they can no longer be reverted. */
+  recordsToRevert(feature: string): number;
 }
 
+/** The outcome of one decision: at most one change, and the reasons for which other features stay as they are. */
 export interface RolloutDecision {
-  /** What to store instead; null: nothing changes. */
+  /** The state to store; null when nothing changes. */
   readonly next: RolloutState | null;
-  /** The feature that changes, and why; for the log. */
+  /** The feature that changes, its new state and the reason; these are the fields of the log record. */
   readonly changed: { readonly feature: string; readonly to: FeatureState; readonly why: string } | null;
-  /** For each feature that isn't where it will be: what it waits for. */
+  /** For each feature that has not reached its target state: what it waits for. */
   readonly waits: ReadonlyMap<string, string>;
 }
 
-const OFF: StoredFeature = { state: 'off', since: 0 as WallMillis, why: 'never on', stopped: false, finished: false };
+const NEVER_ON: StoredFeature = {
+  state: 'off',
+  since: 0 as WallMillis,
+  why: 'never on',
+  stopped: false,
+  finished: false,
+};
 
 /**
- * What the leader does next about features, at most one change at a time. Pure. The write that follows has to be
- * guarded by the leader's key, by the key of every node in `nodes`, and by both of the rollout's records: then all
- * that is said here of the controllers still holds in the moment in which it is stored.
+ * Decides what the leader changes next about the features: at most one change at a time. Pure. The write that follows
+ * must be guarded by the leader's key, by the key of every node in `nodes` and by both rollout records. Everything that
+ * the decision assumes about the controllers is then still true at the moment of the write.
  */
-export function decideRollout(at: RolloutSnapshot): RolloutDecision {
+export function decideRollout(snapshot: RolloutSnapshot): RolloutDecision {
   const waits = new Map<string, string>();
-  const stored = (name: string): StoredFeature => at.state.features.get(name) ?? OFF;
-  for (const feature of at.features) {
-    const now = stored(feature.name);
-    const found = nextOf(feature, now, at, stored);
-    if (typeof found === 'string') {
-      if (found !== '') waits.set(feature.name, found);
+  const storedFeature = (name: string): StoredFeature => snapshot.state.features.get(name) ?? NEVER_ON;
+  for (const feature of snapshot.features) {
+    const current = storedFeature(feature.name);
+    const result = nextTransition(feature, current, snapshot, storedFeature);
+    if (typeof result === 'string') {
+      if (result !== '') waits.set(feature.name, result);
       continue;
     }
-    const features = new Map(at.state.features).set(feature.name, {
-      ...now,
-      since: at.wall,
-      ...found,
+    const features = new Map(snapshot.state.features).set(feature.name, {
+      ...current,
+      since: snapshot.wall,
+      ...result,
       stored: undefined,
     });
-    const { state: to, why } = found;
-    return { next: { ...at.state, features }, changed: { feature: feature.name, to, why }, waits };
+    const { state: to, why } = result;
+    return { next: { ...snapshot.state, features }, changed: { feature: feature.name, to, why }, waits };
   }
   return { next: null, changed: null, waits };
 }
 
-/** Why not every controller has a feature at this moment; null: every one has it. */
-function lacking({ nodes }: RolloutSnapshot, name: string): string | null {
-  const absent = nodes.filter(({ announced }) => announced === null);
-  if (absent.length > 0) return `not there: ${absent.map(({ node }) => node).join(', ')}`;
-  const without = nodes.filter(({ announced }) => !announced?.features.includes(name));
-  return without.length > 0 ? `lacked by ${without.map(({ node }) => node).join(', ')}` : null;
+/** Returns why not every configured controller supports a feature at this moment; null when every one does. */
+function missingSupport({ nodes }: RolloutSnapshot, name: string): string | null {
+  const unregistered = nodes.filter(({ announced }) => announced === null);
+  if (unregistered.length > 0) return `not registered: ${unregistered.map(({ node }) => node).join(', ')}`;
+  const unsupporting = nodes.filter(({ announced }) => !announced?.features.includes(name));
+  return unsupporting.length > 0 ? `not supported by ${unsupporting.map(({ node }) => node).join(', ')}` : null;
 }
 
-type Change = Pick<StoredFeature, 'state' | 'why'> & Partial<StoredFeature>;
+/** The fields of a stored feature that a decision changes. */
+type FeatureTransition = Pick<StoredFeature, 'state' | 'why'> & Partial<StoredFeature>;
 
-/** A change, or what is waited for; an empty text: nothing. */
-function nextOf(
+/** Returns the next change of a feature, or what it waits for; an empty string when it waits for nothing. */
+function nextTransition(
   feature: Feature,
-  now: StoredFeature,
-  at: RolloutSnapshot,
-  stored: (name: string) => StoredFeature,
-): Change | string {
+  current: StoredFeature,
+  snapshot: RolloutSnapshot,
+  storedFeature: (name: string) => StoredFeature,
+): FeatureTransition | string {
   const { name, needs } = feature;
-  const wish = at.wishes.features.get(name);
-  switch (now.state) {
+  const wish = snapshot.wishes.features.get(name);
+  switch (current.state) {
     case 'returning': {
-      const left = at.leftOf(name);
-      // What can't be put back is used as it is: it goes on again once all have it.
-      if (left < 0) return lacking(at, name) === null ? { state: 'on', why: 'it cannot go back' } : 'it cannot go back';
-      return left > 0
-        ? `${left} records to be put back`
-        : { state: 'off', why: now.why, stopped: now.stopped, finished: false };
+      const remaining = snapshot.recordsToRevert(name);
+      // Records that cannot be reverted have to be used as they are, so the feature is switched on again as soon as
+      // every controller supports it.
+      if (remaining < 0)
+        return missingSupport(snapshot, name) === null
+          ? { state: 'on', why: 'it cannot go back' }
+          : 'its stored records can no longer be reverted';
+      return remaining > 0
+        ? `${remaining} records still to be reverted`
+        : { state: 'off', why: current.why, stopped: current.stopped, finished: false };
     }
     case 'on': {
-      if (now.finished) return '';
-      const later = at.features.find((other) => other.needs.includes(name) && stored(other.name).state !== 'off');
+      if (current.finished) return '';
+      const dependent = snapshot.features.find(
+        (other) => other.needs.includes(name) && storedFeature(other.name).state !== 'off',
+      );
       if (wish?.wish === 'back')
-        return later
-          ? `${later.name} needs it and goes back first`
+        return dependent
+          ? `${dependent.name} depends on it and has to be reverted first`
           : { state: 'returning', why: 'an operator wants it back' };
-      // More than one end for each controller within a minute: whatever ends them, this was the last thing that changed.
-      // Only those since: a crash of all just before had nothing to do with it.
-      const onForMs = at.wall - now.since;
-      const ends = onForMs < PROBATION_MS ? at.watched.ends.filter((end) => at.now - end < onForMs).length : 0;
-      if (ends > at.nodes.length && !later && feature.wellForMs > 0)
-        return { state: 'returning', why: `${ends} ends of controllers after it went on`, stopped: true };
-      if (at.wishes.finish.includes(name))
-        return { ...now, why: 'an operator has closed the way back', finished: true };
+      // More exits than controllers within the window: whatever causes them, this feature is the last thing that
+      // changed, so it is reverted. Only exits since the switch count, because a crash of all controllers just before
+      // it had another cause.
+      const onForMs = snapshot.wall - current.since;
+      const exits =
+        onForMs < AUTO_REVERT_WINDOW_MS
+          ? snapshot.observations.exitTimes.filter((exitedAt) => snapshot.now - exitedAt < onForMs).length
+          : 0;
+      if (exits > snapshot.nodes.length && !dependent && feature.minStableMs > 0)
+        return { state: 'returning', why: `${exits} ends of controllers after it went on`, stopped: true };
+      if (snapshot.wishes.finish.includes(name))
+        return { ...current, why: 'an operator has closed the way back', finished: true };
       return '';
     }
     case 'off': {
-      if (wish?.wish === 'hold' || wish?.wish === 'back') return 'an operator holds it';
-      if (feature.byOperator === true && wish?.wish !== 'allow') return 'an operator has to allow it';
-      if (at.wishes.paused) return 'the rollout is paused';
-      if (now.stopped && !(wish && wish.at > now.since)) return `stopped: ${now.why}; an operator may allow it`;
-      const need = needs.find((other) => stored(other).state !== 'on');
-      if (need !== undefined) return `${need} is not on`;
-      const lacked = lacking(at, name);
-      if (lacked !== null) return lacked;
-      const since = at.watched.wellSince;
-      if (since === null || at.now - since < feature.wellForMs)
-        return 'all controllers have it, and not for long enough';
+      if (wish?.wish === 'hold' || wish?.wish === 'back') return 'held by an operator';
+      if (feature.requiresApproval === true && wish?.wish !== 'allow') return 'an operator has to allow it';
+      if (snapshot.wishes.paused) return 'the rollout is paused';
+      if (current.stopped && !(wish && wish.at > current.since))
+        return `stopped: ${current.why}; an operator has to allow it`;
+      const missingFeature = needs.find((other) => storedFeature(other).state !== 'on');
+      if (missingFeature !== undefined) return `requires ${missingFeature}, which is not on`;
+      const unsupported = missingSupport(snapshot, name);
+      if (unsupported !== null) return unsupported;
+      const since = snapshot.observations.stableSince;
+      if (since === null || snapshot.now - since < feature.minStableMs)
+        return 'all controllers support it, but not for long enough';
       return { state: 'on', why: 'every controller has it', stopped: false };
     }
   }
--- a/src/rollout/readiness.ts
+++ b/src/rollout/readiness.ts
@@ -1,40 +1,46 @@
 import type { Millis, NodeName, ShardName } from '../kernel/index.js';
-import type { RolloutNode, Watchfulness } from './decide.js';
+import type { RolloutNode, NodeObservations } from './decide.js';
 
-/** After the last change among the controllers, the next one is replaced this much later at the earliest. */
-export const SETTLED_FOR_MS = 5000;
+/** Minimum time between the last change among the controllers and the replacement of the next one. */
+export const MIN_STABLE_BEFORE_REPLACEMENT_MS = 5000;
 
-/** A shard as everybody sees it. */
+/** A shard as its stored record describes it. */
 export interface RolloutShard {
   readonly shard: ShardName;
-  /** null: nobody holds it. */
+  /** The controller that holds the shard; null when no controller does. */
   readonly holder: NodeName | null;
-  /** Its record can't be read here. */
+  /** True when this program cannot read the shard's record. */
   readonly unreadable: boolean;
 }
 
-export interface Readiness {
+/** What a controller knows when it is asked whether the next controller may be replaced. */
+export interface ReplacementSnapshot {
+  /** Monotonic time. */
   readonly now: Millis;
   readonly nodes: readonly RolloutNode[];
   readonly shards: readonly RolloutShard[];
+  /** Controllers that are giving up their shards before they stop. */
   readonly leaving: readonly NodeName[];
-  readonly watched: Watchfulness;
+  readonly watched: NodeObservations;
 }
 
 /**
- * May the next controller be replaced now? Pure. null: yes; otherwise why not. No rule depends on it: a controller
- * may end at any time. It tells what a roll costs: with one controller away a second end leaves the rest less room.
+ * Returns why the next controller should not be replaced now, or null when it may be. Pure. No safety rule depends on
+ * the answer, since a controller may stop at any time. It indicates the cost of a rolling restart: while one controller
+ * is away, the loss of a second one leaves less capacity to the remaining ones.
  */
-export function whyNotNext({ now, nodes, shards, leaving, watched }: Readiness): string | null {
-  const absent = nodes.filter(({ announced }) => announced === null).map(({ node }) => node);
-  if (absent.length > 0) return `not there: ${absent.join(', ')}`;
+export function whyNotNext({ now, nodes, shards, leaving, watched }: ReplacementSnapshot): string | null {
+  const unregistered = nodes.filter(({ announced }) => announced === null).map(({ node }) => node);
+  if (unregistered.length > 0) return `not registered: ${unregistered.join(', ')}`;
   if (leaving.length > 0) return `leaving: ${leaving.join(', ')}`;
-  const closed = shards.filter(({ unreadable }) => unreadable).map(({ shard }) => shard);
-  if (closed.length > 0) return `records of another release: ${closed.join(', ')}`;
+  const unreadableShards = shards.filter(({ unreadable }) => unreadable).map(({ shard }) => shard);
+  if (unreadableShards.length > 0) return `shard records written by another release: ${unreadableShards.join(', ')}`;
   const vacant = shards.filter(({ holder }) => holder === null).map(({ shard }) => shard);
-  if (vacant.length > 0) return `held by nobody: ${vacant.join(', ')}`;
-  const away = shards.find(({ shard, holder }) => (shard as string) !== (holder as string));
-  if (away) return `${away.shard} is still held by ${away.holder ?? 'nobody'}`;
-  if (watched.wellSince === null || now - watched.wellSince < SETTLED_FOR_MS) return 'a controller has just come';
+  if (vacant.length > 0) return `shards without a holder: ${vacant.join(', ')}`;
+  // A shard has the name of the controller that holds it by default.
+  const displaced = shards.find(({ shard, holder }) => (shard as string) !== (holder as string));
+  if (displaced) return `shard ${displaced.shard} is still held by ${displaced.holder ?? 'no controller'}`;
+  if (watched.stableSince === null || now - watched.stableSince < MIN_STABLE_BEFORE_REPLACEMENT_MS)
+    return 'the set of controllers changed too recently';
   return null;
 }
--- a/src/rollout/record.ts
+++ b/src/rollout/record.ts
@@ -1,102 +1,126 @@
 import { asList, asString, isObject, wallMillis, type WallMillis } from '../kernel/index.js';
 import { isForeign, unknownFields, type Fields } from '../state/index.js';
 
-/** The newest version of the rollout's two records that this program reads. */
+/** The newest format version of the two rollout records (state and wishes) that this program reads. */
 export const ROLLOUT_FORMAT = 1;
 
-/** `returning`: no more used, while what it has stored is put back into the form from before it. */
+/**
+ * `off`: not in use. `on`: in use. `returning`: no longer in use, while the records that it wrote are converted back to
+ * the format from before it.
+ */
 export type FeatureState = 'off' | 'on' | 'returning';
-const STATES: readonly FeatureState[] = ['off', 'on', 'returning'];
+const FEATURE_STATES: readonly FeatureState[] = ['off', 'on', 'returning'];
 
+/** The state of one feature as it is stored in the rollout state. */
 export interface StoredFeature {
   readonly state: FeatureState;
-  /** When it came to be so. */
+  /** When the feature entered this state. */
   readonly since: WallMillis;
-  /** Why. */
+  /** Why the feature entered this state, for operators. */
   readonly why: string;
-  /** It was switched off because controllers began to end: it stays off until an operator allows it after that. */
+  /**
+   * True when the feature was reverted automatically because controllers exited too often. It stays off until an
+   * operator allows it after that moment.
+   */
   readonly stopped: boolean;
-  /** The way back is closed. */
+  /** True when an operator has made the feature permanent: it can no longer be reverted. */
   readonly finished: boolean;
-  /** As it stands in the store, until this program changes it: a later release may say more of it. */
+  /**
+   * The stored fields as they were read, until this program changes the feature. They are written back unchanged,
+   * because a later release may have stored fields that this program does not know.
+   */
   readonly stored?: Fields | undefined;
 }
 
-/** Which features are on. Changed by the leader alone. */
+/** The state of each feature. Only the leader writes it. */
 export interface RolloutState {
   readonly features: ReadonlyMap<string, StoredFeature>;
+  /** Fields of the record that this program does not know; written back unchanged. */
   readonly rest: Fields;
 }
 
+/**
+ * An operator's request about one feature. `hold`: do not switch it on. `allow`: switch it on, also after an automatic
+ * revert or when it requires approval. `back`: revert it and keep it off.
+ */
 export type FeatureWish = 'hold' | 'allow' | 'back';
 export const FEATURE_WISHES: readonly FeatureWish[] = ['hold', 'allow', 'back'];
 
+/** An operator's request about one feature, as stored. */
 export interface StoredWish {
   readonly wish: FeatureWish;
+  /** When the operator made the request. */
   readonly at: WallMillis;
 }
 
-/** What operators want of the rollout. */
+/** The operators' requests about the rollout. */
 export interface RolloutWishes {
-  /** Nothing goes on by itself. */
+  /** True when no feature may be switched on automatically. */
   readonly paused: boolean;
   readonly features: ReadonlyMap<string, StoredWish>;
-  /** Features that are on and whose way back is to be closed. */
+  /** Features to be made permanent once they are on: they can then no longer be reverted. */
   readonly finish: readonly string[];
+  /** Fields of the record that this program does not know; written back unchanged. */
   readonly rest: Fields;
 }
 
-export const NO_STATE: RolloutState = { features: new Map(), rest: {} };
+/** The rollout state when no record is stored. */
+export const EMPTY_ROLLOUT_STATE: RolloutState = { features: new Map(), rest: {} };
+/** The operators' requests when no record is stored. */
 export const NO_WISHES: RolloutWishes = { paused: false, features: new Map(), finish: [], rest: {} };
 
-const KNOWN_STATE: ReadonlySet<string> = new Set(['features']);
-const KNOWN_WISHES: ReadonlySet<string> = new Set(['paused', 'features', 'finish']);
+const KNOWN_STATE_FIELDS: ReadonlySet<string> = new Set(['features']);
+const KNOWN_WISH_FIELDS: ReadonlySet<string> = new Set(['paused', 'features', 'finish']);
 
-const entriesOf = (value: unknown): [string, Fields][] =>
+const objectEntries = (value: unknown): [string, Fields][] =>
   isObject(value) ? Object.entries(value).filter((entry): entry is [string, Fields] => isObject(entry[1])) : [];
-const timeOf = (value: unknown): WallMillis => wallMillis(typeof value === 'number' ? value : 0);
+const wallTimeOrZero = (value: unknown): WallMillis => wallMillis(typeof value === 'number' ? value : 0);
 
-/** null: of a version that this program can't read; absent is an empty one. */
-export function decodeState(value: unknown): RolloutState | null {
-  if (value === undefined || value === null) return NO_STATE;
+/**
+ * Decodes the rollout state; null when its format version is newer than this program reads. An absent record is empty.
+ */
+export function decodeRolloutState(value: unknown): RolloutState | null {
+  if (value === undefined || value === null) return EMPTY_ROLLOUT_STATE;
   if (!isObject(value) || isForeign(value, ROLLOUT_FORMAT)) return null;
   const features = new Map<string, StoredFeature>();
-  for (const [name, stored] of entriesOf(value['features'])) {
+  for (const [name, stored] of objectEntries(value['features'])) {
     features.set(name, {
-      // A state of a later release: whatever it is, this program must not act on the feature.
-      state: STATES.find((state) => state === stored['state']) ?? 'off',
-      since: timeOf(stored['since']),
+      // A later release may have stored a state that is unknown here. This program must then not use the feature.
+      state: FEATURE_STATES.find((state) => state === stored['state']) ?? 'off',
+      since: wallTimeOrZero(stored['since']),
       why: asString(stored['why']) ?? '',
       stopped: stored['stopped'] === true,
       finished: stored['finished'] === true,
       stored,
     });
   }
-  return { features, rest: unknownFields(value, KNOWN_STATE) };
+  return { features, rest: unknownFields(value, KNOWN_STATE_FIELDS) };
 }
 
-export const encodeState = (state: RolloutState): Fields => ({
+/** Encodes the rollout state. Features that this program has not changed keep their stored fields. */
+export const encodeRolloutState = (state: RolloutState): Fields => ({
   ...state.rest,
   features: Object.fromEntries([...state.features].map(([name, feature]) => [name, feature.stored ?? feature])),
 });
 
-/** null: of a version that this program can't read. */
+/** Decodes the operators' requests; null when their format version is newer than this program reads. */
 export function decodeWishes(value: unknown): RolloutWishes | null {
   if (value === undefined || value === null) return NO_WISHES;
   if (!isObject(value) || isForeign(value, ROLLOUT_FORMAT)) return null;
   const features = new Map<string, StoredWish>();
-  for (const [name, stored] of entriesOf(value['features'])) {
+  for (const [name, stored] of objectEntries(value['features'])) {
     const wish = FEATURE_WISHES.find((known) => known === stored['wish']);
-    if (wish) features.set(name, { wish, at: timeOf(stored['at']) });
+    if (wish) features.set(name, { wish, at: wallTimeOrZero(stored['at']) });
   }
   return {
     paused: value['paused'] === true,
     features,
     finish: asList(value['finish']).filter((name) => typeof name === 'string'),
-    rest: unknownFields(value, KNOWN_WISHES),
+    rest: unknownFields(value, KNOWN_WISH_FIELDS),
   };
 }
 
+/** Encodes the operators' requests. */
 export const encodeWishes = (wishes: RolloutWishes): Fields => ({
   ...wishes.rest,
   paused: wishes.paused,
--- a/src/rollout/release.ts
+++ b/src/rollout/release.ts
@@ -2,92 +2,107 @@
 import type { Fields } from '../state/index.js';
 
 /**
- * What this program is, for controllers of other releases. It grows by one with every landing that changes what
- * controllers say to one another or store. 1 is what says nothing of itself: the releases before this slice.
+ * The number of this release, announced to controllers of other releases. It increases by one with every change to what
+ * controllers send to one another or store. 1 stands for all releases from before there were announcements.
  */
 export const RELEASE = 5;
 
-/** New behaviour that waits until every configured controller has it. */
+/** New behaviour that is switched on only once every configured controller supports it. */
 export interface Feature {
   readonly name: string;
-  /** Features that must be on before it. */
+  /** Features that must be on before this one. */
   readonly needs: readonly string[];
   /**
-   * How long all controllers must have been there, unchanged, before it goes on, in milliseconds. 0 for what does no harm
-   * in any hands by its own form: nothing is learned by waiting, and users or limits may not wait.
+   * How long all controllers must have been registered without a replacement before the feature is switched on, in
+   * milliseconds. 0 for features whose stored form is harmless to every release: waiting would show nothing, and users
+   * or lower limits of the state service may not allow a delay.
    */
-  readonly wellForMs: number;
-  /** It goes on only once an operator has allowed it. */
-  readonly byOperator?: boolean;
+  readonly minStableMs: number;
+  /** True when the feature is switched on only after an operator has allowed it. */
+  readonly requiresApproval?: boolean;
 }
 
-/** Every configured controller has to have been there, unchanged, for so long before anything else goes on. */
-export const WELL_FOR_MS = 20_000;
+/** `minStableMs` of features that are not harmless by their stored form alone. */
+export const MIN_STABLE_BEFORE_SWITCH_ON_MS = 20_000;
 
-/**
- * Features of this program, in the order in which they go on. Each must be harmless in the hands of a release that
- * lacks it, for such a release can come back at any time: docs/rollout-design.md says how, one by one.
- */
+// Features of this program. Each must be harmless to a release that lacks it, because a controller of such a release
+// can come back at any time. docs/rollout-design.md explains this feature by feature.
+
+/** Progress that the jobs' own records do not have yet is stored in one record per shard. */
 export const GROUPED_PROGRESS = 'grouped-progress';
-/** Jobs that await others are stored, in records that an earlier release leaves alone. */
+/** Jobs that await other jobs are accepted. They are stored in records that earlier releases leave alone. */
 export const PIPELINES = 'pipelines';
 /**
- * Machines of shards may be put into pages, each within the state service's lower limits. That is done only once those
- * are in force: until then every release reads what is stored, and afterwards earlier ones could do nothing with it.
+ * The machines of a shard may be stored in pages that each fit the state service's lower limits. Pages are written only
+ * once those limits apply: until then every release can read what is stored, and afterwards earlier releases could not
+ * use it.
  */
 export const PAGED_BLOCKS = 'paged-blocks';
 /**
- * A user is told of a cancellation only when the holders know of it, and a holder that nobody reassures falls silent in
- * time (docs/cancel-design.md). Nothing is stored in another form, and an earlier release is only told, as before.
+ * A cancellation is confirmed to its user only after the shard holders have acknowledged it, and a holder that its
+ * peers no longer confirm stops starting tasks and answering users in time (docs/cancel-design.md). No record changes
+ * its format, and controllers of an earlier release are only notified, as before.
  */
 export const CARRIED_CANCELLATIONS = 'carried-cancellations';
 /**
- * The limits of teams are shared out between shards (docs/quota-design.md). Shards' records are sealed meanwhile, so that
- * an earlier release that comes back holds none. One that is alone could then do nothing: an operator allows it, and
- * switches it back before going back to such a release.
+ * The limits of teams are divided between shards (docs/quota-design.md). Shard records are sealed while the feature is
+ * on, so that a controller of an earlier release that comes back cannot hold a shard. Without newer controllers beside
+ * it, it could do nothing. The feature therefore requires an operator's approval, and an operator has to revert it
+ * before going back to such a release.
  */
 export const QUOTA_SHARES = 'quota-shares';
+/** The features of this program, in the order in which they are switched on. */
 export const FEATURES: readonly Feature[] = [
-  { name: GROUPED_PROGRESS, needs: [], wellForMs: WELL_FOR_MS },
-  { name: PIPELINES, needs: [], wellForMs: 0 },
-  { name: PAGED_BLOCKS, needs: [], wellForMs: 0 },
-  { name: CARRIED_CANCELLATIONS, needs: [], wellForMs: 0 },
-  { name: QUOTA_SHARES, needs: [], wellForMs: 0, byOperator: true },
+  { name: GROUPED_PROGRESS, needs: [], minStableMs: MIN_STABLE_BEFORE_SWITCH_ON_MS },
+  { name: PIPELINES, needs: [], minStableMs: 0 },
+  { name: PAGED_BLOCKS, needs: [], minStableMs: 0 },
+  { name: CARRIED_CANCELLATIONS, needs: [], minStableMs: 0 },
+  { name: QUOTA_SHARES, needs: [], minStableMs: 0, requiresApproval: true },
 ];
 
-/** What a controller's key says of its program. */
+/** What a controller's key announces about its program. */
 export interface Announcement {
   readonly incarnation: Incarnation;
   readonly release: number;
+  /** The features that the controller supports. */
   readonly features: readonly string[];
-  /** The highest version of frames that it reads. */
+  /** The newest version of peer frames that the controller reads. */
   readonly frames: number;
-  /** The highest version of each kind of record that it reads. */
+  /** The newest format version that the controller reads, by kind of record. */
   readonly records: Readonly<Record<string, number>>;
 }
 
-/** The fields beside the incarnation, which the first release writes and reads alone. */
-export const encodeAnnouncement = (a: Omit<Announcement, 'incarnation'>): Fields => ({
-  release: { number: a.release, features: a.features, frames: a.frames, records: a.records },
+/**
+ * Encodes the fields of a controller's key other than the incarnation. The first release writes and reads only the
+ * incarnation.
+ */
+export const encodeAnnouncement = (announcement: Omit<Announcement, 'incarnation'>): Fields => ({
+  release: {
+    number: announcement.release,
+    features: announcement.features,
+    frames: announcement.frames,
+    records: announcement.records,
+  },
 });
 
-const FIRST = { release: 1, features: [], frames: 2, records: {} };
-const count = (value: unknown, otherwise: number): number =>
-  typeof value === 'number' && Number.isInteger(value) && value > 0 ? value : otherwise;
+/** What a key without an announcement stands for: the first release. */
+const FIRST_RELEASE = { release: 1, features: [], frames: 2, records: {} };
+const positiveIntegerOr = (value: unknown, fallback: number): number =>
+  typeof value === 'number' && Number.isInteger(value) && value > 0 ? value : fallback;
 
-/** null: that key names no life of a controller. */
+/** Decodes the value of a controller's key; null when it names no incarnation. */
 export function decodeAnnouncement(value: unknown): Announcement | null {
-  const life = isObject(value) ? asString(value['incarnation']) : undefined;
-  if (!isObject(value) || life === undefined) return null;
-  const incarnation = life as Incarnation;
-  const said = value['release'];
-  if (!isObject(said)) return { incarnation, ...FIRST };
-  const records = Object.entries(isObject(said['records']) ? said['records'] : {});
+  const incarnationText = isObject(value) ? asString(value['incarnation']) : undefined;
+  if (!isObject(value) || incarnationText === undefined) return null;
+  const incarnation = incarnationText as Incarnation;
+  const announced = value['release'];
+  if (!isObject(announced)) return { incarnation, ...FIRST_RELEASE };
+  const records = Object.entries(isObject(announced['records']) ? announced['records'] : {});
   return {
     incarnation,
-    release: count(said['number'], FIRST.release),
-    features: asList(said['features']).filter((name) => typeof name === 'string'),
-    frames: count(said['frames'], FIRST.frames),
-    records: Object.fromEntries(records.map(([kind, version]) => [kind, count(version, 1)])),
+    release: positiveIntegerOr(announced['number'], FIRST_RELEASE.release),
+    features: asList(announced['features']).filter((name) => typeof name === 'string'),
+    frames: positiveIntegerOr(announced['frames'], FIRST_RELEASE.frames),
+    records: Object.fromEntries(records.map(([kind, version]) => [kind, positiveIntegerOr(version, 1)])),
   };
 }
--- a/src/rollout/switches.ts
+++ b/src/rollout/switches.ts
@@ -1,30 +1,34 @@
 import { ROLLOUT_STATE, type Mirror } from '../state/index.js';
-import { decodeState, type RolloutState, NO_STATE } from './record.js';
+import { decodeRolloutState, type RolloutState, EMPTY_ROLLOUT_STATE } from './record.js';
 
 /**
- * What this process does about features. It takes a switch over when its mirror shows it: others may have done so
- * before, and some may not have yet, which every feature has to bear.
+ * The feature gates of this process, read from the stored rollout state. A change takes effect when this node's mirror
+ * shows it. Other controllers may have seen it earlier and some may not have seen it yet, so every feature has to
+ * tolerate controllers that disagree for a moment.
  */
 export class Switches {
-  private decoded: { readonly value: unknown; readonly state: RolloutState } = { value: undefined, state: NO_STATE };
+  private decoded: { readonly value: unknown; readonly state: RolloutState } = {
+    value: undefined,
+    state: EMPTY_ROLLOUT_STATE,
+  };
 
   constructor(
     private readonly mirror: Mirror,
-    private readonly features: ReadonlySet<string>,
+    private readonly supported: ReadonlySet<string>,
   ) {}
 
-  /** Asked in every round: decoded once for each stored value. */
+  /** The current rollout state. It is read in every round, so each stored value is decoded only once. */
   get state(): RolloutState {
     const value = this.mirror.get(ROLLOUT_STATE)?.value;
     if (value !== this.decoded.value) {
-      // One that can't be read changes nothing: what was known of it last goes on.
-      this.decoded = { value, state: decodeState(value) ?? this.decoded.state };
+      // A record that cannot be decoded changes nothing: the last known state stays in effect.
+      this.decoded = { value, state: decodeRolloutState(value) ?? this.decoded.state };
     }
     return this.decoded.state;
   }
 
-  /** Is it on, and does this program have it? */
+  /** Returns whether the feature is on and supported by this program. */
   on(feature: string): boolean {
-    return this.features.has(feature) && this.state.features.get(feature)?.state === 'on';
+    return this.supported.has(feature) && this.state.features.get(feature)?.state === 'on';
   }
 }
