--- a/src/rollout/record.ts
+++ b/src/rollout/record.ts
@@ -44,6 +44,7 @@
  * revert or when it requires approval. `back`: revert it and keep it off.
  */
 export type FeatureWish = 'hold' | 'allow' | 'back';
+/** All values of `FeatureWish`, as the admin API accepts them. */
 export const FEATURE_WISHES: readonly FeatureWish[] = ['hold', 'allow', 'back'];
 
 /** An operator's request about one feature, as stored. */
