--- a/packages/region/src/ending.ts
+++ b/packages/region/src/ending.ts
@@ -2,7 +2,7 @@
   systemRuntime,
   type Connection,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Runtime,
   type Timer,
 } from '../../../src/kernel/index.js';
@@ -65,7 +65,7 @@
   private readonly timers = new Set<Timer>();
   private readonly opened = new TrafficCounter();
   private readonly accepted = new TrafficCounter();
-  private readonly listeners = new Set<Listening>();
+  private readonly listeners = new Set<TcpListener>();
   private ended = false;
 
   readonly now = systemRuntime.now;
@@ -118,7 +118,7 @@
     return socket;
   }
 
-  listen(options: Parameters<Runtime['listen']>[0]): Listening {
+  listen(options: Parameters<Runtime['listen']>[0]): TcpListener {
     const accept = (socket: Connection): void => options.accept(this.keepSocket(socket, this.accepted));
     const listening = systemRuntime.listen({ ...options, accept });
     this.listeners.add(listening);
--- a/packages/region/src/models/balancer.ts
+++ b/packages/region/src/models/balancer.ts
@@ -1,7 +1,7 @@
 import {
   HttpClient,
-  type Answer,
-  type Call,
+  type HttpResult,
+  type HttpRequest,
   type Endpoint,
   type Runtime,
   type Timer,
@@ -151,7 +151,7 @@
     private readonly runtime: Runtime,
   ) {}
 
-  async call(call: Call): Promise<Answer> {
+  async call(call: HttpRequest): Promise<HttpResult> {
     const tried = new Set<Backend>();
     for (;;) {
       const open = this.open ?? this.reach(tried);
--- a/packages/region/src/models/close.ts
+++ b/packages/region/src/models/close.ts
@@ -1,4 +1,10 @@
-import { HttpClient, type Answer, type Call, type Endpoint, type Runtime } from '../../../../src/kernel/index.js';
+import {
+  HttpClient,
+  type HttpResult,
+  type HttpRequest,
+  type Endpoint,
+  type Runtime,
+} from '../../../../src/kernel/index.js';
 import type { Luck } from '../sim/index.js';
 import { phaseOf, statusOf } from './answers.js';
 import type { JobTruth, Submission } from './jobs.js';
@@ -102,11 +108,11 @@
 
   private async directly(
     node: Endpoint,
-    method: Call['method'],
+    method: HttpRequest['method'],
     path: string,
     timeoutMs: number,
     body?: unknown,
-  ): Promise<Answer> {
+  ): Promise<HttpResult> {
     const client = new HttpClient(node, 1, this.deps.runtime);
     const answer = await client.call({ method, path, timeoutMs, ...(body === undefined ? {} : { body }) });
     client.close();
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -1,10 +1,10 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asString,
   isObject,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
 } from '../../../../src/kernel/index.js';
@@ -122,7 +122,7 @@
     runtime.every(PRICE_MOVES_MS, () => this.movePrices());
   }
 
-  listen(at: Endpoint, log: Logger): Listening {
+  listen(at: Endpoint, log: Logger): TcpListener {
     return serveJson(this.runtime, at, log, (request) => this.serve(request));
   }
 
@@ -217,7 +217,7 @@
     const charter = asString(fields['charter']);
     const type = this.facts.types.find((t) => t.name === fields['hull']);
     const zone = asString(fields['berth']);
-    const number = asCount(fields['number']);
+    const number = asNonNegativeInteger(fields['number']);
     const spot = fields['flotsam'] === true;
     const known = charter === undefined ? undefined : this.charters.get(charter);
     if (known) return { status: 200, body: { drifters: known } };
@@ -304,7 +304,7 @@
   }
 
   private giveBack(body: unknown): Answer {
-    const names = asList(isObject(body) ? body['drifters'] : undefined);
+    const names = asArray(isObject(body) ? body['drifters'] : undefined);
     if (names.length > MOST_RETURNED) return { status: 400, body: { error: 'too many names' } };
     for (const name of names) {
       const machine = typeof name === 'string' ? this.machines.get(name) : undefined;
--- a/packages/region/src/models/serve.ts
+++ b/packages/region/src/models/serve.ts
@@ -1,8 +1,8 @@
 import {
-  Lane,
+  FastPathConnection,
   type Connection,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
 } from '../../../../src/kernel/index.js';
@@ -40,7 +40,7 @@
   at: Endpoint,
   log: Logger,
   answer: (request: Request) => Answer | Promise<Answer>,
-): Listening {
+): TcpListener {
   const open = new Set<Connection>();
   const listening = runtime.listen({
     ...at,
@@ -49,7 +49,7 @@
       open.add(connection);
       connection.on('close', () => open.delete(connection));
       const from = connection.remoteAddress ?? '';
-      Lane.serve(
+      FastPathConnection.serve(
         connection,
         () => async (head, body) => {
           const cut = head.path.indexOf('?');
--- a/packages/region/src/models/state.ts
+++ b/packages/region/src/models/state.ts
@@ -1,11 +1,11 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asNumber,
   asString,
   isObject,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
   type Timer,
@@ -119,7 +119,7 @@
     this.changes = new Allowance(runtime, facts.writeRps, 1);
   }
 
-  listen(at: Endpoint, log: Logger): Listening {
+  listen(at: Endpoint, log: Logger): TcpListener {
     return serveJson(this.runtime, at, log, (request) => this.serve(request));
   }
 
@@ -258,9 +258,9 @@
   private txn(body: unknown): Answer {
     if (!isObject(body)) return malformed('the body must be a JSON object');
     if (JSON.stringify(body).length > TXN_BYTES) return malformed('too long');
-    const guards = asList(body['guards']);
+    const guards = asArray(body['guards']);
     const writes: Write[] = [];
-    for (const item of asList(body['writes'])) {
+    for (const item of asArray(body['writes'])) {
       const write = this.decodeWrite(item);
       if (typeof write === 'string') return malformed(write);
       writes.push(write);
@@ -270,7 +270,7 @@
     const failed: string[] = [];
     for (const guard of guards) {
       const key = isObject(guard) ? asString(guard['path']) : undefined;
-      const stamp = isObject(guard) ? asCount(guard['stamp']) : undefined;
+      const stamp = isObject(guard) ? asNonNegativeInteger(guard['stamp']) : undefined;
       if (key === undefined || stamp === undefined) return malformed('a condition');
       if ((this.keys.get(key)?.stamp ?? 0) !== stamp) failed.push(key);
     }
@@ -295,7 +295,7 @@
     if (key === undefined || !KEY.test(key)) return 'a key';
     const { value = null } = item;
     if (JSON.stringify(value).length > this.facts.valueKb * 1024) return 'a value is too long';
-    return { key, value, lease: asCount(item['mooring']) ?? null };
+    return { key, value, lease: asNonNegativeInteger(item['mooring']) ?? null };
   }
 
   private apply(writes: readonly Write[]): void {
--- a/packages/region/src/models/users.ts
+++ b/packages/region/src/models/users.ts
@@ -1,4 +1,4 @@
-import type { Answer, Endpoint, Runtime } from '../../../../src/kernel/index.js';
+import type { HttpResult, Endpoint, Runtime } from '../../../../src/kernel/index.js';
 import { ANY_TEAM, type Day, type DayClass, type DayPipeline } from '../day/index.js';
 import { Luck } from '../sim/index.js';
 import type { Balancer, UserSession } from './balancer.js';
@@ -291,7 +291,7 @@
   }
 
   /** Waits as the answer says; false when a minute is over. */
-  private async pause(answer: Answer, since: number): Promise<boolean> {
+  private async pause(answer: HttpResult, since: number): Promise<boolean> {
     const saidS = answer.kind === 'answered' ? answer.retryAfterS : null;
     const ms = Math.min(LONGEST_RETRY_MS, Math.max(RETRY_MS, (saidS ?? 0) * 1000)) + this.deps.luck.between(0, 200);
     if (this.deps.now() + ms - since > GIVES_UP_MS) return false;
@@ -299,7 +299,7 @@
     return true;
   }
 
-  private async submitOnce(session: UserSession, view: UserView): Promise<Answer> {
+  private async submitOnce(session: UserSession, view: UserView): Promise<HttpResult> {
     const { spec } = view.job;
     const call = { method: 'POST', path: '/v1/jobs', body: spec, timeoutMs: SUBMIT_TIMEOUT_MS } as const;
     const asked = this.deps.checker.asks(spec.ref);
--- a/packages/region/src/models/worker.ts
+++ b/packages/region/src/models/worker.ts
@@ -1,15 +1,15 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asNumber,
   asString,
   HttpClient,
   isObject,
   parseTaskKey,
-  type Answer as CallAnswer,
-  type Call,
+  type HttpResult as CallAnswer,
+  type HttpRequest,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
   type TaskKey,
@@ -76,7 +76,7 @@
   private next: Timer | undefined;
   private ended = false;
   private paused = false;
-  private listening: Listening | undefined;
+  private listening: TcpListener | undefined;
   /** What it says arrives; answers and commands don't reach it. */
   deaf = false;
   /** No connection of its reaches a controller. */
@@ -112,7 +112,7 @@
 
   private heardAt: Endpoint = { host: '', port: 0 };
 
-  listen(at: Endpoint): Listening {
+  listen(at: Endpoint): TcpListener {
     this.heardAt = at;
     this.listening = serveJson(this.deps.runtime, at, this.deps.log, (request) => this.answer(request));
     return this.listening;
@@ -217,7 +217,7 @@
     }
   }
 
-  private async say(client: HttpClient, call: Call): Promise<CallAnswer> {
+  private async say(client: HttpClient, call: HttpRequest): Promise<CallAnswer> {
     if (this.deaf) return this.unheard(client, call);
     if (!this.mute) return client.call(call);
     await this.deps.runtime.sleep(REPORT_TIMEOUT_MS);
@@ -225,7 +225,7 @@
   }
 
   /** A report that arrives, and whose answer doesn't. */
-  private async unheard(client: HttpClient, call: Call): Promise<CallAnswer> {
+  private async unheard(client: HttpClient, call: HttpRequest): Promise<CallAnswer> {
     const { runtime } = this.deps;
     const since = runtime.now();
     await client.call(call);
@@ -292,13 +292,13 @@
 
   /** Takes the answer to a report that was sent at this moment of the watchdog's clock. */
   onReply(body: Record<string, unknown>, sentAt: number): void {
-    const helm = asCount(body['helm']);
+    const helm = asNonNegativeInteger(body['helm']);
     // A lower token, or none: dropped, and the lease is not renewed.
     if (helm === undefined || helm < this.helm) return;
     this.takeHelm(helm);
     this.answers += 1;
     if (sentAt > this.leasedAt) this.leasedAt = sentAt;
-    this.execute(asList(body['orders']));
+    this.execute(asArray(body['orders']));
   }
 
   private takeHelm(helm: number): void {
@@ -357,15 +357,15 @@
     this.counts.commands += 1;
     if (method === 'GET' && path === '/status') return { status: 200, body: this.message() };
     if (method !== 'POST' || path !== '/commands') return { status: 404, body: { error: 'no such call' } };
-    const helm = isObject(body) ? asCount(body['helm']) : undefined;
-    const tide = isObject(body) ? asCount(body['tide']) : undefined;
+    const helm = isObject(body) ? asNonNegativeInteger(body['helm']) : undefined;
+    const tide = isObject(body) ? asNonNegativeInteger(body['tide']) : undefined;
     if (helm === undefined || tide === undefined) return { status: 400, body: { error: 'helm or tide is missing' } };
     if (helm < this.helm || tide !== this.tide) {
       if (this.refusedRaise) this.takeHelm(helm);
       return { status: 409, body: this.message() };
     }
     this.takeHelm(helm);
-    this.execute(asList(isObject(body) ? body['orders'] : undefined));
+    this.execute(asArray(isObject(body) ? body['orders'] : undefined));
     return { status: 200, body: this.message() };
   }
 
@@ -373,7 +373,7 @@
     for (const order of orders) {
       if (!isObject(order)) continue;
       const piece = asString(order['piece']) ?? '';
-      const launch = asCount(order['launch']);
+      const launch = asNonNegativeInteger(order['launch']);
       const named = parseTaskKey(piece);
       if (!named || launch === undefined) continue;
       const key = piece as TaskKey;
--- a/packages/region/src/parts.ts
+++ b/packages/region/src/parts.ts
@@ -1,6 +1,6 @@
 import { HttpClient, wallMillis, type Endpoint, type Logger, type Runtime } from '../../../src/kernel/index.js';
 import { encodeWishes, NO_WISHES } from '../../../src/rollout/index.js';
-import { ROLLOUT_WISHES } from '../../../src/state/index.js';
+import { ROLLOUT_WISHES_KEY } from '../../../src/state/index.js';
 import { RuleChecker, type Breach, type Room } from './checker/index.js';
 import type { Day } from './day/index.js';
 import { Daybook } from './daybook.js';
@@ -174,7 +174,8 @@
     const { log, day } = this.options;
     const wish = { wish: 'allow', at: wallMillis(0) } as const;
     const allowed = day.controllers.allow.map((feature) => [feature, wish] as const);
-    if (allowed.length > 0) this.state.put(ROLLOUT_WISHES, encodeWishes({ ...NO_WISHES, features: new Map(allowed) }));
+    if (allowed.length > 0)
+      this.state.put(ROLLOUT_WISHES_KEY, encodeWishes({ ...NO_WISHES, features: new Map(allowed) }));
     const state = this.state.listen(this.stateSeat.at, log);
     const cloud = this.cloud.listen(this.cloudSeat.at, log);
     for (const { type, zone, spot, count } of day.machines) this.cloud.begin(type, zone, spot, count);
--- a/packages/region/src/real.ts
+++ b/packages/region/src/real.ts
@@ -1,5 +1,5 @@
 import { jobId, type Endpoint, type Logger } from '../../../src/kernel/index.js';
-import { decodeRecord } from '../../../src/jobs/index.js';
+import { decodeJobRecord } from '../../../src/jobs/index.js';
 import { jobKey } from '../../../src/state/index.js';
 import type { Day } from './day/index.js';
 import { EndingRuntime } from './ending.js';
@@ -18,7 +18,7 @@
  * Users upload descriptions for the workers; here nobody but the controllers has seen it.
  */
 export function uploadedByHand(ref: string, state: StateModel): JobTruth | undefined {
-  const spec = decodeRecord(state.get(jobKey(jobId(ref))))?.spec;
+  const spec = decodeJobRecord(state.get(jobKey(jobId(ref))))?.spec;
   if (!spec) return undefined;
   const submission: Submission = {
     ...{ ref, jobclass: spec.jobClass, owner: spec.team, shape: SHAPES[spec.kind], pieces: spec.tasks },
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -340,7 +340,7 @@
     for (const { serveOn } of this.controllers?.seats ?? []) {
       const client = new HttpClient(serveOn, 1, this.runtime);
       const path = '/admin/v1/status';
-      const answer = await client.call({ method: 'GET', path, timeoutMs: STATUS_TIMEOUT_MS, maxBytes: 32e6 });
+      const answer = await client.call({ method: 'GET', path, timeoutMs: STATUS_TIMEOUT_MS, maxResponseBytes: 32e6 });
       client.close();
       const peers = answer.kind === 'answered' && isObject(answer.body) ? answer.body['peers'] : undefined;
       const sent = isObject(peers) && isObject(peers['sent']) ? peers['sent'] : {};
--- a/packages/region/src/sim/network.ts
+++ b/packages/region/src/sim/network.ts
@@ -1,5 +1,5 @@
 import { Duplex } from 'node:stream';
-import type { Connection, Endpoint, Listening, ListenOptions, Runtime, Timer } from '../../../../src/kernel/index.js';
+import type { Connection, Endpoint, TcpListener, ListenOptions, Runtime, Timer } from '../../../../src/kernel/index.js';
 import type { Luck } from './luck.js';
 import type { World } from './world.js';
 
@@ -262,7 +262,7 @@
     } else if (host.powered) pipe.to.owner.run(() => pipe.to.receive(packet));
   }
 
-  listen(owner: SocketOwner, options: ListenOptions): Listening {
+  listen(owner: SocketOwner, options: ListenOptions): TcpListener {
     const port = options.port === 0 ? this.nextPort++ : options.port;
     const key = `${owner.host.ip}:${port}`;
     const taken = this.listeners.get(key);
--- a/packages/region/src/sim/process.ts
+++ b/packages/region/src/sim/process.ts
@@ -5,7 +5,7 @@
   wallMillis,
   type Connection,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type ListenOptions,
   type Millis,
   type Runtime,
@@ -165,7 +165,7 @@
     return this.network.connect(this, to);
   }
 
-  listen(options: ListenOptions): Listening {
+  listen(options: ListenOptions): TcpListener {
     return this.network.listen(this, options);
   }
 }
--- a/packages/region/test/lab.ts
+++ b/packages/region/test/lab.ts
@@ -1,5 +1,11 @@
 import { pino } from 'pino';
-import { HttpClient, type Answer, type Call, type Endpoint, type Logger } from '../../../src/kernel/index.js';
+import {
+  HttpClient,
+  type HttpResult,
+  type HttpRequest,
+  type Endpoint,
+  type Logger,
+} from '../../../src/kernel/index.js';
 import { Luck, Network, rest, SimProcess, StateModel, World, type ClockFaults, type StateFacts } from '../src/index.js';
 
 const STATE: Endpoint = { host: '10.2.0.1', port: 2379 };
@@ -54,7 +60,12 @@
   }
 
   /** One request from a process, on a connection of its own. */
-  async ask(from: SimProcess, to: Endpoint, call: Omit<Call, 'timeoutMs'>, timeoutMs = 5000): Promise<Answer> {
+  async ask(
+    from: SimProcess,
+    to: Endpoint,
+    call: Omit<HttpRequest, 'timeoutMs'>,
+    timeoutMs = 5000,
+  ): Promise<HttpResult> {
     const client = new HttpClient(to, 1, from);
     const answer = await this.settle(client.call({ ...call, timeoutMs }));
     client.close();
--- a/packages/region/test/quota.test.ts
+++ b/packages/region/test/quota.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { accountOf, decodeQuota, isNothing, less, totalOf } from '../../../src/quota/index.js';
+import { accountShardOf, decodeQuota, isZero, subtract, totalOf } from '../../../src/quota/index.js';
 import { decodeShard } from '../../../src/membership/index.js';
 import { shardName } from '../../../src/kernel/index.js';
 import { Region, scaledDay, type Day, type Trouble } from '../src/index.js';
@@ -30,8 +30,8 @@
     assert.ok(record && record !== 'foreign');
     const team = day.teams.find(({ name }) => key === `${QUOTAS}${name}`);
     assert.ok(team);
-    const beyond = less(totalOf(record), { cpus: team.cpus_max, gpus: team.gpus_max });
-    assert.ok(isNothing(beyond), `${key} ${JSON.stringify([...record.shares])}`);
+    const beyond = subtract(totalOf(record), { cpus: team.cpus_max, gpus: team.gpus_max });
+    assert.ok(isZero(beyond), `${key} ${JSON.stringify([...record.shares])}`);
   }
   return stored.length;
 }
@@ -147,8 +147,8 @@
 
 test('the account of a team is the same for every controller, and spread over the shards', () => {
   const shards = ['a', 'b', 'c', 'd', 'e', 'f', 'g'].map(shardName);
-  const accounts = Array.from({ length: 52 }, (_, i) => accountOf(`team-${i}`, shards));
+  const accounts = Array.from({ length: 52 }, (_, i) => accountShardOf(`team-${i}`, shards));
   assert.ok(new Set(accounts).size >= 6);
-  assert.equal(accountOf('team-1', shards), accountOf('team-1', [...shards]));
-  assert.equal(accountOf('team-1', []), null);
+  assert.equal(accountShardOf('team-1', shards), accountShardOf('team-1', [...shards]));
+  assert.equal(accountShardOf('team-1', []), null);
 });
--- a/packages/region/test/rules.test.ts
+++ b/packages/region/test/rules.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JobRegistry } from '../../../src/jobs/index.js';
-import { Freshness } from '../../../src/state/index.js';
-import { Steward } from '../../../src/pipelines/index.js';
-import { CommandSender, MachineBelief, type Verdict } from '../../../src/workers/index.js';
+import { FreshnessChecker } from '../../../src/state/index.js';
+import { DependencyTracker } from '../../../src/pipelines/index.js';
+import { CommandSender, WorkerTracker, type MessageOutcome } from '../../../src/workers/index.js';
 import { Region, type Day, type Rule } from '../src/index.js';
 import { cutOffNight, played, shippedDay, shortDay, swarmDay } from './days.js';
 
@@ -47,20 +47,20 @@
 });
 
 test('ran_twice: a fence that counts leases from the last answered report alone', async () => {
-  const { take, takeAnswer } = MachineBelief.prototype;
-  const forgetful = <A extends unknown[]>(whole: (this: MachineBelief, ...given: A) => Verdict) =>
-    function (this: MachineBelief, ...given: A): Verdict {
+  const { applyReport: take, applyAnswer: takeAnswer } = WorkerTracker.prototype;
+  const forgetful = <A extends unknown[]>(whole: (this: WorkerTracker, ...given: A) => MessageOutcome) =>
+    function (this: WorkerTracker, ...given: A): MessageOutcome {
       const before = this.lastAnswerAt;
       const verdict = whole.apply(this, given);
       this.lastAnswerAt = before;
       // Nothing is started any more where only commands are answered: that alone would hide it, and is left out, too.
-      this.lastReportAt = this.lastHeardAt;
+      this.lastReportAt = this.lastMessageAt;
       return verdict;
     };
   const caught: number[] = [];
   for (const seed of SEEDS) {
-    const rules = await patched(MachineBelief.prototype, 'take', forgetful(take), () =>
-      patched(MachineBelief.prototype, 'takeAnswer', forgetful(takeAnswer), () => broken(cutOffNight(seed), nothing)),
+    const rules = await patched(WorkerTracker.prototype, 'applyReport', forgetful(take), () =>
+      patched(WorkerTracker.prototype, 'applyAnswer', forgetful(takeAnswer), () => broken(cutOffNight(seed), nothing)),
     );
     if (rules.includes('ran_twice')) caught.push(seed);
   }
@@ -151,8 +151,8 @@
 test('went_back: nodes that are asked within milliseconds answer by what they last saw', async () => {
   const day = swarmDay(60, closeLooks);
   assert.deepEqual(await broken(day, nothing), []);
-  const stale: Freshness['ensure'] = () => Promise.resolve(true);
-  const rules = await patched(Freshness.prototype, 'ensure', stale, () => broken(day, nothing));
+  const stale: FreshnessChecker['ensure'] = () => Promise.resolve(true);
+  const rules = await patched(FreshnessChecker.prototype, 'waitUntilFresh', stale, () => broken(day, nothing));
   assert.deepEqual(rules, ['went_back']);
 });
 
@@ -218,11 +218,11 @@
 test('orphaned: a cancellation that does not reach those that need the job', async () => {
   const rules = await patched(
     JobRegistry.prototype,
-    'withdraw',
+    'cancelDependent',
     () => Promise.resolve(false),
     () =>
       patched(
-        Steward.prototype,
+        DependencyTracker.prototype,
         'awaits',
         () => [],
         () => broken(chains(180), nothing),
--- a/packages/tools/src/cli/main.ts
+++ b/packages/tools/src/cli/main.ts
@@ -1,6 +1,6 @@
 import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
-import { quietWhenUnread } from '../../../../src/cli/index.js';
+import { exitOnBrokenPipe } from '../../../../src/cli/index.js';
 import { DayError, ListError, ReleaseError, ScaleError } from '../../../region/src/index.js';
 import { regionCommand, UsageError } from '../../../region/src/cli/index.js';
 import { TraceError } from '../../../trace/src/index.js';
@@ -11,7 +11,7 @@
 /** Mistakes of whoever asks: told in one line. Everything else is a defect, with its stack. */
 const KNOWN = [DayError, ListError, PlanError, ReleaseError, ScaleError, TraceError, UsageError];
 
-quietWhenUnread(process.stdout);
+exitOnBrokenPipe(process.stdout);
 const tools = new Command('wooddrift');
 for (const command of [regionCommand, recordCommand, traceCommand, whatifCommand]) tools.addCommand(command);
 // A thread of a search loads this file, too, and waits for its replays.
--- a/packages/trace/test/follow.test.ts
+++ b/packages/trace/test/follow.test.ts
@@ -21,7 +21,7 @@
   note(count: number): void {
     for (let i = 0; i < count; i++) {
       this.clock += 10;
-      this.trail.note({ kind: 'claimed', shard: shardName('s') });
+      this.trail.record({ kind: 'claimed', shard: shardName('s') });
       this.told.set(`life-${this.life}`, (this.told.get(`life-${this.life}`) ?? 0) + 1);
     }
   }
--- a/packages/whatif/src/plan/apply.ts
+++ b/packages/whatif/src/plan/apply.ts
@@ -1,5 +1,5 @@
 import { jobId } from '../../../../src/kernel/index.js';
-import { Priority, whyNever, type JobSpec } from '../../../../src/jobs/index.js';
+import { Priority, unschedulableReason, type JobSpec } from '../../../../src/jobs/index.js';
 import { kindOf, type PlayedJob, type PlayedMachine, type Scenario } from '../night/index.js';
 import { checkZone, momentS, type NightSpan } from './moment.js';
 import { PlanError } from './read.js';
@@ -268,7 +268,7 @@
   const teams = new Map(Object.entries(draft.facts.teams));
   for (const job of draft.jobs) {
     if (job.changed === null) continue;
-    const never = whyNever(job.spec, teams, draft.facts.types);
+    const never = unschedulableReason(job.spec, teams, draft.facts.types);
     if (never !== null) throw new PlanError(`${job.spec.id} (${job.spec.jobClass}) would never be taken: ${never}`);
   }
   const { jobs, machines, facts, capacity, freeFromS } = draft;
--- a/packages/whatif/src/replay/decisions.ts
+++ b/packages/whatif/src/replay/decisions.ts
@@ -1,15 +1,21 @@
 import { jobId, machineId, nodeName, shardName, type JobId, type MachineId } from '../../../../src/kernel/index.js';
-import { inCalls, kindKey, LEASE_POLICY, planLeases, type LooseMachine } from '../../../../src/leasing/index.js';
+import {
+  splitIntoCalls,
+  machineKindKey,
+  LEASE_POLICY,
+  planLeases,
+  type UnleasedMachine,
+} from '../../../../src/leasing/index.js';
 import type { ShardSummary } from '../../../../src/peers/index.js';
 import {
   planPlacement,
-  relevance,
+  machineFilterFor,
   slackOf,
   type MachineView,
   type PendingJob,
   type TeamUse,
 } from '../../../../src/placement/index.js';
-import { chooseRestarts, flagTasks, resourceR, type Flag } from '../../../../src/speculation/index.js';
+import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../../../../src/speculation/index.js';
 import { capacityFor, kindOf, type PlayedMachine, type Scenario } from '../night/index.js';
 import type { Played, ReplayOptions } from './engine.js';
 import { SimMachine, type TypeFacts } from './fleet.js';
@@ -220,7 +226,7 @@
     }
     if (next < Infinity) this.plan(next, () => this.soon());
     if (pending.length === 0) return;
-    const relevant = relevance(pending.map(({ spec }) => spec));
+    const relevant = machineFilterFor(pending.map(({ spec }) => spec));
     const machines: MachineView[] = [];
     for (const m of this.machines.values()) {
       const info = { type: m.type.name, zone: m.zone, spot: m.spot };
@@ -283,7 +289,7 @@
     }
     for (const m of [...this.machines.values()]) if (m.faulty && m.tasks.size === 0) this.release(m);
     const now = this.now;
-    const loose: LooseMachine[] = [...this.loose.values()].map((l) => ({
+    const loose: UnleasedMachine[] = [...this.loose.values()].map((l) => ({
       ...{ id: l.id, type: l.type.name, zone: l.zone, spot: l.spot, up: false, ageS: now - l.rentedS },
     }));
     for (const [kind, until] of this.refused) if (until < now) this.refused.delete(kind);
@@ -292,20 +298,20 @@
       machines: [...this.machines.values()].filter((m) => m.alive).map((m) => m.summary(now)),
     };
     const plan = planLeases({
-      ...{ shards: [summary], loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
+      ...{ shards: [summary], unleased: loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
       ...{ refused: new Set(this.refused.keys()), headroom: [...this.headroom.values()], ...LEASE_POLICY },
-      ageOf: (id) => now - (this.rentedAt.get(id) ?? now),
+      machineAgeS: (id) => now - (this.rentedAt.get(id) ?? now),
     });
     for (const { machine } of plan.releases) {
       const m = this.machines.get(machine);
       if (m?.tasks.size === 0) this.release(m);
     }
-    for (const wish of inCalls(plan.rents)) {
+    for (const wish of splitIntoCalls(plan.rents)) {
       const kind = kindOf(wish);
       const room = capacityFor(this.scenario, kind) - (this.held.get(kind) ?? 0);
       const got = Math.min(room, wish.count);
       for (let i = 0; i < got; i++) this.begin(wish.type, wish.zone, wish.spot);
-      if (got < wish.count) this.refused.set(kindKey(wish.type, wish.zone, wish.spot), now + REFUSED_S);
+      if (got < wish.count) this.refused.set(machineKindKey(wish.type, wish.zone, wish.spot), now + REFUSED_S);
     }
   }
 
@@ -318,8 +324,8 @@
       if (!m.alive) late.add(m.id);
       booked.push({ cpu: 1 - m.freeCpus / m.type.cpus, memory: 1 - m.freeMemoryGb / m.type.memoryGb });
     }
-    const r = resourceR(booked, this.tunables);
-    const flags: Flag[] = [];
+    const r = resourceTerm(booked, this.tunables);
+    const flags: StragglerFlag[] = [];
     const runningPerJob = new Map<string, number>();
     for (const job of this.open.values()) {
       const { spec, startedS } = job;
@@ -340,7 +346,7 @@
       runningPerJob.set(spec.id, running.length);
       const deadlineS = spec.deadlineS === null ? null : spec.deadlineS - (startedS - job.submittedS);
       const snapshot = { job: spec.id, tasks: spec.tasks, finished: job.doneCount, finishedRunsS: job.runsS };
-      flags.push(...flagTasks({ ...snapshot, estimateS: spec.estimateS, deadlineS, running }, r, this.tunables));
+      flags.push(...flagStragglers({ ...snapshot, estimateS: spec.estimateS, deadlineS, running }, r, this.tunables));
     }
     for (const flag of chooseRestarts(flags, runningPerJob, late, this.tunables)) {
       const job = this.jobs.get(jobId(flag.job));
--- a/packages/whatif/src/replay/fleet.ts
+++ b/packages/whatif/src/replay/fleet.ts
@@ -1,7 +1,7 @@
 import { Priority, type JobSpec } from '../../../../src/jobs/index.js';
 import { machineId, type MachineId } from '../../../../src/kernel/index.js';
 import type { MachineSummary } from '../../../../src/peers/index.js';
-import type { MachineView, Stoppable } from '../../../../src/placement/index.js';
+import type { MachineView, PreemptableTask } from '../../../../src/placement/index.js';
 import type { NightFacts } from '../night/index.js';
 
 export type TypeFacts = NightFacts['types'][number];
@@ -114,7 +114,7 @@
   view(nowS: number): MachineView {
     // What stopping a task would lose grows with time: looked at anew now and then.
     if (this.known && nowS - (this.knownLoss ?? 0) < LOSS_VALID_S) return this.known;
-    const running: Stoppable[] = [];
+    const running: PreemptableTask[] = [];
     for (const { job, index, beganS, stopping } of this.tasks) {
       const { spec } = job;
       const ranS = beganS === null ? 0 : nowS - beganS;
--- a/packages/whatif/src/replay/machines.ts
+++ b/packages/whatif/src/replay/machines.ts
@@ -1,4 +1,4 @@
-import { mustLeave } from '../../../../src/holder/index.js';
+import { mustStopBeforeReclaim } from '../../../../src/holder/index.js';
 import type { MachineId } from '../../../../src/kernel/index.js';
 import { SimMachine } from './fleet.js';
 import { SimTasks } from './tasks.js';
@@ -68,7 +68,7 @@
       const job = this.jobs.get(task.job.spec.id);
       if (!job) continue;
       const restS = job.expectedRunS - (this.now - (task.beganS ?? this.now));
-      if (mustLeave(job.spec, task.beganS !== null, restS, leftS))
+      if (mustStopBeforeReclaim(job.spec, task.beganS !== null, restS, leftS))
         this.stopWithMates(task, 'notice', job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0);
     }
     this.plan(this.now + 1, () => this.heedNotice(m));
--- a/packages/whatif/src/replay/tasks.ts
+++ b/packages/whatif/src/replay/tasks.ts
@@ -1,7 +1,7 @@
 import TinyQueue from 'tinyqueue';
 import type { JobSpec } from '../../../../src/jobs/index.js';
 import type { JobId, MachineId } from '../../../../src/kernel/index.js';
-import type { Reserve } from '../../../../src/placement/index.js';
+import type { GpuReserve } from '../../../../src/placement/index.js';
 import { DEFAULT_TUNABLES, type Tunables } from '../../../../src/speculation/index.js';
 import { Luck, type Script, type ScriptedMachine } from '../../../region/src/index.js';
 import type { Scenario } from '../night/index.js';
@@ -52,7 +52,7 @@
   protected readonly teamUse = new Map<string, { cpus: number; gpus: number }>();
   protected readonly rentedAt = new Map<MachineId, number>();
   protected readonly headroom = new Map<string, JobSpec>();
-  protected reserve: Reserve | null = null;
+  protected reserve: GpuReserve | null = null;
   protected roundPlanned = false;
   /** The record says what is started and stopped. */
   protected steered: boolean;
--- a/test/paging.test.ts
+++ b/test/paging.test.ts
@@ -3,14 +3,14 @@
 import { incarnation, machineId, nodeName, shardName } from '../src/kernel/index.js';
 import {
   encodeShard,
-  enter,
-  leave,
+  addMachines,
+  removeMachines,
   Paging,
   ShardDirectory,
   type BlockMachine,
   type KnownShard,
 } from '../src/membership/index.js';
-import { LIVE, Mirror, pageKey, shardKey, StateClient, Urgency, type Op } from '../src/state/index.js';
+import { LIVE_PREFIX, Mirror, pageKey, shardKey, StateClient, Urgency, type Op } from '../src/state/index.js';
 import type { StateModel } from '../packages/region/src/index.js';
 import { Lab } from '../packages/region/test/lab.js';
 
@@ -38,7 +38,7 @@
   ) {
     const process = lab.process(ip);
     this.state = new StateClient(at, { rps: 1000, writeRps: 1000, next }, lab.log, process);
-    this.mirror = new Mirror(this.state, LIVE, process, lab.log);
+    this.mirror = new Mirror(this.state, LIVE_PREFIX, process, lab.log);
     this.directory = new ShardDirectory(this.mirror);
     this.paging = new Paging({ state: this.state, mirror: this.mirror, directory: this.directory, log: lab.log });
   }
@@ -54,7 +54,7 @@
   }
 
   moveToPages(): Promise<void> {
-    return this.lab.settle(this.paging.flip(SHARD, this.known));
+    return this.lab.settle(this.paging.moveToPages(SHARD, this.known));
   }
 
   async change(change: { readonly guards: readonly { key: string; version: number }[]; readonly ops: readonly Op[] }) {
@@ -64,11 +64,11 @@
   }
 
   addMachines(machines: readonly BlockMachine[]): Promise<void> {
-    return this.change(enter(SHARD, this.known, machines, BLOCK_LIMITS).change);
+    return this.change(addMachines(SHARD, this.known, machines, BLOCK_LIMITS).change);
   }
 
   async removeMachine(id: string): Promise<void> {
-    for (const { change } of leave(SHARD, this.known, new Set([machineId(id)]))) await this.change(change);
+    for (const { change } of removeMachines(SHARD, this.known, new Set([machineId(id)]))) await this.change(change);
   }
 }
 
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -2,9 +2,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Bits, jobId, shardName, type JobId } from '../src/kernel/index.js';
+import { BitSet, jobId, shardName, type JobId } from '../src/kernel/index.js';
 import { JobRegistry } from '../src/jobs/index.js';
-import { finalKey, jobKey, LIVE, Mirror, StateClient, Urgency, type StateFacts } from '../src/state/index.js';
+import {
+  finalKey,
+  jobKey,
+  LIVE_PREFIX,
+  Mirror,
+  StateClient,
+  Urgency,
+  type StateServiceLimits,
+} from '../src/state/index.js';
 import type { MachineType } from '../src/cloud/index.js';
 import { spec } from './standins/jobs.js';
 import type { Spoiled } from '../packages/region/src/index.js';
@@ -49,7 +57,7 @@
 }
 
 /** Creates one controller's registry with its own client and mirror. */
-function startNode(limits: Partial<StateFacts> = {}): RegistryNode {
+function startNode(limits: Partial<StateServiceLimits> = {}): RegistryNode {
   const runtime = lab.process(`10.0.0.${++nodeCount}`);
   const client = new StateClient(address, { rps: 1000, writeRps: 1000, ...limits }, log, runtime);
   const cancelled: JobId[] = [];
@@ -59,16 +67,16 @@
     types: [small],
     registry: new JobRegistry(
       client,
-      new Mirror(client, LIVE, runtime, log),
+      new Mirror(client, LIVE_PREFIX, runtime, log),
       new Map([['t', { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }]]),
       {
-        types: () => node.types,
+        machineTypes: () => node.types,
         chooseShard: () => shardName('n-0'),
-        running: () => ({ running: 0, done: 0 }),
-        pipelines: () => true,
-        awaits: () => [],
-        ended: () => undefined,
-        carried: (id) => {
+        progressOf: () => ({ running: 0, done: 0 }),
+        supportsDependencies: () => true,
+        unfinishedDependencies: () => [],
+        onJobEnded: () => undefined,
+        awaitAcknowledgement: (id) => {
           cancelled.push(id);
           return Promise.resolve(node.holdersConfirm);
         },
@@ -125,9 +133,12 @@
   const [a, b] = [startNode(), startNode()];
   const id = jobId('j-5');
   await lab.settle(a.registry.submit(spec({ id })));
-  const looked = await lab.settle(b.registry.look(id));
+  const looked = await lab.settle(b.registry.readState(id));
   assert.ok(looked.kind === 'open');
-  assert.equal(await lab.settle(b.registry.end(id, looked.version, { phase: 'done', at: null, done: 1 }, 1000)), 'ok');
+  assert.equal(
+    await lab.settle(b.registry.storeFinal(id, looked.version, { phase: 'done', at: null, done: 1 }, 1000)),
+    'ok',
+  );
   const answer = await lab.settle(a.registry.cancel(id));
   assert.ok(answer.kind === 'known' && answer.view.phase === 'done');
   const again = await lab.settle(a.registry.submit(spec({ id })));
@@ -141,11 +152,11 @@
   const a = startNode();
   const id = jobId('j-6');
   await lab.settle(a.registry.submit(spec({ id, tasks: 4 })));
-  const stale = await lab.settle(a.registry.look(id));
+  const stale = await lab.settle(a.registry.readState(id));
   assert.ok(stale.kind === 'open');
   state.put(jobKey(id), state.get(jobKey(id)));
   assert.equal(
-    await lab.settle(a.registry.end(id, stale.version, { phase: 'done', at: null, done: 4 }, 1000)),
+    await lab.settle(a.registry.storeFinal(id, stale.version, { phase: 'done', at: null, done: 4 }, 1000)),
     'conflict',
   );
   const answer = await lab.settle(a.registry.cancel(id));
@@ -192,7 +203,7 @@
 test('a bit set behaves like a plain set of task numbers, also after encoding and decoding', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 70 }), fc.array(fc.integer({ min: -2, max: 72 })), (size, numbers) => {
-      const bits = Bits.empty(size);
+      const bits = BitSet.empty(size);
       const plain = new Set<number>();
       for (const n of numbers) {
         const fits = n >= 0 && n < size && !plain.has(n);
@@ -202,12 +213,12 @@
       const copy = bits.copy();
       for (let n = 0; n < size; n++) copy.add(n);
       assert.equal(copy.count, size);
-      for (const read of [bits, Bits.decode(size, bits.encode())]) {
+      for (const read of [bits, BitSet.decode(size, bits.encode())]) {
         assert.equal(read.count, plain.size);
         for (let n = -1; n <= size + 8; n++) assert.equal(read.has(n), plain.has(n));
       }
       // Stored bits beyond the number of tasks are dropped.
-      assert.equal(Bits.decode(size, Buffer.alloc(20, 255).toString('base64')).count, size);
+      assert.equal(BitSet.decode(size, Buffer.alloc(20, 255).toString('base64')).count, size);
     }),
   );
 });
@@ -221,9 +232,9 @@
     JobId,
   ];
   for (const id of [open, done, cancelledId]) await lab.settle(a.registry.submit(spec({ id })));
-  const looked = await lab.settle(a.registry.look(done));
+  const looked = await lab.settle(a.registry.readState(done));
   assert.ok(looked.kind === 'open');
-  await lab.settle(a.registry.end(done, looked.version, { phase: 'done', done: 1, at: null }, 1000));
+  await lab.settle(a.registry.storeFinal(done, looked.version, { phase: 'done', done: 1, at: null }, 1000));
   await lab.settle(a.registry.cancel(cancelledId));
   const submit = (id: string, dependencies: readonly JobId[], node = b, overrides: object = {}) =>
     lab.settle(node.registry.submit(spec({ id, ...overrides }), dependencies));
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,12 +4,12 @@
 import {
   CHANGE_DEADLINE_MS,
   decodeSettings,
-  mark,
+  markMachine,
   MAX_PENDING_CHANGES,
   SettingsStore,
   type SettingsResult,
 } from '../src/admin/index.js';
-import { LIVE, Mirror, SETTINGS, StateClient } from '../src/state/index.js';
+import { LIVE_PREFIX, Mirror, SETTINGS_KEY, StateClient } from '../src/state/index.js';
 import { Lab } from '../packages/region/test/lab.js';
 import type { StateFacts, StateModel } from '../packages/region/src/index.js';
 
@@ -29,7 +29,7 @@
     const runtime = lab.process(`10.0.0.${i + 1}`);
     const client = new StateClient(at, { rps: 350, writeRps: 50, ...facts }, lab.log, runtime);
     client.writers = CONTROLLERS;
-    return new SettingsStore(client, new Mirror(client, LIVE, runtime, lab.log), runtime);
+    return new SettingsStore(client, new Mirror(client, LIVE_PREFIX, runtime, lab.log), runtime);
   });
   return { lab, model, stores };
 }
@@ -38,7 +38,7 @@
   Array.from({ length: count }, (_, i) => {
     const store = stores[i % stores.length];
     assert.ok(store);
-    return store.change((settings) => mark(settings, `m-${i}`, 'cordon'));
+    return store.change((settings) => markMachine(settings, `m-${i}`, 'cordon'));
   });
 
 const kinds = (results: readonly SettingsResult[]): string[] => [...new Set(results.map(({ kind }) => kind))];
@@ -48,7 +48,7 @@
     const testCluster = cluster({}, seed);
     const results = await testCluster.lab.settle(Promise.all(cordon(testCluster, 60)));
     assert.deepEqual(kinds(results), ['stored'], `seed ${seed}`);
-    assert.equal(decodeSettings(testCluster.model.get(SETTINGS)).cordoned.size, 60);
+    assert.equal(decodeSettings(testCluster.model.get(SETTINGS_KEY)).cordoned.size, 60);
     // Group commit: about one write per controller and a few after conflicts, far fewer than one per change.
     assert.ok(testCluster.model.counts.changes <= CONTROLLERS * 2, `${testCluster.model.counts.changes} changes`);
   }
@@ -65,7 +65,7 @@
     assert.ok(stored.length > 0);
     // Longer than the longest delay of a transaction.
     await testCluster.lab.pass(15_000);
-    const { cordoned } = decodeSettings(testCluster.model.get(SETTINGS));
+    const { cordoned } = decodeSettings(testCluster.model.get(SETTINGS_KEY));
     for (const id of stored) assert.ok(cordoned.has(id), `${id} was reported as stored`);
   }
 });
@@ -91,9 +91,9 @@
   const testCluster = cluster({ valueKb: 0.5 });
   const [store] = testCluster.stores;
   assert.ok(store);
-  const changes = Array.from({ length: 80 }, (_, i) => store.change((s) => mark(s, `machine-${i}`, 'cordon')));
+  const changes = Array.from({ length: 80 }, (_, i) => store.change((s) => markMachine(s, `machine-${i}`, 'cordon')));
   const results = await testCluster.lab.settle(Promise.all(changes));
   assert.deepEqual(kinds(results).sort(), ['stored', 'too-large']);
-  const { cordoned } = decodeSettings(testCluster.model.get(SETTINGS));
+  const { cordoned } = decodeSettings(testCluster.model.get(SETTINGS_KEY));
   results.forEach(({ kind }, i) => assert.equal(cordoned.has(`machine-${i}`), kind === 'stored', `machine-${i}`));
 });
--- a/test/sockets.test.ts
+++ b/test/sockets.test.ts
@@ -3,8 +3,8 @@
 import { Router } from 'express';
 import { Lab } from '../packages/region/test/lab.js';
 import { HttpClient, machineId, millis, revision, SocketBudget } from '../src/kernel/index.js';
-import { createApp, laneRoutes, listen, type Handlers } from '../src/service/index.js';
-import { CommandSender, MachineBelief } from '../src/workers/index.js';
+import { createApp, fastPathRoutes, listen, type RequestHandlers } from '../src/service/index.js';
+import { CommandSender, WorkerTracker } from '../src/workers/index.js';
 
 const PORT = 9000;
 const CALL = { method: 'GET', path: '/status', timeoutMs: 1000 } as const;
@@ -35,7 +35,7 @@
   const clients = hosts.map((host) => new HttpClient({ host, port: PORT }, 1, node, budget));
   for (const round of [0, 1]) {
     for (const client of clients) {
-      assert.ok(budget.room, `round ${round}`);
+      assert.ok(budget.hasRoom, `round ${round}`);
       assert.equal((await lab.settle(client.call(CALL))).kind, 'answered');
       assert.ok(lab.network.socketsOf(node) <= 3);
     }
@@ -52,9 +52,9 @@
     [true, false, false, true, false, true],
   );
   const busy = [0, 3, 5].map((i) => clients[i]?.call(CALL));
-  assert.equal(budget.room, false, 'no connection is idle, so none can be closed');
+  assert.equal(budget.hasRoom, false, 'no connection is idle, so none can be closed');
   await lab.settle(Promise.all(busy));
-  assert.equal(budget.room, true);
+  assert.equal(budget.hasRoom, true);
   for (const client of clients) client.close();
   assert.equal(lab.network.socketsOf(node), 0);
 });
@@ -68,7 +68,7 @@
   const node = lab.process('10.0.0.1', null, undefined, 0);
   const nodeWithSockets = lab.process('10.0.0.2');
   const commandSender = (from: typeof node, host: string): CommandSender => {
-    const belief = new MachineBelief(revision(3), millis(0));
+    const belief = new WorkerTracker(revision(3), millis(0));
     const hooks = { heard: () => undefined, superseded: () => undefined };
     const sender = new CommandSender(machineId(host), belief, from, lab.log, hooks, new SocketBudget(5));
     sender.setAddress(`${host}:${PORT}`);
@@ -89,8 +89,8 @@
   const lab = new Lab();
   const at = { host: '10.0.0.1', port: 8080 };
   const pendingAnswers: (() => void)[] = [];
-  const handlers: Handlers = {
-    healthy: () => true,
+  const handlers: RequestHandlers = {
+    isHealthy: () => true,
     serve: (request) =>
       new Promise((resolve) => {
         const answer = (): void => resolve({ status: 200, body: {} });
@@ -100,7 +100,7 @@
     report: () => ({ status: 200, body: { helm: 1 } }),
   };
   const node = lab.process(at.host);
-  listen(createApp(handlers, Router(), lab.log), laneRoutes(handlers, lab.log), at, 10, node, lab.log);
+  listen(createApp(handlers, Router(), lab.log), fastPathRoutes(handlers, lab.log), at, 10, node, lab.log);
   const from = lab.process('10.3.0.1');
   const client = (): HttpClient => new HttpClient(at, 1, from);
   const poll = (id: string) => ({ method: 'GET', path: `/v1/jobs/${id}`, timeoutMs: 5000 }) as const;
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,4 +1,4 @@
-import { isObject, parseTaskKey, type Attempt, type TaskKey, type Token } from '../../src/kernel/index.js';
+import { isObject, parseTaskKey, type Attempt, type TaskKey, type FencingToken } from '../../src/kernel/index.js';
 import { decodeMessage, encodeCommands, encodeReply, type Order, type WorkerMessage } from '../../src/workers/index.js';
 import {
   GangBook,
@@ -68,13 +68,17 @@
   }
 
   /** Delivers the answer to a report; the worker ignores it when its token is lower than one received before. */
-  onReply(helm: Token, orders: readonly Order[]): void {
+  onReply(helm: FencingToken, orders: readonly Order[]): void {
     const body = encodeReply(helm, orders);
     if (isObject(body)) this.model.onReply(body, lab.world.now);
   }
 
   /** Delivers a command and returns the worker's answer. */
-  onCommands(helm: Token, tide: number, orders: readonly Order[]): { status: 200 | 409; message: WorkerMessage } {
+  onCommands(
+    helm: FencingToken,
+    tide: number,
+    orders: readonly Order[],
+  ): { status: 200 | 409; message: WorkerMessage } {
     const body = encodeCommands(helm, tide as WorkerMessage['session'], orders);
     const answer = this.model.serve({ method: 'POST', path: '/commands', body });
     return { status: answer.status === 200 ? 200 : 409, message: this.decoded(answer.body) };
