--- a/packages/region/test/rules.test.ts
+++ b/packages/region/test/rules.test.ts
@@ -151,7 +151,7 @@
 test('went_back: nodes that are asked within milliseconds answer by what they last saw', async () => {
   const day = swarmDay(60, closeLooks);
   assert.deepEqual(await broken(day, nothing), []);
-  const stale: FreshnessChecker['ensure'] = () => Promise.resolve(true);
+  const stale: FreshnessChecker['waitUntilFresh'] = () => Promise.resolve(true);
   const rules = await patched(FreshnessChecker.prototype, 'waitUntilFresh', stale, () => broken(day, nothing));
   assert.deepEqual(rules, ['went_back']);
 });
