--- a/src/carry/index.ts
+++ /dev/null
@@ -1,3 +0,0 @@
-export * from './bound.js';
-export * from './carrier.js';
-export * from './missing.js';
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,1 +1,2 @@
-export { quietWhenUnread } from './streams.js';
+/** Parts of the command line that other bundles share. */
+export { exitOnBrokenPipe } from './broken-pipe.js';
--- a/src/holder/teamneeds.ts
+++ b/src/holder/team-needs.ts
@@ -1,24 +1,25 @@
 import type { JobSpec } from '../jobs/index.js';
 import type { Millis } from '../kernel/index.js';
-import { NO_NEED, plus, times, type Amount, type TeamNeed } from '../quota/index.js';
+import { NO_NEED, add, times, type Amount, type TeamNeed } from '../quota/index.js';
 import type { TeamUse } from '../placement/index.js';
 
-/** A job that has tasks to be started. */
+/** A job with tasks that wait to be started. */
 export interface WaitingJob {
   readonly spec: JobSpec;
-  /** Tasks that are neither done nor possibly on a machine. */
+  /** Number of tasks that are neither done nor possibly on a machine. */
   readonly missing: number;
   readonly waitedMs: Millis;
 }
 
-const unitOf = ({ spec }: WaitingJob): Amount => times(spec, spec.kind === 'gang' ? spec.tasks : 1);
+/** The smallest amount that lets the job start something: one task, or a whole gang. */
+const startUnit = ({ spec }: WaitingJob): Amount => times(spec, spec.kind === 'gang' ? spec.tasks : 1);
 
-/** Does `a` go before `b`? */
-const before = (a: WaitingJob, b: Pick<TeamNeed, 'priority' | 'waitedMs'>): boolean =>
+/** Whether `a` is served before `b`: by priority, then by waiting time. */
+const comesBefore = (a: WaitingJob, b: Pick<TeamNeed, 'priority' | 'waitedMs'>): boolean =>
   a.spec.priority > b.priority || (a.spec.priority === b.priority && a.waitedMs > b.waitedMs);
 
-/** What limited teams use and wait for in a shard. Pure. */
-export function teamNeeds(
+/** Computes what teams with a limit use and wait for in a shard. Pure. */
+export function computeTeamNeeds(
   use: ReadonlyMap<string, TeamUse>,
   waiting: Iterable<WaitingJob>,
 ): ReadonlyMap<string, TeamNeed> {
@@ -29,12 +30,12 @@
     const { team, priority } = job.spec;
     if (!use.has(team) || job.missing <= 0) continue;
     const known = needs.get(team) ?? NO_NEED;
-    const first = known.unit === NO_NEED.unit || before(job, known);
+    const first = known.unit === NO_NEED.unit || comesBefore(job, known);
     needs.set(team, {
       use: known.use,
-      waiting: plus(known.waiting, times(job.spec, job.missing)),
+      waiting: add(known.waiting, times(job.spec, job.missing)),
       ...(first
-        ? { unit: unitOf(job), priority, waitedMs: job.waitedMs }
+        ? { unit: startUnit(job), priority, waitedMs: job.waitedMs }
         : { unit: known.unit, priority: known.priority, waitedMs: known.waitedMs }),
     });
   }
--- /dev/null
+++ b/src/service/shard-router.ts
@@ -0,0 +1,114 @@
+import type { MachineType } from '../cloud/index.js';
+import type { TeamQuota } from '../config/index.js';
+import type { ShardHolder } from '../holder/index.js';
+import type { JobSpec } from '../jobs/index.js';
+import type { Clock, JobId, NodeName, ShardName } from '../kernel/index.js';
+import { chooseMoveTarget, reserveCapacity, chooseShard } from '../leasing/index.js';
+import type { ShardSummary } from '../peers/index.js';
+import { limitOf, type QuotaShares } from '../quota/index.js';
+
+/** Age from which a shard summary is no longer used for routing. */
+const SUMMARY_VALID_MS = 5000;
+
+/** What `ShardRouter` needs from the rest of the node. */
+export interface ShardRouterDeps {
+  readonly self: NodeName;
+  readonly clock: Clock;
+  /** Team limits: which shard keeps a team's account, and whether the limits are divided between all shards. */
+  readonly quotas: Pick<QuotaShares, 'account' | 'returning' | 'routesFreely' | 'startableIn'>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
+  /** The shards that this node holds. */
+  readonly holders: ReadonlyMap<ShardName, ShardHolder>;
+  /** This node's own shard. */
+  readonly ownShard: ShardName;
+  /** The known machine types, by name. */
+  types(): ReadonlyMap<string, MachineType>;
+}
+
+/** Keeps the last summary of every shard, as sent by its holder, and uses the summaries to route jobs to shards. */
+export class ShardRouter {
+  private readonly summaries = new Map<ShardName, { summary: ShardSummary; at: number }>();
+
+  constructor(private readonly deps: ShardRouterDeps) {}
+
+  /** Stores a summary with its time of arrival. */
+  recordSummary(summary: ShardSummary): void {
+    this.summaries.set(summary.shard, { summary, at: this.deps.clock.now() });
+  }
+
+  /** Discards the summary of a shard. */
+  forgetSummary(shard: ShardName): void {
+    this.summaries.delete(shard);
+  }
+
+  /** The last summary of a shard, of any age. */
+  lastSummary(shard: ShardName): ShardSummary | undefined {
+    return this.summaries.get(shard)?.summary;
+  }
+
+  /** The summaries that are recent enough for routing. */
+  get currentSummaries(): ShardSummary[] {
+    const now = this.deps.clock.now();
+    const summaries: ShardSummary[] = [];
+    for (const { summary, at } of this.summaries.values()) if (now - at < SUMMARY_VALID_MS) summaries.push(summary);
+    return summaries;
+  }
+
+  /**
+   * Chooses the shard of a new job; null if none is known. A job that is `waiting` for others reserves no capacity yet.
+   */
+  chooseShardFor(spec: JobSpec, waiting = false): ShardName | null {
+    // Unless limits are divided into shares, one shard keeps the whole account of a team with a limit.
+    if (this.mustFollowAccount(spec)) return this.deps.quotas.account(spec.team);
+    const { holders, ownShard } = this.deps;
+    const localShard = holders.has(ownShard) ? ownShard : ([...holders.keys()][0] ?? null);
+    const { quotas } = this.deps;
+    const limited = limitOf(this.deps.teams.get(spec.team)) !== null;
+    const allowedIn = limited ? (shard: ShardName): number => quotas.startableIn(spec.team, shard, spec) : undefined;
+    const chosen = chooseShard(spec, this.currentSummaries, this.deps.types(), localShard, allowedIn);
+    return waiting ? chosen : this.reserve(chosen, spec);
+  }
+
+  /** Another shard with capacity for `count` waiting tasks of a job now, or null. */
+  findOtherShard(from: ShardName, spec: JobSpec, count: number): ShardName | null {
+    if (this.mustFollowAccount(spec)) {
+      if (!this.deps.quotas.returning) return null;
+      // Jobs that were routed elsewhere while limits were divided return to the shard that keeps the account.
+      const account = this.deps.quotas.account(spec.team);
+      return account === from ? null : account;
+    }
+    const { currentSummaries: summaries } = this;
+    const candidates = summaries.filter(
+      (s) => s.shard !== from && !(this.deps.holders.has(s.shard) && s.holder !== this.deps.self),
+    );
+    const fromSummary = summaries.find((s) => s.shard === from);
+    return this.reserve(chooseMoveTarget(spec, count, fromSummary, candidates, this.deps.types()), spec);
+  }
+
+  /** Numbers of running and done tasks of a job, as far as this node knows. */
+  progressOf(id: JobId): { running: number; done: number } {
+    for (const holder of this.deps.holders.values()) {
+      const progress = holder.progressOf(id);
+      if (progress) return progress;
+    }
+    for (const { summary } of this.summaries.values()) {
+      const reported = summary.running.find((r) => r.job === id);
+      if (reported) return { running: reported.running, done: reported.done };
+    }
+    return { running: 0, done: 0 };
+  }
+
+  /** Whether a job must be in the shard that keeps its team's account. */
+  private mustFollowAccount({ team }: JobSpec): boolean {
+    return limitOf(this.deps.teams.get(team)) !== null && !this.deps.quotas.routesFreely;
+  }
+
+  /**
+   * Subtracts a routed job's capacity from the shard's summary, so that the next job sees it before the holder reports.
+   */
+  private reserve(shard: ShardName | null, spec: JobSpec): ShardName | null {
+    const entry = shard === null ? undefined : this.summaries.get(shard);
+    if (shard !== null && entry) this.summaries.set(shard, { ...entry, summary: reserveCapacity(spec, entry.summary) });
+    return shard;
+  }
+}
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -1,12 +1,13 @@
 import type { SettingsStore } from '../admin/index.js';
-import type { Carrier } from '../carry/index.js';
+import type { CancellationPropagator } from '../cancellation/index.js';
 import type { Incarnation, NodeName } from '../kernel/index.js';
 import type { Membership } from '../membership/index.js';
-import type { PeerLink } from '../peers/index.js';
-import type { Steward } from '../pipelines/index.js';
+import type { PeerTransport } from '../peers/index.js';
+import type { DependencyTracker } from '../pipelines/index.js';
 import type { Mirror, StateClient } from '../state/index.js';
-import type { ShardOwnership } from './ownership.js';
+import type { ShardOwnership } from './shard-ownership.js';
 
+/** The parts of a node that its status is read from. */
 export interface StatusDeps {
   readonly node: NodeName;
   readonly incarnation: Incarnation;
@@ -14,22 +15,28 @@
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly settingsStore: SettingsStore;
-  readonly steward: Steward;
-  readonly carrier: Carrier;
+  readonly steward: DependencyTracker;
+  readonly cancellationPropagator: CancellationPropagator;
   readonly ownership: ShardOwnership;
-  readonly peers: PeerLink;
+  readonly peers: PeerTransport;
 }
 
-/** What `admin status` shows of a node. */
+/** The status of a node as shown by `admin status`. */
 export function nodeStatus({ node, incarnation, membership, state, settingsStore, ...deps }: StatusDeps): unknown {
-  const { mirror, steward, carrier, ownership, peers } = deps;
+  const { mirror, steward, cancellationPropagator, ownership, peers } = deps;
   return {
-    ...{ node, incarnation, leader: membership.leader, leading: membership.leading, stateAvailable: state.available },
+    ...{
+      node,
+      incarnation,
+      leader: membership.leader,
+      leading: membership.leaderTerm,
+      stateAvailable: state.available,
+    },
     ...{ watch: mirror.lag, held: ownership.held },
     settingsRevision: settingsStore.revision,
     stateLimits: { fallen: state.limits.fallen, writeRps: state.limits.writeRps },
     pipelines: steward.counts,
-    ...{ cancellations: carrier.status, heldBack: ownership.heldBack, peers: peers.traffic },
+    ...{ cancellations: cancellationPropagator.status, heldBack: ownership.heldBack, peers: peers.traffic },
     shards: [...ownership.holders.values()].map((holder) => holder.summary()),
   };
 }
--- /dev/null
+++ b/test/team-use.test.ts
@@ -0,0 +1,102 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { computeTeamUse } from '../src/holder/index.js';
+import {
+  attempt,
+  jobId,
+  machineId,
+  millis,
+  revision,
+  sequence,
+  session,
+  taskKey,
+  type JobId,
+  type TaskKey,
+} from '../src/kernel/index.js';
+import { WorkerTracker, fencingTokenOf, type ListedTask } from '../src/workers/index.js';
+import { planPlacement } from '../src/placement/index.js';
+import { spec } from './standins/jobs.js';
+
+const TEAMS = new Map([
+  ['tight', { cpus: 0, cpusMax: 4, gpus: 0, gpusMax: 0 }],
+  ['free', { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }],
+]);
+const SPECS = new Map([
+  [jobId('j-tight'), spec({ id: 'j-tight', team: 'tight', cpus: 1, tasks: 8 })],
+  [jobId('j-free'), spec({ id: 'j-free', team: 'free', cpus: 1 })],
+]);
+const specOf = (id: JobId) => SPECS.get(id) ?? null;
+
+/** The belief about a machine whose worker has acknowledged the current holder's token and lists these tasks. */
+function beliefListing(...tasks: readonly [string, number, ListedTask['state']][]): WorkerTracker {
+  const belief = new WorkerTracker(revision(7), millis(0));
+  const message = {
+    ...{ machine: machineId('m'), type: 's', zone: 'z', spot: false, address: '', noticeS: null },
+    ...{ session: session(1), sequence: sequence(1), token: fencingTokenOf(revision(7), 0) },
+    tasks: tasks.map(([job, index, state]) => ({
+      ...{ key: taskKey(jobId(job), index), job: jobId(job), index, attempt: attempt(1), state },
+      ...{ why: null, saved: false },
+    })),
+  };
+  assert.equal(belief.applyReport(message, millis(1)), 'taken');
+  return belief;
+}
+
+const onMachine = (belief: WorkerTracker) => ({ belief, active: new Map<TaskKey, unknown>() });
+
+test('a planned task counts before its command is sent, and is not counted twice afterwards', () => {
+  const belief = beliefListing(['j-tight', 0, 'running']);
+  const key = taskKey(jobId('j-tight'), 1);
+  const machine = { belief, active: new Map([[key, 'planned']]) };
+  assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
+  belief.recordStart(key, attempt(2));
+  assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
+});
+
+/** How many of eight tasks of the limited team a plan starts on a machine that has capacity for all of them. */
+function countStarts(...beliefs: WorkerTracker[]): number {
+  const { use } = computeTeamUse(TEAMS, beliefs.map(onMachine), specOf);
+  const of = SPECS.get(jobId('j-tight'));
+  assert.ok(of);
+  const machine = {
+    ...{ id: machineId('room'), type: 's', zone: 'z', spot: false, cpus: 16, gpus: 0, memoryGb: 64 },
+    ...{ freeCpus: 16, freeGpus: 0, freeMemoryGb: 64, usable: true, images: [], fetchGbPerS: 1, fetching: 0 },
+    ...{ cpuPrice: 1, suspicion: 0, running: [] },
+  };
+  const job = {
+    ...{
+      spec: of,
+      ready: [0, 1, 2, 3, 4, 5, 6, 7],
+      zoneUse: new Map(),
+      machineUse: new Map(),
+      avoid: new Set<never>(),
+    },
+    ...{ slackS: 100, lastSlackS: 100, aimed: false, workS: 10, suspect: false },
+  };
+  const input = { machines: [machine], pending: [job], teams: use, maxStarts: 100, reserve: null };
+  return planPlacement(input).starts.length;
+}
+
+test('tasks that may be on a machine count against a team limit; exited tasks and other teams do not', () => {
+  const belief = beliefListing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
+  belief.recordStart(taskKey(jobId('j-tight'), 2), attempt(2));
+  const { use, unknown } = computeTeamUse(TEAMS, [onMachine(belief)], specOf);
+  assert.deepEqual([...use], [['tight', { cpus: 2, gpus: 0, cpusMax: 4, gpusMax: 0 }]]);
+  assert.equal(unknown, 0);
+  assert.equal(countStarts(belief), 2);
+  assert.equal(countStarts(beliefListing()), 4);
+});
+
+test('teams with a limit start nothing while a task of an unknown job, of any team and size, may be running', () => {
+  // The job was cancelled before the claim. The worker acknowledged the new token but hung before executing the stop.
+  const stuck = beliefListing(['j-cancelled', 0, 'running']);
+  assert.equal(countStarts(stuck), 0);
+  assert.equal(countStarts(beliefListing(), stuck), 0);
+  const pending = beliefListing();
+  pending.recordStart(taskKey(jobId('j-cancelled'), 0), attempt(3));
+  assert.equal(countStarts(pending), 0);
+  assert.equal(countStarts(beliefListing(['j-cancelled', 0, 'exited'])), 4);
+  // Its lease has expired, so no task is on the machine.
+  stuck.expireLease();
+  assert.equal(countStarts(stuck), 4);
+});
