--- a/packages/region/src/models/balancer.ts
+++ b/packages/region/src/models/balancer.ts
@@ -7,134 +7,158 @@
   type Timer,
 } from '../../../../src/kernel/index.js';
 
-const PROBE_EVERY_MS = 1000;
+/** Interval and timeout of the health probes. */
+const PROBE_INTERVAL_MS = 1000;
 const PROBE_TIMEOUT_MS = 1000;
-const ACCEPT_WITHIN_MS = 500;
-const FIRST_PAUSE_MS = 3000;
-const LONGEST_PAUSE_MS = 60_000;
-const REMEMBERS_MS = 120_000;
-const RAMP_MS = 10_000;
-const RESET_AFTER_MS = 5000;
-const SKIP_MS = 3000;
-const TRIES = 3;
-
+/** A connection that is not accepted within this time counts as refused. */
+const ACCEPT_TIMEOUT_MS = 500;
+/** Bounds of the time for which an unhealthy node stays removed; it doubles with each further removal within the window. */
+const MIN_REMOVAL_MS = 3000;
+const MAX_REMOVAL_MS = 60_000;
+const REMOVAL_BACKOFF_WINDOW_MS = 120_000;
+/** A node that has returned gets its full share of new connections only after this time. */
+const SLOW_START_MS = 10_000;
+/** Open connections to a node that became unhealthy are closed after this delay, if it still is. */
+const CONNECTION_CLOSE_DELAY_MS = 5000;
+/** A node that refuses several connections in a row gets no new ones for this time. */
+const REFUSAL_COOLDOWN_MS = 3000;
+/** Number of nodes that one request tries to connect to. */
+const MAX_CONNECT_ATTEMPTS = 3;
+
+/** One controller node as the balancer sees it. Times in milliseconds of the balancer's clock. */
 class Backend {
   healthy = false;
   everHealthy = false;
+  /** Start of the slow start. */
   healthySince = 0;
   removedAt = Number.NEGATIVE_INFINITY;
-  pauseMs = FIRST_PAUSE_MS;
-  skippedUntil = Number.NEGATIVE_INFINITY;
-  refusals = 0;
-  readonly last: boolean[] = [];
+  /** How long the node stays removed after it became unhealthy. */
+  removalMs = MIN_REMOVAL_MS;
+  /** The node gets no new connections before this time. */
+  excludedUntil = Number.NEGATIVE_INFINITY;
+  /** Refused or timed-out connections since the last answered request. */
+  consecutiveRefusals = 0;
+  /** Results of the last probes, at most six, oldest first; cleared when the node becomes healthy. */
+  readonly recentProbes: boolean[] = [];
   readonly sessions = new Set<UserSession>();
-  probing = false;
+  probeInFlight = false;
 
   constructor(
-    readonly at: Endpoint,
+    readonly endpoint: Endpoint,
     readonly client: HttpClient,
   ) {}
 
-  /** What a probe found. Returns true when the node has just become unhealthy. */
-  probed(ok: boolean, now: number): boolean {
-    this.last.push(ok);
-    if (this.last.length > 6) this.last.shift();
-    const [before, latest] = this.last.slice(-2);
+  /**
+   * Records the result of a probe. Two failures in a row, or three of the last six, remove the node; it returns after
+   * two successes in a row once its removal time has passed. Its very first success suffices. Returns true when the
+   * node has just become unhealthy.
+   */
+  recordProbe(healthy: boolean, now: number): boolean {
+    this.recentProbes.push(healthy);
+    if (this.recentProbes.length > 6) this.recentProbes.shift();
+    const [previous, latest] = this.recentProbes.slice(-2);
     if (this.healthy) {
-      const failures = this.last.filter((good) => !good).length;
-      const twice = this.last.length >= 2 && before === false && latest === false;
-      if (!twice && failures < 3) return false;
+      const failures = this.recentProbes.filter((good) => !good).length;
+      const failedTwiceInARow = this.recentProbes.length >= 2 && previous === false && latest === false;
+      if (!failedTwiceInARow && failures < 3) return false;
       this.healthy = false;
-      // Each further removal within two minutes doubles the pause.
-      const again = now - this.removedAt < REMEMBERS_MS;
-      this.pauseMs = again ? Math.min(LONGEST_PAUSE_MS, this.pauseMs * 2) : FIRST_PAUSE_MS;
+      // Each further removal within the window doubles the time for which the node stays removed.
+      const removedRecently = now - this.removedAt < REMOVAL_BACKOFF_WINDOW_MS;
+      this.removalMs = removedRecently ? Math.min(MAX_REMOVAL_MS, this.removalMs * 2) : MIN_REMOVAL_MS;
       this.removedAt = now;
       return true;
     }
-    const enough = this.everHealthy ? before === true && latest === true && now - this.removedAt >= this.pauseMs : ok;
-    if (enough) {
+    const mayReturn = this.everHealthy
+      ? previous === true && latest === true && now - this.removedAt >= this.removalMs
+      : healthy;
+    if (mayReturn) {
       this.healthy = true;
-      this.healthySince = this.everHealthy ? now : now - RAMP_MS;
+      this.healthySince = this.everHealthy ? now : now - SLOW_START_MS;
       this.everHealthy = true;
-      this.last.length = 0;
+      this.recentProbes.length = 0;
     }
     return false;
   }
 
-  share(now: number): number {
-    return Math.min(1, Math.max(0.1, (now - this.healthySince) / RAMP_MS));
+  /** The node's weight for new connections: from 0.1 up to 1 during the slow start. */
+  slowStartWeight(now: number): number {
+    return Math.min(1, Math.max(0.1, (now - this.healthySince) / SLOW_START_MS));
   }
 }
 
 /**
- * The load balancer, which works at the connection level: it gives each new connection to a healthy
- * node with few open ones, and knows a node's health from its own probes.
+ * A simulated load balancer that works at the connection level: it assigns each new connection to the healthy node with
+ * the fewest open connections, and determines the health of the nodes by its own probes of `/healthz`.
  */
 export class Balancer {
   private readonly backends: readonly Backend[];
-  private readonly patient: Runtime;
+  /** The runtime of user connections, with a timeout for establishing them. */
+  private readonly sessionRuntime: Runtime;
 
   constructor(
     private readonly runtime: Runtime,
     nodes: readonly Endpoint[],
   ) {
     this.backends = nodes.map((at) => new Backend(at, new HttpClient(at, 1, runtime)));
-    this.patient = connectsWithin(runtime, ACCEPT_WITHIN_MS);
+    this.sessionRuntime = withConnectTimeout(runtime, ACCEPT_TIMEOUT_MS);
   }
 
+  /** Starts to probe the nodes; cancelling the timer ends it. */
   start(): Timer {
     for (const backend of this.backends) void this.probe(backend);
-    return this.runtime.every(PROBE_EVERY_MS, () => {
+    return this.runtime.every(PROBE_INTERVAL_MS, () => {
       for (const backend of this.backends) void this.probe(backend);
     });
   }
 
+  /** Number of nodes that get new connections. */
   get healthyCount(): number {
     return this.backends.filter((backend) => backend.healthy).length;
   }
 
-  session(): UserSession {
-    return new UserSession(this, this.patient);
+  /** Creates a user's session; it connects with its first request. */
+  openSession(): UserSession {
+    return new UserSession(this, this.sessionRuntime);
   }
 
   private async probe(backend: Backend): Promise<void> {
-    if (backend.probing) return;
-    backend.probing = true;
+    if (backend.probeInFlight) return;
+    backend.probeInFlight = true;
     const answer = await backend.client.call({ method: 'GET', path: '/healthz', timeoutMs: PROBE_TIMEOUT_MS });
-    backend.probing = false;
-    const ok = answer.kind === 'answered' && answer.status === 200;
-    if (!backend.probed(ok, this.runtime.now())) return;
-    this.runtime.after(RESET_AFTER_MS, () => {
+    backend.probeInFlight = false;
+    const healthy = answer.kind === 'answered' && answer.status === 200;
+    if (!backend.recordProbe(healthy, this.runtime.now())) return;
+    this.runtime.after(CONNECTION_CLOSE_DELAY_MS, () => {
       if (!backend.healthy) for (const session of [...backend.sessions]) session.close();
     });
   }
 
-  /** The healthy node with the fewest open connections for its share; null when there is none. */
-  pick(except: ReadonlySet<Backend>): Backend | null {
+  /** Returns the healthy node with the fewest open connections relative to its weight; null when there is none. */
+  pickBackend(excluded: ReadonlySet<Backend>): Backend | null {
     const now = this.runtime.now();
     let best: Backend | null = null;
-    let least = Number.POSITIVE_INFINITY;
+    let lowestLoad = Number.POSITIVE_INFINITY;
     for (const backend of this.backends) {
-      if (!backend.healthy || except.has(backend) || now < backend.skippedUntil) continue;
-      const load = (backend.sessions.size + 1) / backend.share(now);
-      if (load < least) [best, least] = [backend, load];
+      if (!backend.healthy || excluded.has(backend) || now < backend.excludedUntil) continue;
+      const load = (backend.sessions.size + 1) / backend.slowStartWeight(now);
+      if (load < lowestLoad) [best, lowestLoad] = [backend, load];
     }
     return best;
   }
 
-  /** A connection to it was refused, or not accepted in time. */
-  refused(backend: Backend): void {
-    backend.refusals += 1;
-    if (backend.refusals >= 3) backend.skippedUntil = this.runtime.now() + SKIP_MS;
+  /** Records that a connection to the node was refused, or not accepted in time. */
+  recordRefusal(backend: Backend): void {
+    backend.consecutiveRefusals += 1;
+    if (backend.consecutiveRefusals >= 3) backend.excludedUntil = this.runtime.now() + REFUSAL_COOLDOWN_MS;
   }
 }
 
-/** A runtime whose connections fail when they don't stand within so long. */
-function connectsWithin(runtime: Runtime, ms: number): Runtime {
+/** Returns a runtime whose connections fail with `ENOTACCEPTED` when they are not established within the timeout. */
+function withConnectTimeout(runtime: Runtime, timeoutMs: number): Runtime {
   return Object.assign(Object.create(runtime) as Runtime, {
     connect: (to: Endpoint) => {
       const socket = runtime.connect(to);
-      const timer = runtime.after(ms, () => socket.destroy(new Error('ENOTACCEPTED')));
+      const timer = runtime.after(timeoutMs, () => socket.destroy(new Error('ENOTACCEPTED')));
       socket.once('connect', () => timer.cancel());
       socket.once('close', () => timer.cancel());
       return socket;
@@ -142,50 +166,51 @@
   });
 }
 
-/** One user's connection, through the balancer; opened anew where it breaks. */
+/** One user's connection through the balancer; after a failure the next request opens a new one. */
 export class UserSession {
-  private open: { readonly backend: Backend; readonly client: HttpClient } | undefined;
+  private connection: { readonly backend: Backend; readonly client: HttpClient } | undefined;
 
   constructor(
     private readonly balancer: Balancer,
     private readonly runtime: Runtime,
   ) {}
 
+  /** Sends a request; when the connection is refused, it tries further nodes. */
   async call(call: Call): Promise<Answer> {
     const tried = new Set<Backend>();
     for (;;) {
-      const open = this.open ?? this.reach(tried);
-      if (!open) return { kind: 'failed', reason: 'no healthy node' };
-      const answer = await open.client.call(call);
+      const connection = this.connection ?? this.connect(tried);
+      if (!connection) return { kind: 'failed', reason: 'no healthy node' };
+      const answer = await connection.client.call(call);
       if (answer.kind === 'answered') {
-        open.backend.refusals = 0;
+        connection.backend.consecutiveRefusals = 0;
         return answer;
       }
-      this.leave(open);
+      this.disconnect(connection);
       const refused = /ECONNREFUSED|ENOTACCEPTED/.test(answer.reason);
-      if (refused) this.balancer.refused(open.backend);
-      tried.add(open.backend);
-      // Only a connection that never stood is moved on to another node.
-      if (!refused || tried.size >= TRIES) return answer;
+      if (refused) this.balancer.recordRefusal(connection.backend);
+      tried.add(connection.backend);
+      // Only a connection that was never established is retried on another node: the request was not sent.
+      if (!refused || tried.size >= MAX_CONNECT_ATTEMPTS) return answer;
     }
   }
 
-  /** Its connection is broken, by the balancer or by the user who is through. */
+  /** Closes the connection: the balancer does so for an unhealthy node, the user at the end of the session. */
   close(): void {
-    if (this.open) this.leave(this.open);
+    if (this.connection) this.disconnect(this.connection);
   }
 
-  private reach(tried: ReadonlySet<Backend>): { backend: Backend; client: HttpClient } | undefined {
-    const backend = this.balancer.pick(tried);
+  private connect(tried: ReadonlySet<Backend>): { backend: Backend; client: HttpClient } | undefined {
+    const backend = this.balancer.pickBackend(tried);
     if (!backend) return undefined;
-    this.open = { backend, client: new HttpClient(backend.at, 1, this.runtime) };
+    this.connection = { backend, client: new HttpClient(backend.endpoint, 1, this.runtime) };
     backend.sessions.add(this);
-    return this.open;
+    return this.connection;
   }
 
-  private leave(open: { readonly backend: Backend; readonly client: HttpClient }): void {
-    open.backend.sessions.delete(this);
-    open.client.close();
-    if (this.open === open) this.open = undefined;
+  private disconnect(connection: { readonly backend: Backend; readonly client: HttpClient }): void {
+    connection.backend.sessions.delete(this);
+    connection.client.close();
+    if (this.connection === connection) this.connection = undefined;
   }
 }
--- a/packages/region/src/models/close.ts
+++ b/packages/region/src/models/close.ts
@@ -4,103 +4,118 @@
 import type { JobTruth, Submission } from './jobs.js';
 import type { UserView, UserWitness } from './witness.js';
 
-export interface CloseDeps {
+/** What {@link AdversarialUsers} depends on. */
+export interface AdversarialUserDeps {
   readonly runtime: Runtime;
   readonly luck: Luck;
-  /** The controllers themselves, without the balancer. */
+  /** The user-facing endpoints of the controllers, which bypass the balancer. */
   readonly nodes: readonly Endpoint[];
   readonly checker: UserWitness;
-  /** Jobs that users have had accepted, in that order. */
+  /** Accepted jobs, in the order of their acceptance. */
   readonly accepted: readonly UserView[];
-  /** A description such as users send; nobody uploads it. */
-  readonly draft: () => Submission;
-  readonly submitAgain: (view: UserView) => void;
+  /** Draws a job description as users send it; it is not registered as a job. */
+  readonly drawSubmission: () => Submission;
+  /** Submits a job once more through the balancer. */
+  readonly resubmit: (view: UserView) => void;
+  /** Cancels a job through the balancer. */
   readonly cancel: (view: UserView) => void;
 }
 
-/** What users close to a job do besides: off until a trouble switches them on. */
-export interface CloseHabits {
+/** Which additional requests are sent; off until an injected fault switches them on. */
+export interface AdversarialBehavior {
+  /** Asks all nodes about a job, and submits it again, as soon as one node reports it accepted or ended. */
   looks: boolean;
+  /** Sends repeated submissions, cancellations of completed jobs and invalid submissions. */
   odd: boolean;
-  /** Of the jobs that end, this share is cancelled at that moment. */
+  /** Share of the jobs that are cancelled at the moment at which their last task completes. */
   cancelsAtEnd: number;
 }
 
-const SUBMIT_MS = 5000;
-const POLL_MS = 2000;
-const LOOK_ROUNDS = 3;
-const LOOKS_WITHIN_MS = 60;
-const ODD_EVERY_MS = 700;
-const CANCELS_AT_ONCE = 0.15;
-const RECENT = 60;
-const LONG_S = 20;
-const MAY_BE_NULL = new Set(['hulls', 'berth', 'due_s', 'awaits']);
+const SUBMIT_TIMEOUT_MS = 5000;
+const POLL_TIMEOUT_MS = 2000;
+/** How often each node is asked about a job, and within which time. */
+const QUERY_ROUNDS = 3;
+const QUERY_WINDOW_MS = 60;
+const UNUSUAL_REQUEST_INTERVAL_MS = 700;
+/** Share of the accepted jobs that are cancelled within the query window. */
+const IMMEDIATE_CANCEL_SHARE = 0.15;
+/** Unusual requests concern the last accepted jobs, at most this number. */
+const MAX_RECENT_JOBS = 60;
+/** Only jobs whose tasks run longer are cancelled while they run. */
+const MIN_RUN_S = 20;
+/** Fields of a submission that may be missing: without them a submission is valid. */
+const NULLABLE_FIELDS = new Set(['hulls', 'berth', 'due_s', 'awaits']);
 
-/** Users that ask all nodes at once, repeat themselves at the worst moment, and send what can't be taken. */
-export class CloseUsers {
-  readonly habits: CloseHabits = { looks: false, odd: false, cancelsAtEnd: 0 };
-  private ended = false;
+/**
+ * Users that provoke races and errors: they ask all nodes at the same time, repeat requests at the worst moment, and
+ * send invalid submissions. Most of their requests bypass the balancer.
+ */
+export class AdversarialUsers {
+  readonly habits: AdversarialBehavior = { looks: false, odd: false, cancelsAtEnd: 0 };
+  private stopped = false;
 
-  constructor(private readonly deps: CloseDeps) {}
+  constructor(private readonly deps: AdversarialUserDeps) {}
 
+  /** Starts the unusual requests; they are sent while the behavior is switched on. */
   start(): void {
-    this.deps.runtime.every(ODD_EVERY_MS, () => {
-      if (this.habits.odd && !this.ended) this.oddRequest();
+    this.deps.runtime.every(UNUSUAL_REQUEST_INTERVAL_MS, () => {
+      if (this.habits.odd && !this.stopped) this.sendUnusualRequest();
     });
   }
 
+  /** Sends no further requests. */
   stop(): void {
-    this.ended = true;
+    this.stopped = true;
   }
 
-  /** A job was accepted, or called done or cancelled, by some node. */
-  told(view: UserView, what: 'accepted' | 'over'): void {
+  /** A node has reported that a job is accepted, or that it is done or cancelled (`over`). */
+  onJobReported(view: UserView, event: 'accepted' | 'over'): void {
     const { runtime, luck, nodes, checker } = this.deps;
-    if (!this.habits.looks || this.ended) return;
+    if (!this.habits.looks || this.stopped) return;
     const { spec } = view.job;
-    for (let round = 0; round < LOOK_ROUNDS; round++) {
-      for (const node of nodes) runtime.after(luck.between(0, LOOKS_WITHIN_MS), () => void this.ask(node, view));
+    for (let round = 0; round < QUERY_ROUNDS; round++) {
+      for (const node of nodes) runtime.after(luck.between(0, QUERY_WINDOW_MS), () => void this.pollJob(node, view));
     }
-    const again = luck.pick(nodes);
-    if (again)
-      runtime.after(luck.between(0, LOOKS_WITHIN_MS), () => {
-        const asked = checker.asks(spec.ref);
-        void this.directly(again, 'POST', '/v1/jobs', SUBMIT_MS, spec).then((answer) => {
-          if (answer.kind === 'answered') checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), asked);
+    const target = luck.pick(nodes);
+    if (target)
+      runtime.after(luck.between(0, QUERY_WINDOW_MS), () => {
+        const known = checker.asks(spec.ref);
+        void this.callNode(target, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) => {
+          if (answer.kind === 'answered') checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), known);
         });
       });
-    if (what === 'accepted' && luck.chance(CANCELS_AT_ONCE))
-      runtime.after(luck.between(0, LOOKS_WITHIN_MS), () => this.deps.cancel(view));
+    if (event === 'accepted' && luck.chance(IMMEDIATE_CANCEL_SHARE))
+      runtime.after(luck.between(0, QUERY_WINDOW_MS), () => this.deps.cancel(view));
   }
 
-  /** Its last task has just completed. */
+  /** Handles that the last task of a job has just completed. */
   completed(job: JobTruth): void {
     if (!this.deps.luck.chance(this.habits.cancelsAtEnd)) return;
     const view = this.deps.accepted.find((candidate) => candidate.job === job);
     if (view) this.deps.cancel(view);
   }
 
-  /** Jobs that run and have long to go, all cancelled within a fifth of a second; which they were. */
+  /** Cancels up to `count` running jobs with long tasks, all within 200 ms, and returns them. */
   cancelNow(count: number, running: (job: JobTruth) => boolean): UserView[] {
     const { runtime, luck, accepted } = this.deps;
-    const open = accepted.filter(
+    const openJobs = accepted.filter(
       ({ job, toldDone, toldCancelled, cancelAskedAt }) =>
-        !toldDone && !toldCancelled && cancelAskedAt === null && job.runS(0) > LONG_S && running(job),
+        !toldDone && !toldCancelled && cancelAskedAt === null && job.runS(0) > MIN_RUN_S && running(job),
     );
-    const chosen = luck.some(open, count);
+    const chosen = luck.some(openJobs, count);
     for (const view of chosen) runtime.after(luck.between(0, 200), () => this.deps.cancel(view));
     return chosen;
   }
 
-  private async ask(node: Endpoint, view: UserView): Promise<void> {
+  private async pollJob(node: Endpoint, view: UserView): Promise<void> {
     const { checker } = this.deps;
     const { ref } = view.job.spec;
-    const asked = checker.asks(ref);
-    const answer = await this.directly(node, 'GET', `/v1/jobs/${ref}`, POLL_MS);
-    checker.polled(ref, statusOf(answer), phaseOf(answer), asked);
+    const known = checker.asks(ref);
+    const answer = await this.callNode(node, 'GET', `/v1/jobs/${ref}`, POLL_TIMEOUT_MS);
+    checker.polled(ref, statusOf(answer), phaseOf(answer), known);
   }
 
-  private async directly(
+  private async callNode(
     node: Endpoint,
     method: Call['method'],
     path: string,
@@ -113,46 +128,46 @@
     return answer;
   }
 
-  private oddRequest(): void {
-    const { luck, accepted, checker, nodes, submitAgain } = this.deps;
-    const recent = accepted.slice(-RECENT);
+  private sendUnusualRequest(): void {
+    const { luck, accepted, checker, nodes, resubmit: submitAgain } = this.deps;
+    const recent = accepted.slice(-MAX_RECENT_JOBS);
     const node = luck.pick(nodes);
     if (!node) return;
     switch (luck.whole(4)) {
       case 0: {
-        const open = luck.pick(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
-        if (open) submitAgain(open);
+        const openJob = luck.pick(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
+        if (openJob) submitAgain(openJob);
         return;
       }
       case 1: {
-        const done = luck.pick(recent.filter(({ toldDone }) => toldDone));
-        if (!done) return;
-        const { ref } = done.job.spec;
-        const asked = checker.asks(ref);
-        void this.directly(node, 'POST', `/v1/jobs/${ref}/cancel`, SUBMIT_MS, {}).then((answer) => {
-          if (answer.kind === 'answered') checker.cancelAnswered(ref, answer.status, phaseOf(answer), asked);
+        const doneJob = luck.pick(recent.filter(({ toldDone }) => toldDone));
+        if (!doneJob) return;
+        const { ref } = doneJob.job.spec;
+        const known = checker.asks(ref);
+        void this.callNode(node, 'POST', `/v1/jobs/${ref}/cancel`, SUBMIT_TIMEOUT_MS, {}).then((answer) => {
+          if (answer.kind === 'answered') checker.cancelAnswered(ref, answer.status, phaseOf(answer), known);
         });
         return;
       }
       case 2: {
-        const spec = this.deps.draft();
+        const spec = this.deps.drawSubmission();
         const impossible = luck.pick<Partial<Submission>>([
           { vcpus: 100_000 },
           { ram_gb: 1_000_000 },
           { hulls: ['no-such-type'] },
           { owner: 'no-such-team' },
         ]);
-        void this.directly(node, 'POST', '/v1/jobs', SUBMIT_MS, { ...spec, ...impossible }).then((answer) =>
-          checker.oddAnswered(`${spec.ref} that can never run`, 422, statusOf(answer)),
+        void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, { ...spec, ...impossible }).then((answer) =>
+          checker.oddAnswered(`a submission that can never run (${spec.ref})`, 422, statusOf(answer)),
         );
         return;
       }
       default: {
-        const whole = Object.entries(this.deps.draft());
-        const field = luck.pick(whole.map(([name]) => name).filter((name) => !MAY_BE_NULL.has(name)));
-        const spec = Object.fromEntries(whole.filter(([name]) => name !== field));
-        void this.directly(node, 'POST', '/v1/jobs', SUBMIT_MS, spec).then((answer) =>
-          checker.oddAnswered(`one without ${field ?? ''}`, 400, statusOf(answer)),
+        const entries = Object.entries(this.deps.drawSubmission());
+        const field = luck.pick(entries.map(([name]) => name).filter((name) => !NULLABLE_FIELDS.has(name)));
+        const spec = Object.fromEntries(entries.filter(([name]) => name !== field));
+        void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) =>
+          checker.oddAnswered(`a submission without ${field ?? ''}`, 400, statusOf(answer)),
         );
       }
     }
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -10,44 +10,54 @@
 } from '../../../../src/kernel/index.js';
 import type { Luck } from '../sim/index.js';
 import type { Script, ScriptedMachine } from './script.js';
-import { Allowance, serveJson, type Answer, type Request } from './serve.js';
+import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './serve.js';
 
+/** A machine type of the simulated cloud. */
 export interface TypeFacts {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Per hour. */
+  /** On-demand price per hour. */
   readonly price: number;
+  /** Nominal spot price per hour, around which the spot price moves. */
   readonly spotPrice: number;
+  /** Size of the image cache. */
   readonly cacheGb: number;
   readonly fetchGbPerS: number;
+  /** Usual boot time. */
   readonly bootS: number;
-  /** The share that never comes up. */
+  /** Share of the machines that never finish booting. */
   readonly bootFail: number;
 }
 
-export interface CapacityFacts {
+/** How many machines of a type a zone has at most, on demand (`ordinary`) and as spot. */
+export interface ZoneCapacity {
   readonly type: string;
   readonly zone: string;
   readonly ordinary: number;
   readonly spot: number;
 }
 
-export interface CloudFacts {
+/** Limits, delays and capacity of the simulated cloud. */
+export interface CloudConfig {
+  /** Requests per second. */
   readonly rps: number;
   readonly latencyMs: number;
+  /** Usual age of the machine list. */
   readonly listLagS: number;
   readonly types: readonly TypeFacts[];
-  readonly capacity: readonly CapacityFacts[];
+  readonly capacity: readonly ZoneCapacity[];
+  /** Reclaims per spot machine and hour, the nominal notice, and the share of reclaims without notice. */
   readonly spot: { readonly perHour: number; readonly noticeS: number; readonly silentShare: number };
-  /** Instead of luck. */
+  /** Determines the course of each machine instead of random draws. */
   readonly script?: Script['machine'];
 }
 
-export type MachineFate = 'starting' | 'running' | 'failed' | 'gone';
+/** State of a machine as it really is: `failed` stopped by itself, `gone` was returned or reclaimed. */
+export type MachineState = 'starting' | 'running' | 'failed' | 'gone';
 
-/** A rented machine as it truly is. Times in milliseconds of the cloud's steady clock. */
+/** A rented machine in its real state, which the API may show late. Times in milliseconds of the cloud's monotonic clock. */
 export interface Machine {
   readonly id: string;
   readonly type: TypeFacts;
@@ -55,149 +65,166 @@
   readonly spot: boolean;
   readonly rentedAt: number;
   address: string;
-  fate: MachineFate;
+  fate: MachineState;
   runningAt: number | null;
   failedAt: number | null;
   goneAt: number | null;
-  /** When a noticed takeback happens. */
+  /** When the machine will be reclaimed, once notice was given. */
   takenAt: number | null;
+  /** Has appeared in a list once; from then on every list shows it until it is gone. */
   listed: boolean;
-  /** Up to when it has been charged for. */
+  /** The cost is billed up to this time. */
   chargedTo: number;
   readonly script: ScriptedMachine | null;
 }
 
-/** What the cloud does to machines: the region gives each a worker, and takes it away. */
+/** Callbacks for machines: the region starts a worker on each running machine and ends it with the machine. */
 export interface CloudHooks {
+  /** The machine has booted. */
   up(machine: Machine): void;
-  /** It and everything on it is gone. */
+  /** The running machine and everything on it is gone. */
   gone(machine: Machine): void;
 }
 
-const MOST_AT_ONCE = 50;
-const MOST_RETURNED = 100;
-const LEAST_CHARGED_MS = 60_000;
-const DEATH_SHOWS_MS = 30_000;
-const KEPT_GONE_MS = 120_000;
-const PRICE_MOVES_MS = 10_000;
-const LATE_BOOTS = 0.03;
-const QUICK_BOOTS = 0.01;
-
-const kindOf = (type: string, zone: string, spot: boolean): string => `${type} ${zone} ${spot ? 'spot' : 'ordinary'}`;
-
-/** The cloud, by its protocol: rentals, boots, spot prices and takebacks, and a list that lags. */
+/** Limits of the API per call. */
+const MAX_MACHINES_PER_RENTAL = 50;
+const MAX_MACHINES_PER_RETURN = 100;
+const MIN_BILLED_MS = 60_000;
+/** A failed machine is still listed as running for this time. */
+const FAILURE_LISTING_DELAY_MS = 30_000;
+/** Machines that are gone are kept for this time, as outdated lists still show them. */
+const GONE_RETENTION_MS = 120_000;
+const PRICE_UPDATE_INTERVAL_MS = 10_000;
+/** Share of the boots that take two to four times as long, and share that take at most two seconds. */
+const LATE_BOOT_SHARE = 0.03;
+const QUICK_BOOT_SHARE = 0.01;
+
+/** Key of a kind of machine: type, zone, spot or on demand. */
+const machineKindKey = (type: string, zone: string, spot: boolean): string =>
+  `${type} ${zone} ${spot ? 'spot' : 'ordinary'}`;
+
+/**
+ * A simulated cloud provider that serves the cloud's protocol: rentals, boots, spot prices, reclaimed spot machines, and
+ * a machine list that lags.
+ */
 export class CloudModel {
   private readonly machines = new Map<string, Machine>();
-  private readonly charters = new Map<string, readonly string[]>();
-  private readonly taken = new Map<string, number>();
-  private readonly limits = new Map<string, number>();
-  /** How many of each kind there have been. */
-  private readonly made = new Map<string, number>();
+  /** The machine ids that each request has rented; a repeated request gets the same. */
+  private readonly rentalsByRequestId = new Map<string, readonly string[]>();
+  /** Rented machines and the capacity, by kind. */
+  private readonly usedCapacity = new Map<string, number>();
+  private readonly capacityLimits = new Map<string, number>();
+  /** Machines created so far, by kind. */
+  private readonly createdCounts = new Map<string, number>();
   private readonly spotPrices = new Map<string, number>();
-  private readonly allowance: Allowance;
-  private nextName = 1;
-  private down = false;
-  /** Only this share of the capacity is to be had. */
+  private readonly requestBucket: TokenBucket;
+  private nextMachineNumber = 1;
+  private inOutage = false;
+  /** Only this share of the capacity is available. */
   capacityShare = 1;
-  /** How much longer boots take, and at least how many of them never end. */
+  /** Factor on boot times. */
   bootFactor = 1;
+  /** At least this share of the boots never finishes. */
   neverShare = 0;
-  /** Every machine is up within two seconds. */
+  /** Every machine boots within two seconds. */
   bootsAtOnce = false;
-  private spent = 0;
+  /** Cost billed so far. */
+  private totalCost = 0;
   readonly counts = { calls: 0, refused: 0, rented: 0, takenBack: 0, neverUp: 0, died: 0 };
 
   constructor(
     private readonly runtime: Runtime,
     private readonly luck: Luck,
-    private readonly facts: CloudFacts,
+    private readonly config: CloudConfig,
     private readonly hooks: CloudHooks,
   ) {
-    this.allowance = new Allowance(runtime, facts.rps, 2);
-    for (const { type, zone, ordinary, spot } of facts.capacity) {
-      this.limits.set(kindOf(type, zone, false), ordinary);
-      this.limits.set(kindOf(type, zone, true), spot);
+    this.requestBucket = new TokenBucket(runtime, config.rps, 2);
+    for (const { type, zone, ordinary, spot } of config.capacity) {
+      this.capacityLimits.set(machineKindKey(type, zone, false), ordinary);
+      this.capacityLimits.set(machineKindKey(type, zone, true), spot);
     }
-    for (const type of facts.types) this.spotPrices.set(type.name, type.spotPrice);
-    runtime.every(PRICE_MOVES_MS, () => this.movePrices());
+    for (const type of config.types) this.spotPrices.set(type.name, type.spotPrice);
+    runtime.every(PRICE_UPDATE_INTERVAL_MS, () => this.updatePrices());
   }
 
+  /** Serves the cloud API at an endpoint. */
   listen(at: Endpoint, log: Logger): Listening {
-    return serveJson(this.runtime, at, log, (request) => this.serve(request));
+    return serveJson(this.runtime, at, log, (request) => this.handleRequest(request));
   }
 
+  /** Starts or ends an outage, during which every request gets 503. */
   outage(on: boolean): void {
-    this.down = on;
+    this.inOutage = on;
   }
 
-  /** Machines that are up. */
+  /** The running machines. */
   get up(): Machine[] {
     return [...this.machines.values()].filter((machine) => machine.fate === 'running');
   }
 
-  /** Machines that a day begins with: they are up and listed. */
+  /** Adds the machines that exist at the start of a day: running (with a script: after their boot time) and listed. */
   begin(typeName: string, zone: string, spot: boolean, count: number): void {
-    const type = this.facts.types.find((t) => t.name === typeName);
+    const type = this.config.types.find((t) => t.name === typeName);
     if (!type) return;
     for (let i = 0; i < count; i++) {
-      const machine = this.make(type, zone, spot);
+      const machine = this.createMachine(type, zone, spot);
       machine.listed = true;
-      if (machine.script) this.boot(machine);
-      else this.comeUp(machine);
+      if (machine.script) this.scheduleBoot(machine);
+      else this.markRunning(machine);
     }
   }
 
-  /** Takes a spot machine back, with or without notice. */
+  /** Reclaims a spot machine, with or without notice. A machine that is not running yet gets no notice. */
   takeBack(machine: Machine, noticed: boolean): void {
     if (machine.fate === 'gone' || machine.takenAt !== null) return;
     this.counts.takenBack += 1;
     if (!noticed || machine.fate !== 'running') {
-      this.end(machine);
+      this.removeMachine(machine);
       return;
     }
-    this.takeBackIn(machine, this.facts.spot.noticeS * 1000 * this.luck.between(0.5, 1.5));
+    this.reclaimAfter(machine, this.config.spot.noticeS * 1000 * this.luck.between(0.5, 1.5));
   }
 
-  private takeBackIn(machine: Machine, noticeMs: number): void {
+  private reclaimAfter(machine: Machine, noticeMs: number): void {
     if (machine.fate !== 'running') return;
     machine.takenAt = this.runtime.now() + noticeMs;
-    this.runtime.after(noticeMs, () => this.end(machine));
+    this.runtime.after(noticeMs, () => this.removeMachine(machine));
   }
 
-  /** It stops on its own with all that is on it: no longer charged, listed as running for a while. */
+  /** Fails a machine with everything on it: it is no longer billed, but is listed as running for a while. */
   die(machine: Machine): void {
     if (machine.fate !== 'running') return;
-    this.charge(machine);
+    this.billToNow(machine);
     this.counts.died += 1;
     machine.fate = 'failed';
     machine.failedAt = this.runtime.now();
     this.hooks.gone(machine);
   }
 
-  /** Money spent so far, on running machines too. */
+  /** Bills all machines up to now and returns the total cost. */
   settle(): number {
-    for (const machine of this.machines.values()) this.charge(machine);
-    return this.spent;
+    for (const machine of this.machines.values()) this.billToNow(machine);
+    return this.totalCost;
   }
 
-  private async serve(request: Request): Promise<Answer> {
+  private async handleRequest(request: JsonRequest): Promise<JsonResponse> {
     this.counts.calls += 1;
-    await this.runtime.sleep(this.facts.latencyMs * this.luck.between(0.6, 1.6));
-    if (this.down) return { status: 503, body: { error: 'trouble' } };
-    if (!this.allowance.take(1)) {
+    await this.runtime.sleep(this.config.latencyMs * this.luck.between(0.6, 1.6));
+    if (this.inOutage) return { status: 503, body: { error: 'trouble' } };
+    if (!this.requestBucket.take(1)) {
       this.counts.refused += 1;
       return { status: 429, body: { error: 'too many requests' } };
     }
     const { method, path, body, query } = request;
-    if (method === 'GET' && path === '/machine_types') return this.types();
-    if (method === 'GET' && path === '/rentals') return this.list(query);
-    if (method === 'POST' && path === '/rentals') return this.rent(body);
-    if (method === 'POST' && path === '/rentals/return') return this.giveBack(body);
+    if (method === 'GET' && path === '/machine_types') return this.listTypes();
+    if (method === 'GET' && path === '/rentals') return this.listMachines(query);
+    if (method === 'POST' && path === '/rentals') return this.rentMachines(body);
+    if (method === 'POST' && path === '/rentals/return') return this.returnMachines(body);
     return { status: 400, body: { error: 'no such call' } };
   }
 
-  private types(): Answer {
-    const hulls = this.facts.types.map((type) => ({
+  private listTypes(): JsonResponse {
+    const hulls = this.config.types.map((type) => ({
       sku: type.name,
       vcpus: type.cpus,
       accelerators: type.gpus,
@@ -207,44 +234,45 @@
       rate: type.price,
       low_price: this.spotPrices.get(type.name) ?? type.spotPrice,
       startup_s: type.bootS,
-      berths: [...new Set(this.facts.capacity.filter((c) => c.type === type.name).map((c) => c.zone))],
+      berths: [...new Set(this.config.capacity.filter((c) => c.type === type.name).map((c) => c.zone))],
     }));
     return { status: 200, body: { hulls } };
   }
 
-  private rent(body: unknown): Answer {
+  private rentMachines(body: unknown): JsonResponse {
     const fields = isObject(body) ? body : {};
-    const charter = asString(fields['charter']);
-    const type = this.facts.types.find((t) => t.name === fields['hull']);
+    const requestId = asString(fields['charter']);
+    const type = this.config.types.find((t) => t.name === fields['hull']);
     const zone = asString(fields['berth']);
-    const number = asCount(fields['number']);
+    const requestedCount = asCount(fields['number']);
     const spot = fields['flotsam'] === true;
-    const known = charter === undefined ? undefined : this.charters.get(charter);
-    if (known) return { status: 200, body: { drifters: known } };
-    if (charter === undefined || !type || zone === undefined || number === undefined || number < 1)
+    const earlierRental = requestId === undefined ? undefined : this.rentalsByRequestId.get(requestId);
+    if (earlierRental) return { status: 200, body: { drifters: earlierRental } };
+    if (requestId === undefined || !type || zone === undefined || requestedCount === undefined || requestedCount < 1)
       return { status: 400, body: { error: 'malformed' } };
-    const kind = kindOf(type.name, zone, spot);
-    const room = Math.floor((this.limits.get(kind) ?? 0) * this.capacityShare) - (this.taken.get(kind) ?? 0);
-    const count = Math.min(number, MOST_AT_ONCE, room);
+    const kind = machineKindKey(type.name, zone, spot);
+    const available =
+      Math.floor((this.capacityLimits.get(kind) ?? 0) * this.capacityShare) - (this.usedCapacity.get(kind) ?? 0);
+    const count = Math.min(requestedCount, MAX_MACHINES_PER_RENTAL, available);
     if (count <= 0) return { status: 503, body: { error: 'no capacity' } };
     const rented: string[] = [];
     for (let i = 0; i < count; i++) {
-      const machine = this.make(type, zone, spot);
+      const machine = this.createMachine(type, zone, spot);
       rented.push(machine.id);
-      this.boot(machine);
+      this.scheduleBoot(machine);
     }
     this.counts.rented += count;
-    this.charters.set(charter, rented);
+    this.rentalsByRequestId.set(requestId, rented);
     return { status: 200, body: { drifters: rented } };
   }
 
-  private make(type: TypeFacts, zone: string, spot: boolean): Machine {
+  private createMachine(type: TypeFacts, zone: string, spot: boolean): Machine {
     const now = this.runtime.now();
-    const kind = kindOf(type.name, zone, spot);
-    const nth = this.made.get(kind) ?? 0;
-    this.made.set(kind, nth + 1);
+    const kind = machineKindKey(type.name, zone, spot);
+    const createdBefore = this.createdCounts.get(kind) ?? 0;
+    this.createdCounts.set(kind, createdBefore + 1);
     const machine: Machine = {
-      id: `host-${String(this.nextName++).padStart(6, '0')}`,
+      id: `host-${String(this.nextMachineNumber++).padStart(6, '0')}`,
       type,
       zone,
       spot,
@@ -257,36 +285,36 @@
       takenAt: null,
       listed: false,
       chargedTo: now,
-      script: this.facts.script?.(kind, nth) ?? null,
+      script: this.config.script?.(kind, createdBefore) ?? null,
     };
     this.machines.set(machine.id, machine);
-    this.taken.set(kind, (this.taken.get(kind) ?? 0) + 1);
+    this.usedCapacity.set(kind, (this.usedCapacity.get(kind) ?? 0) + 1);
     return machine;
   }
 
-  private boot(machine: Machine): void {
+  private scheduleBoot(machine: Machine): void {
     if (machine.script) {
       const { bootS } = machine.script;
       if (bootS === null) this.counts.neverUp += 1;
-      else this.runtime.after(bootS * 1000, () => this.comeUp(machine));
+      else this.runtime.after(bootS * 1000, () => this.markRunning(machine));
       return;
     }
     if (this.luck.chance(Math.max(machine.type.bootFail, this.neverShare))) {
       this.counts.neverUp += 1;
       return;
     }
-    const late = this.luck.chance(LATE_BOOTS) ? this.luck.between(2, 4) : 1;
-    const usual = machine.type.bootS * this.luck.between(0.6, 1.5) * late * this.bootFactor;
-    const bootS = this.luck.chance(this.bootsAtOnce ? 1 : QUICK_BOOTS) ? this.luck.between(0.5, 2) : usual;
-    this.runtime.after(bootS * 1000, () => this.comeUp(machine));
+    const lateFactor = this.luck.chance(LATE_BOOT_SHARE) ? this.luck.between(2, 4) : 1;
+    const normalBootS = machine.type.bootS * this.luck.between(0.6, 1.5) * lateFactor * this.bootFactor;
+    const bootS = this.luck.chance(this.bootsAtOnce ? 1 : QUICK_BOOT_SHARE) ? this.luck.between(0.5, 2) : normalBootS;
+    this.runtime.after(bootS * 1000, () => this.markRunning(machine));
   }
 
-  private comeUp(machine: Machine): void {
+  private markRunning(machine: Machine): void {
     if (machine.fate !== 'starting') return;
     machine.fate = 'running';
     machine.runningAt = this.runtime.now();
-    if (machine.script) this.follow(machine, machine.script);
-    const { perHour, silentShare } = this.facts.spot;
+    if (machine.script) this.applyScript(machine, machine.script);
+    const { perHour, silentShare } = this.config.spot;
     if (machine.spot && perHour > 0 && !machine.script) {
       const noticed = !this.luck.chance(silentShare);
       this.runtime.after(this.luck.exponential(3600 / perHour) * 1000, () => this.takeBack(machine, noticed));
@@ -294,87 +322,88 @@
     this.hooks.up(machine);
   }
 
-  private follow(machine: Machine, { diesAtS, takenBack }: ScriptedMachine): void {
-    const after = (atS: number, work: () => void): void => {
+  private applyScript(machine: Machine, { diesAtS, takenBack }: ScriptedMachine): void {
+    const runAt = (atS: number, work: () => void): void => {
       const ms = atS * 1000 - this.runtime.now();
       if (ms >= 0) this.runtime.after(ms, work);
     };
-    if (diesAtS !== null) after(diesAtS, () => this.die(machine));
-    if (takenBack) after(takenBack.noticeAtS, () => this.takeBackIn(machine, takenBack.noticeS * 1000));
+    if (diesAtS !== null) runAt(diesAtS, () => this.die(machine));
+    if (takenBack) runAt(takenBack.noticeAtS, () => this.reclaimAfter(machine, takenBack.noticeS * 1000));
   }
 
-  private giveBack(body: unknown): Answer {
-    const names = asList(isObject(body) ? body['drifters'] : undefined);
-    if (names.length > MOST_RETURNED) return { status: 400, body: { error: 'too many names' } };
-    for (const name of names) {
-      const machine = typeof name === 'string' ? this.machines.get(name) : undefined;
-      if (machine) this.end(machine);
+  private returnMachines(body: unknown): JsonResponse {
+    const machineIds = asList(isObject(body) ? body['drifters'] : undefined);
+    if (machineIds.length > MAX_MACHINES_PER_RETURN) return { status: 400, body: { error: 'too many names' } };
+    for (const id of machineIds) {
+      const machine = typeof id === 'string' ? this.machines.get(id) : undefined;
+      if (machine) this.removeMachine(machine);
     }
     return { status: 200, body: {} };
   }
 
-  private end(machine: Machine): void {
+  private removeMachine(machine: Machine): void {
     if (machine.fate === 'gone') return;
-    const wasUp = machine.fate === 'running';
-    this.charge(machine);
-    // A machine that is deleted costs its first minute in any case.
-    if (machine.fate !== 'failed') this.bill(machine, machine.rentedAt + LEAST_CHARGED_MS);
+    const wasRunning = machine.fate === 'running';
+    this.billToNow(machine);
+    // A machine that is returned costs its first minute in any case.
+    if (machine.fate !== 'failed') this.billUpTo(machine, machine.rentedAt + MIN_BILLED_MS);
     machine.fate = 'gone';
     machine.goneAt = this.runtime.now();
-    const kind = kindOf(machine.type.name, machine.zone, machine.spot);
-    this.taken.set(kind, (this.taken.get(kind) ?? 1) - 1);
-    if (wasUp) this.hooks.gone(machine);
-    this.runtime.after(KEPT_GONE_MS, () => this.machines.delete(machine.id));
+    const kind = machineKindKey(machine.type.name, machine.zone, machine.spot);
+    this.usedCapacity.set(kind, (this.usedCapacity.get(kind) ?? 1) - 1);
+    if (wasRunning) this.hooks.gone(machine);
+    this.runtime.after(GONE_RETENTION_MS, () => this.machines.delete(machine.id));
   }
 
-  private charge(machine: Machine): void {
-    if (machine.fate === 'starting' || machine.fate === 'running') this.bill(machine, this.runtime.now());
+  /** Bills a machine up to now; after its failure nothing is billed. */
+  private billToNow(machine: Machine): void {
+    if (machine.fate === 'starting' || machine.fate === 'running') this.billUpTo(machine, this.runtime.now());
   }
 
-  private bill(machine: Machine, upTo: number): void {
+  private billUpTo(machine: Machine, upTo: number): void {
     if (upTo <= machine.chargedTo) return;
     const { type, spot } = machine;
     const rate = spot ? (this.spotPrices.get(type.name) ?? type.spotPrice) : type.price;
-    this.spent += ((upTo - machine.chargedTo) / 3_600_000) * rate;
+    this.totalCost += ((upTo - machine.chargedTo) / 3_600_000) * rate;
     machine.chargedTo = upTo;
   }
 
-  private movePrices(): void {
-    // What has run so far is charged at the price that held.
-    for (const machine of this.machines.values()) if (machine.spot) this.charge(machine);
-    for (const { name, spotPrice } of this.facts.types) {
+  private updatePrices(): void {
+    // Time before the change is billed at the old price.
+    for (const machine of this.machines.values()) if (machine.spot) this.billToNow(machine);
+    for (const { name, spotPrice } of this.config.types) {
       const next = (this.spotPrices.get(name) ?? spotPrice) * this.luck.between(0.95, 1.05);
       this.spotPrices.set(name, Math.min((spotPrice * 4) / 3, Math.max((spotPrice * 2) / 3, next)));
     }
   }
 
-  /** As of a moment that lies back by the lag, or up to twice that: one list can be older than the last. */
-  private list(query: URLSearchParams): Answer {
+  /** Lists the machines as of 0.3 to 1 times the lag ago, in some cases up to twice the lag: a list can be older than the previous one. */
+  private listMachines(query: URLSearchParams): JsonResponse {
     const after = query.get('after') ?? '';
-    const most = Math.min(500, Math.max(1, Number(query.get('most') ?? 500) || 500));
-    const lagMs = this.facts.listLagS * 1000 * this.luck.between(0.3, this.luck.chance(0.1) ? 2 : 1);
+    const maxEntries = Math.min(500, Math.max(1, Number(query.get('most') ?? 500) || 500));
+    const lagMs = this.config.listLagS * 1000 * this.luck.between(0.3, this.luck.chance(0.1) ? 2 : 1);
     const asOf = this.runtime.now() - lagMs;
-    const shown: unknown[] = [];
+    const entries: unknown[] = [];
     let truncated = false;
     for (const machine of this.machines.values()) {
       const gone = machine.goneAt !== null && machine.goneAt <= asOf;
-      // Once listed, a machine stays listed until it is gone.
+      // Once listed, a machine stays listed until it is gone, even if this list is older.
       if (machine.id <= after || gone || (!machine.listed && machine.rentedAt > asOf)) continue;
-      if (shown.length >= most) {
+      if (entries.length >= maxEntries) {
         truncated = true;
         break;
       }
       machine.listed = true;
       const { id, address, type, zone, spot } = machine;
       const age_s = Math.max(0, asOf - machine.rentedAt) / 1000;
-      const phase = this.phaseAsOf(machine, asOf);
-      shown.push({ ref: id, address, hull: type.name, berth: zone, flotsam: spot, phase, age_s });
+      const phase = this.listedPhaseAt(machine, asOf);
+      entries.push({ ref: id, address, hull: type.name, berth: zone, flotsam: spot, phase, age_s });
     }
-    return { status: 200, body: { drifters: shown, truncated } };
+    return { status: 200, body: { drifters: entries, truncated } };
   }
 
-  private phaseAsOf(machine: Machine, asOf: number): string {
-    if (machine.failedAt !== null && machine.failedAt + DEATH_SHOWS_MS <= asOf) return 'failed';
+  private listedPhaseAt(machine: Machine, asOf: number): string {
+    if (machine.failedAt !== null && machine.failedAt + FAILURE_LISTING_DELAY_MS <= asOf) return 'failed';
     return machine.runningAt !== null && machine.runningAt <= asOf ? 'running' : 'starting';
   }
 }
--- a/packages/region/src/models/gangs.ts
+++ b/packages/region/src/models/gangs.ts
@@ -2,36 +2,43 @@
 import type { Luck } from '../sim/index.js';
 import type { JobTruth } from './jobs.js';
 
-export type GangExit = 'done' | 'stopped' | 'mates_gone' | 'alone';
+/** Why a gang's task exits: `alone` if the gang was not complete in time, `mates_gone` if other members are lost. */
+export type GangExitCause = 'done' | 'stopped' | 'mates_gone' | 'alone';
 
-/** A gang's task on its machine, as the gang sees it. */
+/** A gang's task on its machine. */
 export interface GangMember {
   readonly index: number;
+  /** Speed of the machine; 1 is nominal. */
   readonly speed: () => number;
-  /** The whole gang is there. */
+  /** Called when all members have joined. */
   start(): void;
+  /** Called when the member begins to save its progress. */
   saving(): void;
-  /** Leaves its machine; a machine that hangs does so once it goes on. */
-  exit(cause: GangExit, stored: boolean): void;
+  /** Exits the task; on a machine that hangs this takes effect once it resumes. */
+  exit(cause: GangExitCause, stored: boolean): void;
 }
 
+/** Timeouts of gangs. */
 export interface GangFacts {
+  /** How long a member waits for the others before it exits. */
   readonly waitS: number;
+  /** Within this time members notice that another is lost, and all must have been told to stop. */
   readonly peerS: number;
 }
 
-/** One attempt of a gang: it starts together, runs at the slowest member's speed and ends together. */
-class GangRun {
+/** One attempt of a gang: all members start together, run at the speed of the slowest and end together. */
+class GangAttempt {
   readonly members = new Map<number, GangMember>();
-  private readonly waits = new Map<GangMember, Timer>();
-  private readonly told = new Set<GangMember>();
-  private readonly saved = new Set<GangMember>();
+  private readonly waitTimers = new Map<GangMember, Timer>();
+  /** Members that have been told to stop. */
+  private readonly stoppingMembers = new Set<GangMember>();
+  private readonly savedMembers = new Set<GangMember>();
   private startedAt: number | null = null;
   private speed = 1;
-  private finish: Timer | undefined;
-  /** Progress as it stood at the first stop. */
-  private frozenS: number | null = null;
-  over = false;
+  private finishTimer: Timer | undefined;
+  /** Progress at the first stop command, where it freezes. */
+  private frozenProgressS: number | null = null;
+  ended = false;
 
   constructor(
     private readonly job: JobTruth,
@@ -40,58 +47,60 @@
     private readonly facts: GangFacts,
   ) {}
 
+  /** Progress of each member in seconds at nominal speed. */
   private get progressS(): number {
-    if (this.frozenS !== null) return this.frozenS;
+    if (this.frozenProgressS !== null) return this.frozenProgressS;
     const base = this.job.saved.get(0) ?? 0;
     return this.startedAt === null ? base : base + ((this.runtime.now() - this.startedAt) / 1000) * this.speed;
   }
 
+  /** Adds a member; the last one starts the gang. */
   join(member: GangMember): void {
-    if (this.over || this.startedAt !== null) {
-      // The attempt that it was started for is past.
+    if (this.ended || this.startedAt !== null) {
+      // The attempt has started without this member or has ended.
       member.exit('mates_gone', false);
       return;
     }
     this.members.set(member.index, member);
     if (this.members.size === this.job.spec.pieces) {
-      this.begin();
+      this.startAll();
       return;
     }
-    const wait = this.runtime.after(this.facts.waitS * 1000, () => {
+    const waitTimer = this.runtime.after(this.facts.waitS * 1000, () => {
       if (this.startedAt !== null || this.members.get(member.index) !== member) return;
       this.members.delete(member.index);
       member.exit('alone', false);
     });
-    this.waits.set(member, wait);
+    this.waitTimers.set(member, waitTimer);
   }
 
-  private begin(): void {
-    for (const wait of this.waits.values()) wait.cancel();
+  private startAll(): void {
+    for (const timer of this.waitTimers.values()) timer.cancel();
     this.startedAt = this.runtime.now();
     this.speed = Math.min(...[...this.members.values()].map((member) => member.speed()));
     for (const member of this.members.values()) member.start();
     const leftS = Math.max(0, this.job.runS(0) - (this.job.saved.get(0) ?? 0)) / this.speed;
-    this.finish = this.runtime.after(leftS * 1000, () => {
-      this.over = true;
+    this.finishTimer = this.runtime.after(leftS * 1000, () => {
+      this.ended = true;
       this.job.usefulS += this.job.spec.pieces * Math.max(0, this.job.runS(0) - (this.job.saved.get(0) ?? 0));
       for (let i = 0; i < this.job.spec.pieces; i++) this.job.finished.add(i);
       for (const member of this.members.values()) member.exit('done', false);
     });
   }
 
-  /** A member is gone, or its machine hangs. */
-  lose(member: GangMember, hangs: boolean): void {
+  /** Handles that a member is gone, or that its machine hangs (then it stays a member and exits once it resumes). */
+  onMemberLost(member: GangMember, machineHangs: boolean): void {
     if (this.members.get(member.index) !== member) return;
-    this.waits.get(member)?.cancel();
-    if (!hangs) this.members.delete(member.index);
-    if (this.startedAt !== null && !this.over) this.fail();
+    this.waitTimers.get(member)?.cancel();
+    if (!machineHangs) this.members.delete(member.index);
+    if (this.startedAt !== null && !this.ended) this.fail();
   }
 
-  /** The rest notice within the bound, and progress falls back to the last checkpoint. */
+  /** Fails the attempt: the other members exit within `peerS`, and progress falls back to the last checkpoint. */
   private fail(): void {
-    this.over = true;
-    this.finish?.cancel();
-    this.keep(this.job.checkpoint(this.progressS));
+    this.ended = true;
+    this.finishTimer?.cancel();
+    this.saveProgress(this.job.lastCheckpointBefore(this.progressS));
     for (const member of this.members.values()) {
       this.runtime.after(this.luck.between(0.2, 1) * this.facts.peerS * 1000, () => {
         if (this.members.get(member.index) === member) member.exit('mates_gone', false);
@@ -99,53 +108,57 @@
     }
   }
 
-  private keep(progressS: number): void {
-    const before = this.job.saved.get(0) ?? 0;
-    if (progressS <= before) return;
-    this.job.usefulS += (progressS - before) * this.job.spec.pieces;
+  /** Saves progress, if it is more than what is saved already. */
+  private saveProgress(progressS: number): void {
+    const savedS = this.job.saved.get(0) ?? 0;
+    if (progressS <= savedS) return;
+    this.job.usefulS += (progressS - savedS) * this.job.spec.pieces;
     this.job.saved.set(0, progressS);
   }
 
+  /**
+   * Handles a stop command. All members save and exit together if each is told in time; otherwise the attempt fails.
+   */
   stop(member: GangMember, graceS: number): void {
-    if (this.members.get(member.index) !== member || this.over) return;
+    if (this.members.get(member.index) !== member || this.ended) return;
     if (this.startedAt === null) {
-      this.waits.get(member)?.cancel();
+      this.waitTimers.get(member)?.cancel();
       this.members.delete(member.index);
       member.exit('stopped', false);
       return;
     }
-    const { mark_every_s: every, mark_cost_s: cost } = this.job.spec;
-    if (every <= 0 || graceS < cost || this.told.has(member)) {
-      // Too little time to save, or told a second time: it ends at once and the gang falls back.
-      if (this.told.has(member) && graceS > 0) return;
+    const { mark_every_s: saveIntervalS, mark_cost_s: saveDurationS } = this.job.spec;
+    if (saveIntervalS <= 0 || graceS < saveDurationS || this.stoppingMembers.has(member)) {
+      // With too little time to save, or a second command without grace, the member exits at once and the attempt fails.
+      if (this.stoppingMembers.has(member) && graceS > 0) return;
       this.members.delete(member.index);
       member.exit('stopped', false);
       this.fail();
       return;
     }
-    if (this.frozenS === null) {
-      this.frozenS = this.progressS;
-      this.finish?.cancel();
+    if (this.frozenProgressS === null) {
+      this.frozenProgressS = this.progressS;
+      this.finishTimer?.cancel();
       this.runtime.after(this.facts.peerS * 1000, () => {
-        if (!this.over && this.told.size < this.members.size) this.fail();
+        if (!this.ended && this.stoppingMembers.size < this.members.size) this.fail();
       });
     }
-    this.told.add(member);
+    this.stoppingMembers.add(member);
     member.saving();
-    this.runtime.after(cost * 1000, () => {
-      if (this.over || this.members.get(member.index) !== member) return;
-      this.saved.add(member);
-      if (this.saved.size < this.members.size) return;
-      this.over = true;
-      this.keep(this.progressS);
+    this.runtime.after(saveDurationS * 1000, () => {
+      if (this.ended || this.members.get(member.index) !== member) return;
+      this.savedMembers.add(member);
+      if (this.savedMembers.size < this.members.size) return;
+      this.ended = true;
+      this.saveProgress(this.progressS);
       for (const each of this.members.values()) each.exit('stopped', true);
     });
   }
 }
 
-/** All gangs of a region: their tasks find each other by attempt number. */
+/** Coordinates all gangs of a region: tasks of the same job and attempt number belong together. */
 export class GangBook {
-  private readonly runs = new Map<string, GangRun>();
+  private readonly attempts = new Map<string, GangAttempt>();
 
   constructor(
     private readonly runtime: Runtime,
@@ -153,22 +166,25 @@
     private readonly facts: GangFacts,
   ) {}
 
-  private run(job: JobTruth, attempt: number): GangRun {
+  private attemptOf(job: JobTruth, attempt: number): GangAttempt {
     const key = `${job.spec.ref}#${attempt}`;
-    let run = this.runs.get(key);
-    if (!run) this.runs.set(key, (run = new GangRun(job, this.runtime, this.luck, this.facts)));
-    return run;
+    let gangAttempt = this.attempts.get(key);
+    if (!gangAttempt) this.attempts.set(key, (gangAttempt = new GangAttempt(job, this.runtime, this.luck, this.facts)));
+    return gangAttempt;
   }
 
+  /** Adds a task to its gang. */
   join(job: JobTruth, attempt: number, member: GangMember): void {
-    this.run(job, attempt).join(member);
+    this.attemptOf(job, attempt).join(member);
   }
 
-  lose(job: JobTruth, attempt: number, member: GangMember, hangs: boolean): void {
-    this.run(job, attempt).lose(member, hangs);
+  /** Handles that a task is gone, or that its machine hangs. */
+  onMemberLost(job: JobTruth, attempt: number, member: GangMember, machineHangs: boolean): void {
+    this.attemptOf(job, attempt).onMemberLost(member, machineHangs);
   }
 
+  /** Handles a stop command with this grace period for a task. */
   stop(job: JobTruth, attempt: number, member: GangMember, graceS: number): void {
-    this.run(job, attempt).stop(member, graceS);
+    this.attemptOf(job, attempt).stop(member, graceS);
   }
 }
--- a/packages/region/src/models/images.ts
+++ b/packages/region/src/models/images.ts
@@ -1,17 +1,22 @@
 import type { Runtime, Timer } from '../../../../src/kernel/index.js';
 
+/** An image that is being fetched, and the callbacks of the tasks that wait for it. */
 interface Fetch {
-  leftGb: number;
+  remainingGb: number;
   readonly waiters: Map<string, () => void>;
 }
 
-/** A machine's images: fetched once for all that wait, at a shared rate, and kept while there is room. */
-export class ImageStore {
-  /** Most recently used last. */
+/**
+ * The image cache of a machine: an image is fetched once for all tasks that wait for it, all fetches share the bandwidth,
+ * and the least recently used images are evicted when the cache is full.
+ */
+export class ImageCache {
+  /** Size in GB by image, most recently used last. */
   private readonly cache = new Map<string, number>();
   private readonly fetches = new Map<string, Fetch>();
   private timer: Timer | undefined;
-  private at = 0;
+  /** Up to this time the progress of the fetches is accounted. */
+  private advancedAt = 0;
 
   constructor(
     private readonly runtime: Runtime,
@@ -19,76 +24,81 @@
     private readonly gbPerS: number,
   ) {}
 
-  /** Calls `ready` once the image is there, at once when it is cached. */
-  want(image: string, gb: number, waiter: string, ready: () => void): void {
+  /** Calls `ready` once the image is cached; immediately if it is already. */
+  request(image: string, gb: number, waiter: string, ready: () => void): void {
     if (image === '' || gb <= 0 || this.cache.has(image)) {
-      this.use(image, gb);
+      this.touch(image, gb);
       ready();
       return;
     }
-    this.advance();
+    this.advanceFetches();
     let fetch = this.fetches.get(image);
-    if (!fetch) this.fetches.set(image, (fetch = { leftGb: gb, waiters: new Map() }));
+    if (!fetch) this.fetches.set(image, (fetch = { remainingGb: gb, waiters: new Map() }));
     fetch.waiters.set(waiter, () => {
-      this.use(image, gb);
+      this.touch(image, gb);
       ready();
     });
-    this.plan();
+    this.scheduleCompletion();
   }
 
-  /** Gives a fetch up when no task waits for it any more. */
-  leave(image: string, waiter: string): void {
+  /** Removes a waiting task, and aborts the fetch when no other task waits for it. */
+  cancel(image: string, waiter: string): void {
     const fetch = this.fetches.get(image);
     if (!fetch?.waiters.delete(waiter) || fetch.waiters.size > 0) return;
-    this.advance();
+    this.advanceFetches();
     this.fetches.delete(image);
-    this.plan();
+    this.scheduleCompletion();
   }
 
-  /** The machine stands still; what it fetches waits. */
+  /** Suspends all fetches while the machine hangs. */
   pause(): void {
-    this.advance();
+    this.advanceFetches();
     this.timer?.cancel();
     this.timer = undefined;
   }
 
+  /** Continues the fetches. */
   resume(): void {
-    this.at = this.runtime.now();
-    this.plan();
+    this.advancedAt = this.runtime.now();
+    this.scheduleCompletion();
   }
 
-  private use(image: string, gb: number): void {
+  /** Marks an image as most recently used and evicts the oldest ones beyond the capacity. */
+  private touch(image: string, gb: number): void {
     if (image === '') return;
     this.cache.delete(image);
     this.cache.set(image, gb);
-    let sum = 0;
-    for (const size of this.cache.values()) sum += size;
+    let totalGb = 0;
+    for (const size of this.cache.values()) totalGb += size;
     for (const [oldest, size] of this.cache) {
-      if (sum <= this.cacheGb || oldest === image) break;
+      if (totalGb <= this.cacheGb || oldest === image) break;
       this.cache.delete(oldest);
-      sum -= size;
+      totalGb -= size;
     }
   }
 
-  private advance(): void {
+  /** Accounts the data fetched since the last call, in equal parts. */
+  private advanceFetches(): void {
     const now = this.runtime.now();
-    const each = this.fetches.size === 0 ? 0 : (((now - this.at) / 1000) * this.gbPerS) / this.fetches.size;
-    for (const fetch of this.fetches.values()) fetch.leftGb -= each;
-    this.at = now;
+    const fetchedGb =
+      this.fetches.size === 0 ? 0 : (((now - this.advancedAt) / 1000) * this.gbPerS) / this.fetches.size;
+    for (const fetch of this.fetches.values()) fetch.remainingGb -= fetchedGb;
+    this.advancedAt = now;
   }
 
-  private plan(): void {
+  /** Sets the timer for the fetch that completes next. */
+  private scheduleCompletion(): void {
     this.timer?.cancel();
     this.timer = undefined;
     if (this.fetches.size === 0) return;
-    const least = Math.min(...[...this.fetches.values()].map((fetch) => fetch.leftGb));
-    const inS = Math.max(0, (least * this.fetches.size) / this.gbPerS);
-    this.timer = this.runtime.after(inS * 1000, () => {
-      this.advance();
-      const through = [...this.fetches].filter(([, fetch]) => fetch.leftGb <= 1e-6);
-      for (const [image] of through) this.fetches.delete(image);
-      this.plan();
-      for (const [, { waiters }] of through) for (const ready of waiters.values()) ready();
+    const leastRemainingGb = Math.min(...[...this.fetches.values()].map((fetch) => fetch.remainingGb));
+    const delayS = Math.max(0, (leastRemainingGb * this.fetches.size) / this.gbPerS);
+    this.timer = this.runtime.after(delayS * 1000, () => {
+      this.advanceFetches();
+      const completed = [...this.fetches].filter(([, fetch]) => fetch.remainingGb <= 1e-6);
+      for (const [image] of completed) this.fetches.delete(image);
+      this.scheduleCompletion();
+      for (const [, { waiters }] of completed) for (const ready of waiters.values()) ready();
     });
   }
 }
--- a/packages/region/src/models/index.ts
+++ b/packages/region/src/models/index.ts
@@ -1,3 +1,4 @@
+/** Simulated services, machines and users of a region: everything but its controllers. */
 export * from './balancer.js';
 export * from './cloud.js';
 export * from './gangs.js';
--- a/packages/region/src/models/jobs.ts
+++ b/packages/region/src/models/jobs.ts
@@ -1,73 +1,89 @@
-/** A submission in the users' words, as it is sent. */
+/** The body of a job submission, with the field names of the users' protocol. */
 export interface Submission {
+  /** Job id, chosen by the user. */
   readonly ref: string;
   readonly jobclass: string;
   readonly owner: string;
+  /** `sweep` is an array of tasks, `ensemble` a gang, `daemon` a service. */
   readonly shape: 'sweep' | 'ensemble' | 'daemon';
   readonly urgency: 'production' | 'urgent' | 'standard' | 'low';
+  /** Number of tasks or replicas. */
   readonly pieces: number;
   readonly vcpus: number;
   readonly accelerators: number;
   readonly ram_gb: number;
+  /** Image and its size. */
   readonly bundle: string;
   readonly pull_gb: number;
+  /** Allowed machine types; null: any. */
   readonly hulls: readonly string[] | null;
+  /** Required zone; null: any. */
   readonly berth: string | null;
+  /** All tasks in one zone. */
   readonly same_place: boolean;
+  /** Tasks are spread over zones. */
   readonly scatter: boolean;
+  /** May run on spot machines. */
   readonly flotsam: boolean;
+  /** The user's estimate of a task's run time. */
   readonly expected_s: number;
+  /** Checkpoint interval (0: no checkpoints), and the time that saving one takes. */
   readonly mark_every_s: number;
   readonly mark_cost_s: number;
+  /** Deadline in seconds after the submission; null: none. */
   readonly due_s: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Ids of the jobs that must be done before any task of this one starts. */
   readonly awaits?: readonly string[];
 }
 
 /**
- * What is true of a job, whatever anybody knows of it: how long its tasks run, what they have saved
- * and which have completed. Checkpoints and results lie outside the machines, so they are kept here.
+ * The real state of a simulated job, independent of what the scheduler knows: how long its tasks run, what they have
+ * saved and which have completed. Checkpoints and results are stored outside the machines, so they are kept here.
  */
 export class JobTruth {
-  /** Seconds of progress saved, by task; a gang's under 0. */
+  /** Saved progress in seconds, by task index; a gang's under 0. */
   readonly saved = new Map<number, number>();
+  /** Indexes of the completed tasks. */
   readonly finished = new Set<number>();
-  /** Seconds of useful work done: completed tasks, saved progress, replicas' run time. */
+  /** Seconds of useful work: completed tasks, saved progress, run time of replicas. */
   usefulS = 0;
 
   constructor(
     readonly spec: Submission,
-    /** True run time of a task in seconds on a machine of usual speed; endless for services. */
+    /** Real run time of a task in seconds on a machine of nominal speed; tasks of a service never end by themselves, its user
+     * cancels it after this time. */
     readonly runS: (index: number) => number,
-    /** Submitted with a mistake: its tasks fail wherever they run. */
+    /** The job is faulty: its tasks fail on every machine. */
     readonly mistaken: boolean,
   ) {}
 
+  /** True when all tasks have completed; a service never completes. */
   get complete(): boolean {
     return this.spec.shape !== 'daemon' && this.finished.size >= this.spec.pieces;
   }
 
-  /** The last checkpoint that a task takes by itself, at this progress. */
-  checkpoint(progressS: number): number {
-    const every = this.spec.mark_every_s;
-    return every > 0 ? Math.floor(progressS / every) * every : 0;
+  /** Progress in seconds of the last periodic checkpoint before this progress; 0 without checkpoints. */
+  lastCheckpointBefore(progressS: number): number {
+    const intervalS = this.spec.mark_every_s;
+    return intervalS > 0 ? Math.floor(progressS / intervalS) * intervalS : 0;
   }
 }
 
-/** All jobs that users have uploaded, by id. */
+/** All submitted jobs by id. */
 export class JobBook {
   private readonly jobs = new Map<string, JobTruth>();
 
-  constructor(private readonly find?: (ref: string) => JobTruth | undefined) {}
+  /** `findElsewhere` looks up jobs that were not added here. */
+  constructor(private readonly findElsewhere?: (ref: string) => JobTruth | undefined) {}
 
   add(job: JobTruth): void {
     this.jobs.set(job.spec.ref, job);
   }
 
   get(ref: string): JobTruth | undefined {
-    const known = this.jobs.get(ref) ?? this.find?.(ref);
-    if (known) this.jobs.set(ref, known);
-    return known;
+    const job = this.jobs.get(ref) ?? this.findElsewhere?.(ref);
+    if (job) this.jobs.set(ref, job);
+    return job;
   }
 
   get all(): Iterable<JobTruth> {
--- a/packages/region/src/models/script.ts
+++ b/packages/region/src/models/script.ts
@@ -1,31 +1,32 @@
 import type { JobTruth } from './jobs.js';
 
-/** A job that comes at a set time, instead of one that is drawn. Times in seconds since the day began. */
+/** A job that is submitted at a fixed time instead of a random one. Times in seconds since the start of the day. */
 export interface ScriptedJob {
   readonly atS: number;
   readonly job: JobTruth;
-  /** When its user takes it back; null: never. */
+  /** When its user cancels it; null: never. */
   readonly cancelAtS: number | null;
 }
 
-/** What becomes of one machine, instead of what luck would have. Times in seconds since the day began. */
+/** The course of one machine, which replaces random draws. Times in seconds since the start of the day. */
 export interface ScriptedMachine {
-  /** From its rental until its worker reports; null: it never comes up. */
+  /** Time from its rental until its worker reports; null: it never boots. */
   readonly bootS: number | null;
-  /** Dies without a word. */
+  /** When it fails without notice; null: never. */
   readonly diesAtS: number | null;
-  /** Is taken back, so long after notice was given. */
+  /** When notice of its reclaim is given, and how long after that it is reclaimed; null: never. */
   readonly takenBack: { readonly noticeAtS: number; readonly noticeS: number } | null;
-  /** Its tasks run so many times as long as usual. */
+  /** Factor on the run time of its tasks. */
   readonly slowness: number;
-  /** Every task that it starts from then on fails. */
+  /** Every task that it starts from this time on fails; null: none. */
   readonly failsFromS: number | null;
 }
 
-/** A day by script: who comes when, and what happens to each machine and controller. */
+/** A scripted day: when jobs are submitted, and what happens to each machine and controller. */
 export interface Script {
   readonly jobs: readonly ScriptedJob[];
-  /** The nth machine of a kind (`type zone spot|ordinary`), from 0; those of the day's beginning count first. */
+  /** The course of the nth machine of a kind (`type zone spot|ordinary`), from 0; machines of the start of the day count first. */
   machine(kind: string, nth: number): ScriptedMachine;
+  /** Crashes of controllers: index, time and how long the controller stays down. */
   readonly crashes: readonly { readonly controller: number; readonly atS: number; readonly downS: number }[];
 }
--- a/packages/region/src/models/serve.ts
+++ b/packages/region/src/models/serve.ts
@@ -7,25 +7,28 @@
   type Runtime,
 } from '../../../../src/kernel/index.js';
 
-export interface Answer {
+/** A response of a JSON service. */
+export interface JsonResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-export interface Request {
+/** A request to a JSON service. */
+export interface JsonRequest {
   readonly method: string;
-  /** Without the query. */
+  /** Path without the query. */
   readonly path: string;
   readonly query: URLSearchParams;
-  /** undefined: there was none, or it is not JSON. */
+  /** undefined if there is none, or if it is not valid JSON. */
   readonly body: unknown;
-  /** The sender's IP number, where the network tells it. */
+  /** IP address of the sender; empty where the network doesn't provide it. */
   readonly from: string;
 }
 
-const MAX_BODY = 64 * 1024;
+/** Longer requests are rejected with 400. */
+const MAX_BODY_BYTES = 64 * 1024;
 
-function parse(body: Buffer): unknown {
+function parseJson(body: Buffer): unknown {
   if (body.length === 0) return undefined;
   try {
     return JSON.parse(body.toString('utf8'));
@@ -34,67 +37,79 @@
   }
 }
 
-/** Serves JSON over HTTP/1.1 by the service's own lane, on simulated sockets or real ones. Closing it breaks its connections. */
+/**
+ * Serves JSON over HTTP/1.1 through the controllers' fast path, on simulated or real sockets. Closing the listener closes
+ * its connections.
+ */
 export function serveJson(
   runtime: Runtime,
   at: Endpoint,
   log: Logger,
-  answer: (request: Request) => Answer | Promise<Answer>,
+  handle: (request: JsonRequest) => JsonResponse | Promise<JsonResponse>,
 ): Listening {
-  const open = new Set<Connection>();
-  const listening = runtime.listen({
+  const connections = new Set<Connection>();
+  const listener = runtime.listen({
     ...at,
     allowHalfOpen: true,
     accept: (connection) => {
-      open.add(connection);
-      connection.on('close', () => open.delete(connection));
+      connections.add(connection);
+      connection.on('close', () => connections.delete(connection));
       const from = connection.remoteAddress ?? '';
       Lane.serve(
         connection,
         () => async (head, body) => {
-          const cut = head.path.indexOf('?');
-          const path = cut < 0 ? head.path : head.path.slice(0, cut);
-          const query = new URLSearchParams(cut < 0 ? '' : head.path.slice(cut + 1));
-          const { status, body: value } = await answer({ method: head.method, path, query, body: parse(body), from });
+          const queryStart = head.path.indexOf('?');
+          const path = queryStart < 0 ? head.path : head.path.slice(0, queryStart);
+          const query = new URLSearchParams(queryStart < 0 ? '' : head.path.slice(queryStart + 1));
+          const { status, body: value } = await handle({
+            method: head.method,
+            path,
+            query,
+            body: parseJson(body),
+            from,
+          });
           return { status, text: JSON.stringify(value) };
         },
-        MAX_BODY,
-        // What is no plain request, or too long, isn't part of the protocols.
-        (odd) => odd.end('HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'),
+        MAX_BODY_BYTES,
+        // The simulated protocols contain only plain requests of limited length; anything else is rejected.
+        (invalid) => invalid.end('HTTP/1.1 400 Bad Request\r\nconnection: close\r\ncontent-length: 0\r\n\r\n'),
       );
     },
-    failed: (error) => log.error({ err: error, at }, 'a model cannot listen'),
+    failed: (error) => log.error({ err: error, at }, 'simulated service cannot listen'),
   });
   return {
-    ready: listening.ready,
+    ready: listener.ready,
     close: () => {
-      listening.close();
-      for (const connection of open) connection.destroy();
+      listener.close();
+      for (const connection of connections) connection.destroy();
     },
   };
 }
 
-/** So many a second on average, a burst of `burstS` seconds' worth at most. */
-export class Allowance {
-  private left: number;
-  private at: number;
+/** A token bucket: `ratePerS` requests per second on average, with a burst of at most `maxBurstS` seconds' worth. */
+export class TokenBucket {
+  private availableTokens: number;
+  private refilledAt: number;
 
   constructor(
     private readonly runtime: Runtime,
-    public perS: number,
-    private readonly burstS: number,
+    public ratePerS: number,
+    private readonly maxBurstS: number,
   ) {
-    this.left = perS * burstS;
-    this.at = runtime.now();
+    this.availableTokens = ratePerS * maxBurstS;
+    this.refilledAt = runtime.now();
   }
 
-  /** Takes so many if they are there. */
+  /** Takes `count` tokens if that many are available; returns whether it did. */
   take(count: number): boolean {
     const now = this.runtime.now();
-    this.left = Math.min(this.perS * this.burstS, this.left + ((now - this.at) / 1000) * this.perS);
-    this.at = now;
-    if (this.left < count) return false;
-    this.left -= count;
+    this.availableTokens = Math.min(
+      this.ratePerS * this.maxBurstS,
+      this.availableTokens + ((now - this.refilledAt) / 1000) * this.ratePerS,
+    );
+    this.refilledAt = now;
+    if (this.availableTokens < count) return false;
+    this.availableTokens -= count;
     return true;
   }
 }
--- a/packages/region/src/models/state.ts
+++ b/packages/region/src/models/state.ts
@@ -11,38 +11,47 @@
   type Timer,
 } from '../../../../src/kernel/index.js';
 import type { Luck } from '../sim/index.js';
-import { Allowance, serveJson, type Answer, type Request } from './serve.js';
+import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './serve.js';
 
+/** Limits and latency of the simulated state service. */
 export interface StateFacts {
+  /** Requests per second. */
   readonly rps: number;
+  /** Changed keys per second; transactions whose guards fail count as well. */
   readonly writeRps: number;
+  /** Largest value in KiB. */
   readonly valueKb: number;
+  /** Changes per transaction; four times as many guards are allowed. */
   readonly txnOps: number;
   readonly latencyMs: number;
 }
 
-interface Stored {
+/** A stored value. */
+interface StoredEntry {
   readonly value: unknown;
+  /** Revision of its last change. */
   readonly stamp: number;
   readonly lease: number | null;
 }
 
+/** A lease and the keys that are deleted when it ends. */
 interface Lease {
-  readonly lifeMs: number;
+  readonly ttlMs: number;
   readonly keys: Set<string>;
   timer: Timer;
 }
 
-interface Logged {
+/** A change of one key, with its entry for watches as it is sent. */
+interface LoggedChange {
   readonly key: string;
   readonly stamp: number;
-  readonly entry: unknown;
+  readonly wireEntry: unknown;
 }
 
-/** What a request asks of the state service. */
+/** Kind of a request to the state service, for counters. */
 export type StateOperation = 'read' | 'list' | 'watch' | 'transaction' | 'lease' | 'other';
 
-function operationOf({ method, path }: Request): StateOperation {
+function operationOf({ method, path }: JsonRequest): StateOperation {
   if (path === '/txn') return 'transaction';
   if (path === '/follow') return 'watch';
   if (path.startsWith('/leases')) return 'lease';
@@ -50,62 +59,73 @@
   return path === '/store' ? 'list' : 'read';
 }
 
-/** Executed without an answer, or never executed at all. */
+/** An injected fault: the request is executed but not answered, or not executed at all. */
 export type Spoiled = 'lost-answer' | 'lost-request';
 
+/** An open watch request. `deliverChanges` answers it if there are changes. */
 interface Watch {
-  readonly look: () => void;
+  readonly deliverChanges: () => void;
 }
 
+/** Sets a key, or deletes the key `gone`. */
 type Write =
   { readonly key: string; readonly value: unknown; readonly lease: number | null } | { readonly gone: string };
 
-const KEPT_CHANGES = 10_000;
-const LIST_ITEMS = 1000;
-const LIST_BYTES = 512 * 1024;
-const TXN_BYTES = 64 * 1024;
-const LATE_MS = 100;
-const LATE_WRITES_MS = [2000, 12_000] as const;
-const HELD_MS = [200, 1400] as const;
-const SLOW_SHARE = 0.004;
-const KEY = /^[^ ]{1,200}$/;
-
-const TROUBLE: Answer = { status: 503, body: { error: 'trouble' } };
-const TOO_MANY: Answer = { status: 429, body: { error: 'too many requests' } };
-const malformed = (error: string): Answer => ({ status: 400, body: { error } });
-
-/** The state service, by its protocol: a store with guards, leases and watches, and its limits. */
+/** At least this many changes stay in the log. */
+const RETAINED_CHANGES = 10_000;
+const MAX_LIST_ITEMS = 1000;
+const MAX_LIST_BYTES = 512 * 1024;
+const MAX_TXN_BYTES = 64 * 1024;
+/** A lease expires at most this much late, and never early. */
+const MAX_EXPIRY_DELAY_MS = 100;
+/** Range of the delay of late transactions, and of held answers. */
+const LATE_WRITE_DELAY_MS = [2000, 12_000] as const;
+const HELD_ANSWER_DELAY_MS = [200, 1400] as const;
+/** Share of the requests that take 20 to 60 times the usual latency. */
+const SLOW_REQUEST_SHARE = 0.004;
+const KEY_PATTERN = /^[^ ]{1,200}$/;
+
+const UNAVAILABLE: JsonResponse = { status: 503, body: { error: 'trouble' } };
+const TOO_MANY_REQUESTS: JsonResponse = { status: 429, body: { error: 'too many requests' } };
+const badRequest = (error: string): JsonResponse => ({ status: 400, body: { error } });
+
+/**
+ * A simulated state service that serves the state protocol: a key-value store with guarded transactions, leases and
+ * watches, and with limits. Faults can be injected.
+ */
 export class StateModel {
-  private readonly keys = new Map<string, Stored>();
+  private readonly entries = new Map<string, StoredEntry>();
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<Watch>();
-  private log: Logged[] = [];
-  /** Changes up to this revision may have left the log. */
-  private forgotten = 0;
-  private epoch = 1;
-  private nextLease = 1;
-  private down = false;
-  private readonly refused = new Set<string>();
-  /** Nodes whose watches tell nothing. */
-  private readonly unwatched = new Set<string>();
-  private readonly requests: Allowance;
-  private readonly changes: Allowance;
-  /** How much longer than usual it takes. */
+  private changeLog: LoggedChange[] = [];
+  /** Changes up to this revision may be missing in the log. */
+  private compactedRevision = 0;
+  /** Revision of the last change. */
+  private currentRevision = 1;
+  private nextLeaseId = 1;
+  private inOutage = false;
+  /** IP addresses of nodes whose requests get 503. */
+  private readonly refusedNodes = new Set<string>();
+  /** IP addresses of nodes whose watches deliver nothing. */
+  private readonly nodesWithHeldWatches = new Set<string>();
+  private readonly requestBucket: TokenBucket;
+  private readonly changeBucket: TokenBucket;
+  /** Factor on the latency. */
   slowness = 1;
-  /** This share of transactions gets no answer, and is carried out seconds later, after newer ones. */
+  /** This share of the transactions gets no answer and is applied seconds later, after newer ones. */
   lateWrites = 0;
-  /** Those transactions are carried out at once: only their answers are lost. */
+  /** Applies those transactions at once, so that only their answers are lost. */
   lateAtOnce = false;
-  /** This share of reads and transactions is carried out at once and answered later. */
+  /** This share of the reads and transactions is executed at once and answered later. */
   heldAnswers = 0;
-  /** Told of each change, by measurements. */
+  /** Called by each change, for measurements; `value` is undefined for a deletion. */
   wrote: (key: string, value: unknown) => void = () => undefined;
-  /** Set by tests: a change that is answered and never made. */
+  /** Set by tests: drops a change although the transaction is answered with success. */
   loses: (key: string) => boolean = () => false;
-  /** Set by tests: how a request goes wrong. */
-  spoils: (request: Request) => Spoiled | null = () => null;
+  /** Set by tests: the fault of a request; null: none. */
+  spoils: (request: JsonRequest) => Spoiled | null = () => null;
   readonly counts = { requests: 0, changes: 0, refused: 0 };
-  /** Requests by what they ask. */
+  /** Number of requests by kind. */
   readonly operations: Record<StateOperation, number> = {
     ...{ read: 0, list: 0, watch: 0, transaction: 0, lease: 0, other: 0 },
   };
@@ -113,296 +133,302 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly luck: Luck,
-    private facts: StateFacts,
+    private config: StateFacts,
   ) {
-    this.requests = new Allowance(runtime, facts.rps, 1);
-    this.changes = new Allowance(runtime, facts.writeRps, 1);
+    this.requestBucket = new TokenBucket(runtime, config.rps, 1);
+    this.changeBucket = new TokenBucket(runtime, config.writeRps, 1);
   }
 
+  /** Serves the state protocol at an endpoint. */
   listen(at: Endpoint, log: Logger): Listening {
-    return serveJson(this.runtime, at, log, (request) => this.serve(request));
+    return serveJson(this.runtime, at, log, (request) => this.handleRequest(request));
   }
 
-  /** Every node gets 503, open watches wait, and leases have their full time once it is over. */
+  /** Starts or ends an outage: every request gets 503, open watches stay open, and leases get their full TTL at its end. */
   outage(on: boolean): void {
-    this.down = on;
+    this.inOutage = on;
     for (const [id, lease] of this.leases) {
       lease.timer.cancel();
-      if (!on) lease.timer = this.expiry(id, lease.lifeMs);
+      if (!on) lease.timer = this.scheduleExpiry(id, lease.ttlMs);
     }
-    if (!on) this.wake();
+    if (!on) this.wakeWatches();
   }
 
-  /** One node alone gets 503; its watches wait and its leases run out. */
+  /** Refuses one node with 503, or ends that: its watches stay open and deliver nothing, and its leases expire. */
   refuse(ip: string, on: boolean): void {
-    this.mark(this.refused, ip, on);
+    this.setNodeFlag(this.refusedNodes, ip, on);
   }
 
-  /** One node's watches, open and new ones, tell nothing, while everything else that it asks is answered. */
+  /** Holds back the changes of one node's watches, open and new ones, or ends that; its other requests are answered. */
   holdWatches(ip: string, on: boolean): void {
-    this.mark(this.unwatched, ip, on);
+    this.setNodeFlag(this.nodesWithHeldWatches, ip, on);
   }
 
-  /** Watches that have waited for a node's mark to go look again. */
-  private mark(nodes: Set<string>, ip: string, on: boolean): void {
+  /** Adds a node to a set or removes it; watches that were held because of it check for changes again. */
+  private setNodeFlag(nodes: Set<string>, ip: string, on: boolean): void {
     if (on) nodes.add(ip);
     else nodes.delete(ip);
-    if (!on) this.wake();
+    if (!on) this.wakeWatches();
   }
 
-  /** From now on it takes no more than this; what is stored stays as it is. */
+  /** Changes limits from now on; stored values stay as they are. */
   limit(lower: Partial<Pick<StateFacts, 'writeRps' | 'valueKb' | 'txnOps'>>): void {
-    this.facts = { ...this.facts, ...lower };
-    this.changes.perS = this.facts.writeRps;
+    this.config = { ...this.config, ...lower };
+    this.changeBucket.ratePerS = this.config.writeRps;
   }
 
+  /** Revision of the last change. */
   get revision(): number {
-    return this.epoch;
+    return this.currentRevision;
   }
 
-  /** Keys that are stored, and the bytes of their names and values. */
+  /** Number of stored keys, and the size of keys and values in bytes. */
   get stored(): { readonly keys: number; readonly bytes: number } {
     let bytes = 0;
-    for (const [key, { value }] of this.keys) bytes += key.length + JSON.stringify(value).length;
-    return { keys: this.keys.size, bytes };
+    for (const [key, { value }] of this.entries) bytes += key.length + JSON.stringify(value).length;
+    return { keys: this.entries.size, bytes };
   }
 
-  /** A change as a node would make it. */
+  /** Writes a key without a lease, as a node would. */
   put(key: string, value: unknown): void {
-    this.apply([{ key, value, lease: null }]);
+    this.applyWrites([{ key, value, lease: null }]);
   }
 
+  /** Value of a key; undefined if there is none. */
   get(key: string): unknown {
-    return this.keys.get(key)?.value;
+    return this.entries.get(key)?.value;
   }
 
-  /** The keys with a prefix. */
+  /** Returns the keys with a prefix. */
   under(prefix: string): string[] {
-    return [...this.keys.keys()].filter((key) => key.startsWith(prefix));
+    return [...this.entries.keys()].filter((key) => key.startsWith(prefix));
   }
 
-  /** Drops the log of changes: every watch is told to read again. */
+  /** Compacts the whole change log: every watch from an earlier revision gets 410 and must read again. */
   forget(): void {
-    this.log = [];
-    this.forgotten = this.epoch;
-    this.wake();
+    this.changeLog = [];
+    this.compactedRevision = this.currentRevision;
+    this.wakeWatches();
   }
 
-  private async serve(request: Request): Promise<Answer> {
+  private async handleRequest(request: JsonRequest): Promise<JsonResponse> {
     this.counts.requests += 1;
     this.operations[operationOf(request)] += 1;
-    const slow = this.luck.chance(SLOW_SHARE) ? this.luck.between(20, 60) : 1;
-    await this.runtime.sleep(this.facts.latencyMs * this.luck.between(0.5, 1.5) * slow * this.slowness);
-    if (this.down || this.refused.has(request.from)) return TROUBLE;
-    if (!this.requests.take(1)) {
+    const delayFactor = this.luck.chance(SLOW_REQUEST_SHARE) ? this.luck.between(20, 60) : 1;
+    await this.runtime.sleep(this.config.latencyMs * this.luck.between(0.5, 1.5) * delayFactor * this.slowness);
+    if (this.inOutage || this.refusedNodes.has(request.from)) return UNAVAILABLE;
+    if (!this.requestBucket.take(1)) {
       this.counts.refused += 1;
-      return TOO_MANY;
+      return TOO_MANY_REQUESTS;
     }
     if (this.lateWrites > 0 && request.path === '/txn' && this.luck.chance(this.lateWrites)) {
-      if (this.lateAtOnce) void this.answer(request);
-      else this.runtime.after(this.luck.between(...LATE_WRITES_MS), () => void this.answer(request));
-      return new Promise<Answer>(() => undefined);
+      if (this.lateAtOnce) void this.dispatch(request);
+      else this.runtime.after(this.luck.between(...LATE_WRITE_DELAY_MS), () => void this.dispatch(request));
+      return new Promise<JsonResponse>(() => undefined);
     }
-    const holds = this.heldAnswers > 0 && request.path !== '/follow' && !request.path.startsWith('/leases');
-    if (holds && this.luck.chance(this.heldAnswers)) {
-      const answer = this.answer(request);
-      await this.runtime.sleep(this.luck.between(...HELD_MS));
+    const mayHold = this.heldAnswers > 0 && request.path !== '/follow' && !request.path.startsWith('/leases');
+    if (mayHold && this.luck.chance(this.heldAnswers)) {
+      const answer = this.dispatch(request);
+      await this.runtime.sleep(this.luck.between(...HELD_ANSWER_DELAY_MS));
       return answer;
     }
-    const spoiled = this.spoils(request);
-    if (spoiled === 'lost-answer') void this.answer(request);
-    return spoiled ? new Promise<Answer>(() => undefined) : this.answer(request);
+    const fault = this.spoils(request);
+    if (fault === 'lost-answer') void this.dispatch(request);
+    return fault ? new Promise<JsonResponse>(() => undefined) : this.dispatch(request);
   }
 
-  private answer(request: Request): Answer | Promise<Answer> {
+  private dispatch(request: JsonRequest): JsonResponse | Promise<JsonResponse> {
     const { method, path, query, body } = request;
-    const lease = /^\/leases\/(\d{1,15})(\/extend)?$/.exec(path);
-    if (method === 'GET' && path === '/store') return this.list(query);
-    if (method === 'GET' && path.startsWith('/store/')) return this.read(decodeURIComponent(path.slice(7)));
-    if (method === 'GET' && path === '/follow') return this.follow(request);
-    if (method === 'POST' && path === '/txn') return this.txn(body);
-    if (method === 'POST' && path === '/leases') return this.grant(body);
-    if (lease && method === 'POST' && lease[2] !== undefined) return this.extend(Number(lease[1]));
-    if (lease && method === 'DELETE' && lease[2] === undefined) return this.end(Number(lease[1]));
-    return malformed('no such call');
+    const leasePath = /^\/leases\/(\d{1,15})(\/extend)?$/.exec(path);
+    if (method === 'GET' && path === '/store') return this.listKeys(query);
+    if (method === 'GET' && path.startsWith('/store/')) return this.readKey(decodeURIComponent(path.slice(7)));
+    if (method === 'GET' && path === '/follow') return this.watchChanges(request);
+    if (method === 'POST' && path === '/txn') return this.transact(body);
+    if (method === 'POST' && path === '/leases') return this.grantLease(body);
+    if (leasePath && method === 'POST' && leasePath[2] !== undefined) return this.renewLease(Number(leasePath[1]));
+    if (leasePath && method === 'DELETE' && leasePath[2] === undefined) return this.endLease(Number(leasePath[1]));
+    return badRequest('no such call');
   }
 
-  private read(key: string): Answer {
-    const stored = this.keys.get(key);
-    if (!stored) return { status: 404, body: { epoch: this.epoch } };
+  private readKey(key: string): JsonResponse {
+    const stored = this.entries.get(key);
+    if (!stored) return { status: 404, body: { epoch: this.currentRevision } };
     const { value, stamp, lease } = stored;
     return { status: 200, body: { path: key, value, stamp, ...(lease === null ? {} : { mooring: lease }) } };
   }
 
-  private list(query: URLSearchParams): Answer {
-    const under = query.get('under') ?? '';
+  private listKeys(query: URLSearchParams): JsonResponse {
+    const prefix = query.get('under') ?? '';
     const after = query.get('after') ?? '';
-    const most = Math.min(LIST_ITEMS, Number(query.get('most') ?? LIST_ITEMS));
-    if (!Number.isInteger(most) || most < 1) return malformed('most');
-    const found: string[] = [];
-    for (const key of this.keys.keys()) if (key.startsWith(under) && key > after) found.push(key);
-    found.sort();
+    const maxEntries = Math.min(MAX_LIST_ITEMS, Number(query.get('most') ?? MAX_LIST_ITEMS));
+    if (!Number.isInteger(maxEntries) || maxEntries < 1) return badRequest('most');
+    const keys: string[] = [];
+    for (const key of this.entries.keys()) if (key.startsWith(prefix) && key > after) keys.push(key);
+    keys.sort();
     const entries: unknown[] = [];
     let bytes = 0;
-    for (const key of found) {
-      const stored = this.keys.get(key);
+    for (const key of keys) {
+      const stored = this.entries.get(key);
       if (!stored) continue;
       const entry = { path: key, value: stored.value, stamp: stored.stamp };
       bytes += JSON.stringify(entry).length;
-      if (entries.length >= most || (entries.length > 0 && bytes > LIST_BYTES)) break;
+      if (entries.length >= maxEntries || (entries.length > 0 && bytes > MAX_LIST_BYTES)) break;
       entries.push(entry);
     }
-    return { status: 200, body: { entries, truncated: entries.length < found.length, epoch: this.epoch } };
+    return { status: 200, body: { entries, truncated: entries.length < keys.length, epoch: this.currentRevision } };
   }
 
-  private txn(body: unknown): Answer {
-    if (!isObject(body)) return malformed('the body must be a JSON object');
-    if (JSON.stringify(body).length > TXN_BYTES) return malformed('too long');
+  private transact(body: unknown): JsonResponse {
+    if (!isObject(body)) return badRequest('the body must be a JSON object');
+    if (JSON.stringify(body).length > MAX_TXN_BYTES) return badRequest('too long');
     const guards = asList(body['guards']);
     const writes: Write[] = [];
     for (const item of asList(body['writes'])) {
       const write = this.decodeWrite(item);
-      if (typeof write === 'string') return malformed(write);
+      if (typeof write === 'string') return badRequest(write);
       writes.push(write);
     }
-    if (writes.length > this.facts.txnOps) return malformed('too many changes');
-    if (guards.length > 4 * this.facts.txnOps) return malformed('too many conditions');
+    if (writes.length > this.config.txnOps) return badRequest('too many changes');
+    if (guards.length > 4 * this.config.txnOps) return badRequest('too many conditions');
     const failed: string[] = [];
     for (const guard of guards) {
       const key = isObject(guard) ? asString(guard['path']) : undefined;
       const stamp = isObject(guard) ? asCount(guard['stamp']) : undefined;
-      if (key === undefined || stamp === undefined) return malformed('a condition');
-      if ((this.keys.get(key)?.stamp ?? 0) !== stamp) failed.push(key);
+      if (key === undefined || stamp === undefined) return badRequest('a condition');
+      if ((this.entries.get(key)?.stamp ?? 0) !== stamp) failed.push(key);
     }
-    // Transactions whose conditions fail are counted as well.
-    if (writes.length > 0 && !this.changes.take(writes.length)) {
+    // Transactions whose guards fail count towards the limit as well.
+    if (writes.length > 0 && !this.changeBucket.take(writes.length)) {
       this.counts.refused += 1;
-      return TOO_MANY;
+      return TOO_MANY_REQUESTS;
     }
     for (const write of writes) {
-      if ('key' in write && write.lease !== null && !this.leases.has(write.lease)) return malformed('no such lease');
+      if ('key' in write && write.lease !== null && !this.leases.has(write.lease)) return badRequest('no such lease');
     }
-    if (failed.length > 0) return { status: 409, body: { failed, epoch: this.epoch } };
-    if (writes.length > 0) this.apply(writes);
-    return { status: 200, body: { epoch: this.epoch } };
+    if (failed.length > 0) return { status: 409, body: { failed, epoch: this.currentRevision } };
+    if (writes.length > 0) this.applyWrites(writes);
+    return { status: 200, body: { epoch: this.currentRevision } };
   }
 
   private decodeWrite(item: unknown): Write | string {
     if (!isObject(item)) return 'a change must be an object';
     const gone = asString(item['remove']);
-    if (gone !== undefined) return KEY.test(gone) ? { gone } : 'a key';
+    if (gone !== undefined) return KEY_PATTERN.test(gone) ? { gone } : 'a key';
     const key = asString(item['write']);
-    if (key === undefined || !KEY.test(key)) return 'a key';
+    if (key === undefined || !KEY_PATTERN.test(key)) return 'a key';
     const { value = null } = item;
-    if (JSON.stringify(value).length > this.facts.valueKb * 1024) return 'a value is too long';
+    if (JSON.stringify(value).length > this.config.valueKb * 1024) return 'a value is too long';
     return { key, value, lease: asCount(item['mooring']) ?? null };
   }
 
-  private apply(writes: readonly Write[]): void {
-    this.epoch += 1;
+  /** Applies the writes as one revision. A write without a lease detaches the key from its lease. */
+  private applyWrites(writes: readonly Write[]): void {
+    this.currentRevision += 1;
     this.counts.changes += writes.length;
-    const stamp = this.epoch;
+    const stamp = this.currentRevision;
     for (const write of writes) {
       const key = 'gone' in write ? write.gone : write.key;
       if (this.loses(key)) continue;
       this.wrote(key, 'gone' in write ? undefined : write.value);
-      const before = this.keys.get(key);
+      const before = this.entries.get(key);
       if (before?.lease != null) this.leases.get(before.lease)?.keys.delete(key);
       if ('gone' in write) {
         if (!before) continue;
-        this.keys.delete(key);
-        this.log.push({ key, stamp, entry: { remove: key, stamp } });
+        this.entries.delete(key);
+        this.changeLog.push({ key, stamp, wireEntry: { remove: key, stamp } });
       } else {
-        this.keys.set(key, { value: write.value, stamp, lease: write.lease });
+        this.entries.set(key, { value: write.value, stamp, lease: write.lease });
         if (write.lease !== null) this.leases.get(write.lease)?.keys.add(key);
-        this.log.push({ key, stamp, entry: { write: key, value: write.value, stamp } });
+        this.changeLog.push({ key, stamp, wireEntry: { write: key, value: write.value, stamp } });
       }
     }
-    if (this.log.length > 2 * KEPT_CHANGES) {
-      this.log = this.log.slice(-KEPT_CHANGES);
-      this.forgotten = (this.log[0]?.stamp ?? 1) - 1;
+    if (this.changeLog.length > 2 * RETAINED_CHANGES) {
+      this.changeLog = this.changeLog.slice(-RETAINED_CHANGES);
+      this.compactedRevision = (this.changeLog[0]?.stamp ?? 1) - 1;
     }
-    this.wake();
+    this.wakeWatches();
   }
 
-  private wake(): void {
-    for (const watch of [...this.watches]) watch.look();
+  private wakeWatches(): void {
+    for (const watch of [...this.watches]) watch.deliverChanges();
   }
 
-  /** The log's part behind a revision, found from its end: watches are seldom far behind. */
-  private since(after: number, prefix: string): unknown[] {
-    let at = this.log.length;
-    while (at > 0 && (this.log[at - 1]?.stamp ?? 0) > after) at -= 1;
-    const found: unknown[] = [];
-    for (; at < this.log.length; at++) {
-      const logged = this.log[at];
-      if (logged?.key.startsWith(prefix) === true) found.push(logged.entry);
+  /** Returns the changes after a revision; searches from the end of the log, as watches are seldom far behind. */
+  private changesAfter(after: number, prefix: string): unknown[] {
+    let start = this.changeLog.length;
+    while (start > 0 && (this.changeLog[start - 1]?.stamp ?? 0) > after) start -= 1;
+    const entries: unknown[] = [];
+    for (; start < this.changeLog.length; start++) {
+      const logged = this.changeLog[start];
+      if (logged?.key.startsWith(prefix) === true) entries.push(logged.wireEntry);
     }
-    return found;
+    return entries;
   }
 
-  private follow({ query, from }: Request): Answer | Promise<Answer> {
+  /** Answers with the next changes, with none after the wait time, or with 410 if the revision is compacted. */
+  private watchChanges({ query, from }: JsonRequest): JsonResponse | Promise<JsonResponse> {
     const prefix = query.get('under') ?? '';
     const after = Number(query.get('after') ?? Number.NaN);
     const waitMs = Math.min(60_000, Number(query.get('wait_ms') ?? 0));
-    if (!Number.isInteger(after) || !(waitMs >= 0)) return malformed('after');
-    const gone = (): Answer => ({ status: 410, body: { epoch: this.epoch } });
-    if (after < this.forgotten) return gone();
+    if (!Number.isInteger(after) || !(waitMs >= 0)) return badRequest('after');
+    const compacted = (): JsonResponse => ({ status: 410, body: { epoch: this.currentRevision } });
+    if (after < this.compactedRevision) return compacted();
     return new Promise((resolve) => {
-      const end = (answer: Answer): void => {
+      const finish = (answer: JsonResponse): void => {
         timer.cancel();
         this.watches.delete(watch);
         resolve(answer);
       };
-      const waits = (): boolean => this.down || this.refused.has(from) || this.unwatched.has(from);
-      const look = (): void => {
-        if (waits()) return;
-        if (after < this.forgotten) {
-          end(gone());
+      const isHeld = (): boolean => this.inOutage || this.refusedNodes.has(from) || this.nodesWithHeldWatches.has(from);
+      const deliverChanges = (): void => {
+        if (isHeld()) return;
+        if (after < this.compactedRevision) {
+          finish(compacted());
           return;
         }
-        const log = this.since(after, prefix);
-        if (log.length > 0) end({ status: 200, body: { epoch: this.epoch, log } });
+        const log = this.changesAfter(after, prefix);
+        if (log.length > 0) finish({ status: 200, body: { epoch: this.currentRevision, log } });
       };
-      const over = (): void => {
-        // Open watches remain open through an outage.
-        if (waits()) timer = this.runtime.after(500, over);
-        else end({ status: 200, body: { epoch: this.epoch, log: this.since(after, prefix) } });
+      const onTimeout = (): void => {
+        // Open watches stay open during an outage; check again every 500 ms.
+        if (isHeld()) timer = this.runtime.after(500, onTimeout);
+        else finish({ status: 200, body: { epoch: this.currentRevision, log: this.changesAfter(after, prefix) } });
       };
-      let timer = this.runtime.after(waitMs, over);
-      const watch: Watch = { look };
+      let timer = this.runtime.after(waitMs, onTimeout);
+      const watch: Watch = { deliverChanges };
       this.watches.add(watch);
-      look();
+      deliverChanges();
     });
   }
 
-  private expiry(id: number, lifeMs: number): Timer {
-    return this.runtime.after(lifeMs + this.luck.next() * LATE_MS, () => this.end(id));
+  private scheduleExpiry(id: number, ttlMs: number): Timer {
+    return this.runtime.after(ttlMs + this.luck.next() * MAX_EXPIRY_DELAY_MS, () => this.endLease(id));
   }
 
-  private grant(body: unknown): Answer {
-    const lifeMs = isObject(body) ? asNumber(body['life_ms']) : undefined;
-    if (lifeMs === undefined || lifeMs < 100 || lifeMs > 600_000) return malformed('life_ms');
-    const id = this.nextLease++;
-    this.leases.set(id, { lifeMs, keys: new Set(), timer: this.expiry(id, lifeMs) });
+  private grantLease(body: unknown): JsonResponse {
+    const ttlMs = isObject(body) ? asNumber(body['life_ms']) : undefined;
+    if (ttlMs === undefined || ttlMs < 100 || ttlMs > 600_000) return badRequest('life_ms');
+    const id = this.nextLeaseId++;
+    this.leases.set(id, { ttlMs, keys: new Set(), timer: this.scheduleExpiry(id, ttlMs) });
     return { status: 200, body: { mooring: id } };
   }
 
-  private extend(id: number): Answer {
+  private renewLease(id: number): JsonResponse {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: { error: 'no such lease' } };
     lease.timer.cancel();
-    lease.timer = this.expiry(id, lease.lifeMs);
+    lease.timer = this.scheduleExpiry(id, lease.ttlMs);
     return { status: 200, body: { mooring: id } };
   }
 
-  private end(id: number): Answer {
+  /** Ends a lease and deletes its keys. */
+  private endLease(id: number): JsonResponse {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: { error: 'no such lease' } };
     lease.timer.cancel();
     this.leases.delete(id);
-    const gone = [...lease.keys].filter((key) => this.keys.get(key)?.lease === id);
-    if (gone.length > 0) this.apply(gone.map((key) => ({ gone: key })));
+    const expiredKeys = [...lease.keys].filter((key) => this.entries.get(key)?.lease === id);
+    if (expiredKeys.length > 0) this.applyWrites(expiredKeys.map((key) => ({ gone: key })));
     return { status: 200, body: {} };
   }
 }
--- a/packages/region/src/models/tasks.ts
+++ b/packages/region/src/models/tasks.ts
@@ -2,40 +2,47 @@
 import type { Luck } from '../sim/index.js';
 import type { Machine } from './cloud.js';
 import type { GangBook, GangMember } from './gangs.js';
-import { ImageStore } from './images.js';
+import { ImageCache } from './images.js';
 import type { JobBook, JobTruth } from './jobs.js';
 
-export type Phase = 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
+/** Phase of a task as its worker reports it. */
+export type TaskPhase = 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
+/** Why a task exited, as its worker reports it. */
 export type Cause = 'done' | 'stopped' | 'mates_gone' | 'alone' | 'error' | 'no_room' | 'in_use' | 'no_such';
 
-/** Told what truly happens to tasks, whoever knows of it. */
+/** Observes what really happens to tasks, whether or not the scheduler learns of it. */
 export interface TaskWatch {
-  /** A start command was accepted: its image comes next. */
+  /** A start command was accepted; the task fetches its image next. */
   ordered?(machine: Machine, job: JobTruth, index: number, attempt: number): void;
-  /** It has its image: from now on it is on the machine. */
+  /** The task has its image; from now on it counts as present on the machine. */
   entered(machine: Machine, job: JobTruth, index: number, attempt: number): void;
+  /** The task runs. */
   running(machine: Machine, job: JobTruth, index: number, attempt: number): void;
-  /** It exited, was killed, or the machine is gone. */
+  /** The task exited, was killed, or its machine is gone. */
   left(machine: Machine, job: JobTruth, index: number, attempt: number, cause: Cause | 'killed'): void;
 }
 
+/** An attempt of a task on a machine. */
 export interface Task {
   readonly key: TaskKey;
   readonly index: number;
   readonly attempt: number;
-  /** undefined: refused, there is no such job. */
+  /** undefined if there is no such job; the task is refused then. */
   readonly job: JobTruth | undefined;
-  phase: Phase;
+  phase: TaskPhase;
   cause: Cause | null;
+  /** Its progress was saved before it exited. */
   stored: boolean;
-  /** It has its image, and nobody has said yet that it left. */
+  /** Has its image, and the observer has not been told yet that it left. */
   on: boolean;
-  baseS: number;
+  /** Progress in seconds at `runningAt`, or at present while it makes none. */
+  baseProgressS: number;
   runningAt: number | null;
   timer: Timer | undefined;
   member: GangMember | undefined;
 }
 
+/** What {@link MachineTasks} depends on. */
 export interface TasksDeps {
   readonly runtime: Runtime;
   readonly luck: Luck;
@@ -44,67 +51,72 @@
   readonly watch: TaskWatch;
 }
 
-/** The tasks on one machine: what they wait for, how far they are, and how they end. */
+/** The tasks on one machine: fetching of images, progress, saving and exits. */
 export class MachineTasks {
   private readonly tasks = new Map<string, Task>();
-  private readonly images: ImageStore;
-  private readonly usualSpeed: number;
-  /** How much slower than usual its tasks run. */
+  private readonly images: ImageCache;
+  /** Speed of this machine without slowness, between 0.95 and 1.05. */
+  private readonly nominalSpeed: number;
+  /** Factor on the run time of its tasks. */
   slowness = 1;
-  /** Every task that it starts fails. */
+  /** Every task that starts from now on fails. */
   failsTasks = false;
 
   constructor(
     private readonly machine: Machine,
     private readonly deps: TasksDeps,
-    /** Something that a report must tell. */
-    private readonly changed: () => void,
+    /** Called when something changed that the worker must report. */
+    private readonly onChange: () => void,
   ) {
     const { runtime, luck } = deps;
-    this.images = new ImageStore(runtime, machine.type.cacheGb, machine.type.fetchGbPerS * luck.between(0.67, 1.33));
-    this.usualSpeed = luck.between(0.95, 1.05);
+    this.images = new ImageCache(runtime, machine.type.cacheGb, machine.type.fetchGbPerS * luck.between(0.67, 1.33));
+    this.nominalSpeed = luck.between(0.95, 1.05);
   }
 
+  /** All tasks that the machine knows, exited ones included. */
   get all(): Iterable<Task> {
     return this.tasks.values();
   }
 
-  held(key: TaskKey, attempt: number): Task | undefined {
+  /** Returns an attempt that the machine knows, also an exited one. */
+  find(key: TaskKey, attempt: number): Task | undefined {
     return this.tasks.get(`${key}#${attempt}`);
   }
 
+  /** Drops a task from the reports. */
   forget({ key, attempt }: Task): void {
     this.tasks.delete(`${key}#${attempt}`);
   }
 
-  /** Everything is killed and forgotten. */
+  /** Kills and forgets all tasks. */
   killAll(): void {
     for (const task of [...this.tasks.values()]) this.kill(task);
     this.tasks.clear();
   }
 
-  /** The machine hangs: tasks make no progress until it goes on. */
+  /** Handles that the machine hangs: tasks make no progress until `resume`. */
   pause(): void {
     this.images.pause();
     for (const task of this.tasks.values()) {
       if (task.job?.spec.shape === 'ensemble') {
-        if (task.member) this.deps.gangs.lose(task.job, task.attempt, task.member, true);
+        if (task.member) this.deps.gangs.onMemberLost(task.job, task.attempt, task.member, true);
       } else if (task.phase === 'running') {
-        task.baseS = this.progress(task);
+        task.baseProgressS = this.progressOf(task);
         task.timer?.cancel();
         task.runningAt = null;
       }
     }
   }
 
+  /** Handles that the machine no longer hangs. */
   resume(): void {
     this.images.resume();
     for (const task of this.tasks.values()) {
-      if (task.job && task.job.spec.shape !== 'ensemble' && task.phase === 'running') this.work(task, task.job);
+      if (task.job && task.job.spec.shape !== 'ensemble' && task.phase === 'running') this.runTask(task, task.job);
     }
   }
 
-  /** An array's task is through now, whatever time it had left. */
+  /** Completes a running task that is not in a gang at once, whatever run time it has left. */
   finish(key: string): void {
     for (const task of this.tasks.values()) {
       if (task.key !== key || task.phase !== 'running' || !task.job || task.member) continue;
@@ -118,23 +130,23 @@
     this.exit(task, 'done');
   }
 
-  /** A start command for an attempt that isn't held yet. */
-  begin(key: TaskKey, ref: string, index: number, attempt: number): void {
+  /** Executes a start command for an attempt that the machine doesn't know yet. */
+  start(key: TaskKey, ref: string, index: number, attempt: number): void {
     const job = this.deps.jobs.get(ref);
     const task: Task = {
       ...{ key, index, attempt, job, phase: 'fetching', cause: null, stored: false, on: false },
-      ...{ baseS: 0, runningAt: null, timer: undefined, member: undefined },
+      ...{ baseProgressS: 0, runningAt: null, timer: undefined, member: undefined },
     };
     const others = [...this.tasks.values()].filter((other) => other.phase !== 'exited');
     this.tasks.set(`${key}#${attempt}`, task);
-    this.changed();
+    this.onChange();
     if (!job || index >= job.spec.pieces) this.exit(task, 'no_such');
     else if (others.some((other) => other.key === key)) this.exit(task, 'in_use');
     else if (!this.fits(job, others)) this.exit(task, 'no_room');
     else {
       this.deps.watch.ordered?.(this.machine, job, index, attempt);
       const { bundle, pull_gb: gb } = job.spec;
-      this.images.want(bundle, gb, `${key}#${attempt}`, () => this.enter(task, job));
+      this.images.request(bundle, gb, `${key}#${attempt}`, () => this.onImageReady(task, job));
     }
   }
 
@@ -146,14 +158,14 @@
       gpus += job?.spec.accelerators ?? 0;
       memory += job?.spec.ram_gb ?? 0;
     }
-    const e = 1e-9;
-    return cpus <= type.cpus + e && gpus <= type.gpus + e && memory <= type.memoryGb + e;
+    const tolerance = 1e-9;
+    return cpus <= type.cpus + tolerance && gpus <= type.gpus + tolerance && memory <= type.memoryGb + tolerance;
   }
 
-  private enter(task: Task, job: JobTruth): void {
+  private onImageReady(task: Task, job: JobTruth): void {
     task.on = true;
     this.deps.watch.entered(this.machine, job, task.index, task.attempt);
-    // The result of a completed task is kept.
+    // The result of a completed task is stored, so it exits as done without running again.
     if (job.finished.has(task.index)) {
       this.exit(task, 'done');
       return;
@@ -161,27 +173,27 @@
     if (job.spec.shape !== 'ensemble') {
       task.phase = 'running';
       this.deps.watch.running(this.machine, job, task.index, task.attempt);
-      task.baseS = job.saved.get(task.index) ?? 0;
-      this.work(task, job);
-      this.changed();
+      task.baseProgressS = job.saved.get(task.index) ?? 0;
+      this.runTask(task, job);
+      this.onChange();
       return;
     }
     task.phase = 'gathering';
-    this.changed();
+    this.onChange();
     const member: GangMember = {
       index: task.index,
       speed: () => this.speed,
       start: () => {
         task.phase = 'running';
         this.deps.watch.running(this.machine, job, task.index, task.attempt);
-        if (this.failsTasks || job.mistaken) this.failSoon(task);
-        this.changed();
+        if (this.failsTasks || job.mistaken) this.scheduleFailure(task);
+        this.onChange();
       },
       saving: () => {
         task.phase = 'flushing';
-        this.changed();
+        this.onChange();
       },
-      // On a machine that hangs it happens once the machine goes on.
+      // On a machine that hangs the timer fires, and thus the task exits, only once the machine resumes.
       exit: (cause, stored) => {
         this.deps.runtime.after(0, () => {
           task.stored = stored;
@@ -193,33 +205,37 @@
     this.deps.gangs.join(job, task.attempt, member);
   }
 
+  /** Present speed; 1 is nominal. */
   private get speed(): number {
-    return this.usualSpeed / this.slowness;
+    return this.nominalSpeed / this.slowness;
   }
 
-  private progress(task: Task): number {
-    if (task.runningAt === null) return task.baseS;
-    return task.baseS + ((this.deps.runtime.now() - task.runningAt) / 1000) * this.speed;
+  /** Progress of a task in seconds. */
+  private progressOf(task: Task): number {
+    if (task.runningAt === null) return task.baseProgressS;
+    return task.baseProgressS + ((this.deps.runtime.now() - task.runningAt) / 1000) * this.speed;
   }
 
-  private work(task: Task, job: JobTruth): void {
+  /** Lets a task make progress, and schedules its end. */
+  private runTask(task: Task, job: JobTruth): void {
     task.runningAt = this.deps.runtime.now();
     if (this.failsTasks || job.mistaken) {
-      this.failSoon(task);
+      this.scheduleFailure(task);
       return;
     }
     if (job.spec.shape === 'daemon') return;
-    const leftS = Math.max(0, job.runS(task.index) - task.baseS) / this.speed;
+    const leftS = Math.max(0, job.runS(task.index) - task.baseProgressS) / this.speed;
     task.timer = this.deps.runtime.after(leftS * 1000, () => this.complete(task, job));
   }
 
-  private failSoon(task: Task): void {
+  private scheduleFailure(task: Task): void {
     task.timer = this.deps.runtime.after(this.deps.luck.between(300, 2500), () => {
-      if (task.member && task.job) this.deps.gangs.lose(task.job, task.attempt, task.member, false);
+      if (task.member && task.job) this.deps.gangs.onMemberLost(task.job, task.attempt, task.member, false);
       this.exit(task, 'error');
     });
   }
 
+  /** Executes a stop command: the task saves its progress and exits, or exits at once if the grace period is too short. */
   stop(task: Task, graceS: number): void {
     const { job } = task;
     if (!job || task.phase === 'exited') return;
@@ -227,59 +243,61 @@
       this.deps.gangs.stop(job, task.attempt, task.member, graceS);
       return;
     }
-    const { mark_every_s: every, mark_cost_s: cost } = job.spec;
+    const { mark_every_s: saveIntervalS, mark_cost_s: saveDurationS } = job.spec;
     if (task.phase === 'flushing') {
-      if (graceS === 0) this.leaveUnsaved(task, job, 'stopped');
+      if (graceS === 0) this.exitWithoutSaving(task, job, 'stopped');
       return;
     }
-    if (task.phase !== 'running' || every <= 0 || graceS < cost) {
-      this.leaveUnsaved(task, job, 'stopped');
+    if (task.phase !== 'running' || saveIntervalS <= 0 || graceS < saveDurationS) {
+      this.exitWithoutSaving(task, job, 'stopped');
       return;
     }
     task.timer?.cancel();
-    task.baseS = this.progress(task);
+    task.baseProgressS = this.progressOf(task);
     task.runningAt = null;
     task.phase = 'flushing';
-    this.changed();
-    task.timer = this.deps.runtime.after(cost * 1000, () => {
-      this.keep(task, job, task.baseS);
+    this.onChange();
+    task.timer = this.deps.runtime.after(saveDurationS * 1000, () => {
+      this.saveProgress(task, job, task.baseProgressS);
       task.stored = true;
       this.exit(task, 'stopped');
     });
   }
 
-  private keep(task: Task, job: JobTruth, progressS: number): void {
-    const before = job.saved.get(task.index) ?? 0;
-    if (progressS <= before) return;
-    job.usefulS += progressS - before;
+  /** Saves progress, if it is more than what is saved already. */
+  private saveProgress(task: Task, job: JobTruth, progressS: number): void {
+    const savedS = job.saved.get(task.index) ?? 0;
+    if (progressS <= savedS) return;
+    job.usefulS += progressS - savedS;
     job.saved.set(task.index, progressS);
   }
 
-  /** What its own checkpoints have saved stays; a replica's run time was of use. */
-  private leaveUnsaved(task: Task, job: JobTruth, cause: Cause): void {
-    this.wrapUp(task, job);
+  /** Exits without saving; progress up to the last periodic checkpoint is kept. */
+  private exitWithoutSaving(task: Task, job: JobTruth, cause: Cause): void {
+    this.recordProgress(task, job);
     this.exit(task, cause);
   }
 
-  private wrapUp(task: Task, job: JobTruth): void {
+  /** Keeps what periodic checkpoints have saved; the run time of a replica counts as useful work. */
+  private recordProgress(task: Task, job: JobTruth): void {
     if (!task.on || task.member) return;
-    if (job.spec.shape === 'daemon') job.usefulS += this.progress(task);
-    else this.keep(task, job, job.checkpoint(this.progress(task)));
-    task.baseS = 0;
+    if (job.spec.shape === 'daemon') job.usefulS += this.progressOf(task);
+    else this.saveProgress(task, job, job.lastCheckpointBefore(this.progressOf(task)));
+    task.baseProgressS = 0;
     task.runningAt = null;
   }
 
   private exit(task: Task, cause: Cause): void {
     if (task.phase === 'exited' || this.tasks.get(`${task.key}#${task.attempt}`) !== task) return;
     task.timer?.cancel();
-    if (task.phase === 'fetching' && task.job) this.images.leave(task.job.spec.bundle, `${task.key}#${task.attempt}`);
+    if (task.phase === 'fetching' && task.job) this.images.cancel(task.job.spec.bundle, `${task.key}#${task.attempt}`);
     task.phase = 'exited';
     task.cause = cause;
-    this.off(task, cause);
-    this.changed();
+    this.notifyLeft(task, cause);
+    this.onChange();
   }
 
-  private off(task: Task, cause: Cause | 'killed'): void {
+  private notifyLeft(task: Task, cause: Cause | 'killed'): void {
     if (!task.on || !task.job) return;
     task.on = false;
     this.deps.watch.left(this.machine, task.job, task.index, task.attempt, cause);
@@ -289,10 +307,10 @@
     task.timer?.cancel();
     const { job } = task;
     if (!job || task.phase === 'exited') return;
-    if (task.phase === 'fetching') this.images.leave(job.spec.bundle, `${task.key}#${task.attempt}`);
-    this.wrapUp(task, job);
+    if (task.phase === 'fetching') this.images.cancel(job.spec.bundle, `${task.key}#${task.attempt}`);
+    this.recordProgress(task, job);
     task.phase = 'exited';
-    this.off(task, 'killed');
-    if (task.member) this.deps.gangs.lose(job, task.attempt, task.member, false);
+    this.notifyLeft(task, 'killed');
+    if (task.member) this.deps.gangs.onMemberLost(job, task.attempt, task.member, false);
   }
 }
--- a/packages/region/src/models/users.ts
+++ b/packages/region/src/models/users.ts
@@ -3,184 +3,210 @@
 import { Luck } from '../sim/index.js';
 import type { Balancer, UserSession } from './balancer.js';
 import { phaseOf, statusOf } from './answers.js';
-import { CloseUsers } from './close.js';
+import { AdversarialUsers } from './close.js';
 import { JobTruth, type JobBook, type Submission } from './jobs.js';
 import type { ScriptedJob } from './script.js';
 import type { UserView, UserWitness } from './witness.js';
 
+/** What {@link UserModel} depends on. */
 export interface UserDeps {
   readonly runtime: Runtime;
+  /** Real time in milliseconds since the start of the day. */
   readonly now: () => number;
   readonly luck: Luck;
   readonly day: Day;
   readonly balancer: Balancer;
   readonly jobs: JobBook;
   readonly checker: UserWitness;
+  /** Called for each job before its submission. */
   readonly arrived: (view: UserView) => void;
-  /** The controllers themselves, for users that ask around the balancer. */
+  /** The endpoints of the controllers, for requests that bypass the balancer. */
   readonly nodes: readonly Endpoint[];
-  /** Instead of drawn jobs and strangers. */
+  /** Jobs to submit, instead of randomly drawn ones and of polls for unknown jobs. */
   readonly script?: readonly ScriptedJob[];
 }
 
+/** Names of job shapes in the users' protocol. */
 const SHAPES = { array: 'sweep', gang: 'ensemble', service: 'daemon' } as const;
 const SUBMIT_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
-const POLL_EVERY_MS = 5000;
-const RETRY_MS = 1000;
-const LONGEST_RETRY_MS = 30_000;
-const GIVES_UP_MS = 60_000;
-const STRANGER_EVERY_MS = 15_000;
-const FIRST_JOBS_WITHIN_MS = 5000;
-/** Of accepted jobs, how many are submitted once more; and of those that are over, how many are asked about again. */
-const REPEATS = 0.03;
-const ASKS_AGAIN = 0.05;
-const LONGEST_LUCK = 20;
+const POLL_INTERVAL_MS = 5000;
+const MIN_RETRY_DELAY_MS = 1000;
+const MAX_RETRY_DELAY_MS = 30_000;
+/** A submission that is not accepted within this time is given up. */
+const RETRY_DEADLINE_MS = 60_000;
+const UNKNOWN_JOB_POLL_INTERVAL_MS = 15_000;
+const INITIAL_JOBS_WINDOW_MS = 5000;
+/** Share of the accepted jobs that are submitted once more, and share of the ended ones that are polled and submitted again. */
+const RESUBMIT_SHARE = 0.03;
+const ASK_AFTER_END_SHARE = 0.05;
+/** Largest factor between the estimated and the real run time of a job. */
+const MAX_ESTIMATE_FACTOR = 20;
 
-/** Users, by the protocol: they submit, retry, poll, cancel, repeat themselves, and ask about jobs that never were. */
+/**
+ * Simulated users of the job API: they submit jobs and pipelines, retry, poll, cancel, repeat requests, and ask about jobs
+ * that don't exist.
+ */
 export class UserModel {
-  private readonly factors = new Map<string, number>();
-  private readonly used = new Set<string>();
-  /** Jobs that were accepted, in that order. */
+  /** Factor on the arrival rate, by job class. */
+  private readonly arrivalFactors = new Map<string, number>();
+  private readonly usedRefs = new Set<string>();
+  /** Accepted jobs, in the order of their acceptance. */
   readonly accepted: UserView[] = [];
-  private ended = false;
-  readonly close: CloseUsers;
+  private stopped = false;
+  /** Users that provoke races and errors. */
+  readonly close: AdversarialUsers;
 
   constructor(private readonly deps: UserDeps) {
     const { runtime, luck, nodes, checker, day } = deps;
-    const own = luck.fork('close');
-    this.close = new CloseUsers({
-      ...{ runtime, nodes, checker, luck: own, accepted: this.accepted },
-      draft: () => this.draw(own.pick(day.classes)).spec,
-      submitAgain: (view) => void this.once((session) => this.submitOnce(session, view)),
-      cancel: (view) => void this.once((session) => this.cancel(session, view)),
+    const adversarialRandom = luck.fork('close');
+    this.close = new AdversarialUsers({
+      ...{ runtime, nodes, checker, luck: adversarialRandom, accepted: this.accepted },
+      drawSubmission: () => this.drawJob(adversarialRandom.pick(day.classes)).spec,
+      resubmit: (view) => void this.withSession((session) => this.submitOnce(session, view)),
+      cancel: (view) => void this.withSession((session) => this.cancel(session, view)),
     });
   }
 
-  /** On a connection of its own. */
-  private async once(work: (session: UserSession) => Promise<unknown>): Promise<void> {
-    const session = this.deps.balancer.session();
+  /** Does some work in a session of its own. */
+  private async withSession(work: (session: UserSession) => Promise<unknown>): Promise<void> {
+    const session = this.deps.balancer.openSession();
     await work(session);
     session.close();
   }
 
-  /** How many times as often jobs of a class come. */
+  /** Sets the factor on the arrival rate of a job class. */
   burst(jobClass: string, times: number): void {
-    this.factors.set(jobClass, times);
+    this.arrivalFactors.set(jobClass, times);
   }
 
+  /** Submits the initial jobs and starts the arrivals, or schedules the scripted jobs. */
   start(): void {
     const { runtime, day, luck, script } = this.deps;
     if (script) {
-      for (const planned of script) runtime.after(planned.atS * 1000, () => void this.livePlanned(planned));
+      for (const scriptedJob of script)
+        runtime.after(scriptedJob.atS * 1000, () => void this.simulateScriptedJob(scriptedJob));
       return;
     }
     for (const jobClass of day.classes) {
       for (let i = 0; i < jobClass.initial; i++)
-        runtime.after(luck.between(0, FIRST_JOBS_WITHIN_MS), () => void this.live(jobClass));
+        runtime.after(luck.between(0, INITIAL_JOBS_WINDOW_MS), () => void this.simulateJob(jobClass));
     }
     for (const pipeline of day.pipelines) {
       for (let i = 0; i < pipeline.initial; i++)
         runtime.after(
-          pipeline.start_s * 1000 + luck.between(0, FIRST_JOBS_WITHIN_MS),
-          () => void this.livePipeline(pipeline),
+          pipeline.start_s * 1000 + luck.between(0, INITIAL_JOBS_WINDOW_MS),
+          () => void this.simulatePipeline(pipeline),
         );
     }
     this.close.start();
-    runtime.every(1000, () => this.second());
-    runtime.every(STRANGER_EVERY_MS, () => void this.stranger());
+    runtime.every(1000, () => this.scheduleArrivals());
+    runtime.every(UNKNOWN_JOB_POLL_INTERVAL_MS, () => void this.pollUnknownJob());
   }
 
+  /** Ends arrivals, polls and cancellations. */
   stop(): void {
-    this.ended = true;
+    this.stopped = true;
     this.close.stop();
   }
 
-  private second(): void {
+  /** Draws the arrivals of the next second; there are none in the quiet time at the end of the day. */
+  private scheduleArrivals(): void {
     const { runtime, day, luck, now } = this.deps;
-    if (this.ended || now() > (day.duration_s - day.quiet_end_s) * 1000) return;
+    if (this.stopped || now() > (day.duration_s - day.quiet_end_s) * 1000) return;
     for (const jobClass of day.classes) {
-      const mean = (jobClass.per_minute / 60) * (this.factors.get(jobClass.name) ?? 1);
+      const mean = (jobClass.per_minute / 60) * (this.arrivalFactors.get(jobClass.name) ?? 1);
       const arrivals = luck.poisson(mean);
-      for (let i = 0; i < arrivals; i++) runtime.after(luck.between(0, 1000), () => void this.live(jobClass));
+      for (let i = 0; i < arrivals; i++) runtime.after(luck.between(0, 1000), () => void this.simulateJob(jobClass));
     }
     for (const pipeline of day.pipelines) {
       if (pipeline.per_minute === 0 || now() < pipeline.start_s * 1000) continue;
       const arrivals = luck.poisson(pipeline.per_minute / 60);
-      for (let i = 0; i < arrivals; i++) runtime.after(luck.between(0, 1000), () => void this.livePipeline(pipeline));
+      for (let i = 0; i < arrivals; i++)
+        runtime.after(luck.between(0, 1000), () => void this.simulatePipeline(pipeline));
     }
   }
 
-  private ref(): string {
+  /** Returns an unused job id. */
+  private newRef(): string {
     for (;;) {
-      const ref = `j-${String(this.deps.luck.whole(1_000_000)).padStart(6, '0')}`;
-      if (this.used.has(ref)) continue;
-      this.used.add(ref);
-      return ref;
+      const candidate = `j-${String(this.deps.luck.whole(1_000_000)).padStart(6, '0')}`;
+      if (this.usedRefs.has(candidate)) continue;
+      this.usedRefs.add(candidate);
+      return candidate;
     }
   }
 
-  private draw(c: DayClass | undefined, more: Partial<Submission> = {}): JobTruth {
-    if (!c) throw new Error('a day without classes');
+  /** Draws a job of a class. */
+  private drawJob(jobClass: DayClass | undefined, overrides: Partial<Submission> = {}): JobTruth {
+    if (!jobClass) throw new Error('the day defines no job classes');
     const { luck, day } = this.deps;
-    const ref = this.ref();
-    const own = luck.fork(ref);
+    const ref = this.newRef();
+    const jobRandom = luck.fork(ref);
     const pieces =
-      'sizes' in c.tasks
-        ? (c.tasks.sizes[own.weighted(c.tasks.weights)] ?? 1)
-        : Math.max(1, Math.round(own.spread(c.tasks)));
-    const runS = own.spread(c.run_s);
-    const off = own.spread({ median: 1, p95: 1 + c.estimate_off, max: LONGEST_LUCK });
-    const expected = c.shape === 'service' ? 0 : runS * (own.chance(0.5) ? off : 1 / off);
-    const image = own.whole(c.images.count);
+      'sizes' in jobClass.tasks
+        ? (jobClass.tasks.sizes[jobRandom.weighted(jobClass.tasks.weights)] ?? 1)
+        : Math.max(1, Math.round(jobRandom.spread(jobClass.tasks)));
+    const runS = jobRandom.spread(jobClass.run_s);
+    const estimateFactor = jobRandom.spread({ median: 1, p95: 1 + jobClass.estimate_off, max: MAX_ESTIMATE_FACTOR });
+    const expectedS =
+      jobClass.shape === 'service' ? 0 : runS * (jobRandom.chance(0.5) ? estimateFactor : 1 / estimateFactor);
+    const image = jobRandom.whole(jobClass.images.count);
     const spec: Submission = {
       ref,
-      jobclass: c.name,
-      owner: c.team === ANY_TEAM ? (own.fork('team').pick(day.teams)?.name ?? '') : c.team,
-      shape: SHAPES[c.shape],
-      urgency: c.priority,
+      jobclass: jobClass.name,
+      owner: jobClass.team === ANY_TEAM ? (jobRandom.fork('team').pick(day.teams)?.name ?? '') : jobClass.team,
+      shape: SHAPES[jobClass.shape],
+      urgency: jobClass.priority,
       pieces,
-      vcpus: c.cpus,
-      accelerators: c.gpus,
-      ram_gb: c.memory_gb,
-      bundle: `${c.name}-${image}`,
-      // Every job with the same image names the same size.
-      pull_gb: Math.round(new Luck(this.deps.day.seed, `${c.name}-${image}`).spread(c.images.gb) * 100) / 100,
-      hulls: c.types ?? null,
-      berth: c.zone ?? null,
-      same_place: c.one_zone,
-      scatter: c.spread_zones,
-      flotsam: c.spot,
-      expected_s: Math.round(expected * 10) / 10,
-      mark_every_s: c.checkpoint_s,
-      mark_cost_s: c.save_s,
-      due_s: c.deadline_factor === undefined ? null : Math.round(expected * c.deadline_factor + 30),
-      ...more,
+      vcpus: jobClass.cpus,
+      accelerators: jobClass.gpus,
+      ram_gb: jobClass.memory_gb,
+      bundle: `${jobClass.name}-${image}`,
+      // The size is drawn by image name, so that all jobs with the same image state the same size.
+      pull_gb:
+        Math.round(new Luck(this.deps.day.seed, `${jobClass.name}-${image}`).spread(jobClass.images.gb) * 100) / 100,
+      hulls: jobClass.types ?? null,
+      berth: jobClass.zone ?? null,
+      same_place: jobClass.one_zone,
+      scatter: jobClass.spread_zones,
+      flotsam: jobClass.spot,
+      expected_s: Math.round(expectedS * 10) / 10,
+      mark_every_s: jobClass.checkpoint_s,
+      mark_cost_s: jobClass.save_s,
+      due_s: jobClass.deadline_factor === undefined ? null : Math.round(expectedS * jobClass.deadline_factor + 30),
+      ...overrides,
     };
-    const runs = new Map<number, number>();
-    const runOf = (index: number): number => {
-      let run = runs.get(index);
-      if (run === undefined) runs.set(index, (run = runS * own.fork(String(index)).between(0.85, 1.2)));
-      return run;
+    const runTimes = new Map<number, number>();
+    const runTimeOf = (index: number): number => {
+      let runTime = runTimes.get(index);
+      if (runTime === undefined)
+        runTimes.set(index, (runTime = runS * jobRandom.fork(String(index)).between(0.85, 1.2)));
+      return runTime;
     };
-    return new JobTruth(spec, c.shape === 'service' ? () => runS : runOf, own.chance(c.mistaken_share));
+    return new JobTruth(
+      spec,
+      jobClass.shape === 'service' ? () => runS : runTimeOf,
+      jobRandom.chance(jobClass.mistaken_share),
+    );
   }
 
-  /** One job, from its submission until its user no longer asks. */
-  private async live(c: DayClass): Promise<void> {
+  /** Simulates the user of one job, from its submission to the last poll. */
+  private async simulateJob(jobClass: DayClass): Promise<void> {
     const { runtime, luck } = this.deps;
-    const job = this.draw(c);
-    const own = luck.fork(`${job.spec.ref} user`);
-    const { view, session } = this.upload(job);
+    const job = this.drawJob(jobClass);
+    const userRandom = luck.fork(`${job.spec.ref} user`);
+    const { view, session } = this.prepareSubmission(job);
     try {
       if (!(await this.submit(session, view))) return;
-      if (own.chance(REPEATS)) runtime.after(own.between(500, 20_000), () => void this.submitOnce(session, view));
-      if (c.shape === 'service') runtime.after(job.runS(0) * 1000, () => void this.cancel(session, view));
-      else if (job.mistaken || own.chance(c.cancel_share))
-        runtime.after(own.between(1000, c.cancel_within_s * 1000), () => void this.cancel(session, view));
-      await this.follow(session, view, own);
-      if (!own.chance(ASKS_AGAIN)) return;
-      await runtime.sleep(own.between(5000, 60_000));
+      if (userRandom.chance(RESUBMIT_SHARE))
+        runtime.after(userRandom.between(500, 20_000), () => void this.submitOnce(session, view));
+      if (jobClass.shape === 'service') runtime.after(job.runS(0) * 1000, () => void this.cancel(session, view));
+      else if (job.mistaken || userRandom.chance(jobClass.cancel_share))
+        runtime.after(userRandom.between(1000, jobClass.cancel_within_s * 1000), () => void this.cancel(session, view));
+      await this.pollUntilEnded(session, view, userRandom);
+      if (!userRandom.chance(ASK_AFTER_END_SHARE)) return;
+      await runtime.sleep(userRandom.between(5000, 60_000));
       await this.poll(session, view);
       await this.submitOnce(session, view);
     } finally {
@@ -189,79 +215,88 @@
   }
 
   /**
-   * One pipeline: each job is submitted as soon as those that it needs are accepted, some last ones only when the others
-   * are over. One that isn't accepted takes those after it with it: nobody submits them.
+   * Simulates the user of one pipeline: each job is submitted as soon as those that it depends on are accepted, the last
+   * stage of some pipelines only when all other jobs have ended. After a job that is not accepted no further ones are
+   * submitted.
    */
-  private async livePipeline(p: DayPipeline): Promise<void> {
+  private async simulatePipeline(pipeline: DayPipeline): Promise<void> {
     const { day, jobs } = this.deps;
-    const own = this.deps.luck.fork(`pipeline ${this.ref()}`);
-    const late = own.chance(p.late);
-    const earlier = own.chance(p.on_earlier) ? this.openBatch(own) : undefined;
-    const done: UserView[][] = [];
-    const all: { readonly view: UserView; readonly session: UserSession }[] = [];
+    const pipelineRandom = this.deps.luck.fork(`pipeline ${this.newRef()}`);
+    const lastStageWaits = pipelineRandom.chance(pipeline.late);
+    const earlierRef = pipelineRandom.chance(pipeline.on_earlier)
+      ? this.pickUnfinishedBatchJob(pipelineRandom)
+      : undefined;
+    const viewsByStage: UserView[][] = [];
+    const submissions: { readonly view: UserView; readonly session: UserSession }[] = [];
     let estimateS = 0;
-    for (const [at, stage] of p.stages.entries()) {
-      const c = day.classes.find(({ name }) => name === stage.class);
-      if (!c) return;
-      const last = at === p.stages.length - 1;
-      const awaits = stage.needs.flatMap((need) => (done[need] ?? []).map((view) => view.job.spec.ref));
-      if (at === 0 && earlier !== undefined) awaits.push(earlier);
-      if (last && late) await this.allOver(all.map(({ view }) => view));
-      if (this.ended) return;
+    for (const [stageIndex, stage] of pipeline.stages.entries()) {
+      const jobClass = day.classes.find(({ name }) => name === stage.class);
+      if (!jobClass) return;
+      const isLastStage = stageIndex === pipeline.stages.length - 1;
+      const awaits = stage.needs.flatMap((need) => (viewsByStage[need] ?? []).map((view) => view.job.spec.ref));
+      if (stageIndex === 0 && earlierRef !== undefined) awaits.push(earlierRef);
+      if (isLastStage && lastStageWaits) await this.untilAllEnded(submissions.map(({ view }) => view));
+      if (this.stopped) return;
       const views: UserView[] = [];
       let longestS = 0;
-      for (let i = stage.jobs[0] + own.whole(stage.jobs[1] - stage.jobs[0] + 1); i > 0; i--) {
-        const job = this.draw(c, { awaits, due_s: null });
+      for (let i = stage.jobs[0] + pipelineRandom.whole(stage.jobs[1] - stage.jobs[0] + 1); i > 0; i--) {
+        const job = this.drawJob(jobClass, { awaits, due_s: null });
         longestS = Math.max(longestS, job.spec.expected_s);
         const { runS, mistaken, spec } = job;
-        const due_s = last ? Math.round((estimateS + longestS) * p.deadline_factor + p.deadline_plus_s) : null;
-        const made = this.upload(new JobTruth({ ...spec, due_s }, runS, mistaken));
-        all.push(made);
-        if (!(await this.submit(made.session, made.view))) return;
-        views.push(made.view);
-        void this.follow(made.session, made.view, own.fork(spec.ref)).then(() => made.session.close());
+        const due_s = isLastStage
+          ? Math.round((estimateS + longestS) * pipeline.deadline_factor + pipeline.deadline_plus_s)
+          : null;
+        const submission = this.prepareSubmission(new JobTruth({ ...spec, due_s }, runS, mistaken));
+        submissions.push(submission);
+        if (!(await this.submit(submission.session, submission.view))) return;
+        views.push(submission.view);
+        void this.pollUntilEnded(submission.session, submission.view, pipelineRandom.fork(spec.ref)).then(() =>
+          submission.session.close(),
+        );
       }
       estimateS += longestS;
-      done.push(views);
+      viewsByStage.push(views);
     }
-    if (!own.chance(p.cancelled)) return;
-    await this.deps.runtime.sleep(own.between(0, 40_000));
-    const chosen = own.pick(all);
+    if (!pipelineRandom.chance(pipeline.cancelled)) return;
+    await this.deps.runtime.sleep(pipelineRandom.between(0, 40_000));
+    const chosen = pipelineRandom.pick(submissions);
     if (chosen && jobs.get(chosen.view.job.spec.ref)?.complete !== true) {
-      const session = this.deps.balancer.session();
+      const session = this.deps.balancer.openSession();
       await this.cancel(session, chosen.view);
       session.close();
     }
   }
 
-  /** Some accepted job that can end by itself. */
-  private openBatch(own: Luck): string | undefined {
-    const open = this.accepted.filter(
+  /** Returns the id of one of the last accepted jobs that can still complete; services and faulty jobs can't. */
+  private pickUnfinishedBatchJob(pipelineRandom: Luck): string | undefined {
+    const unfinished = this.accepted.filter(
       ({ job, toldDone, toldCancelled }) => job.spec.shape !== 'daemon' && !job.mistaken && !toldDone && !toldCancelled,
     );
-    return own.pick(open.slice(-20))?.job.spec.ref;
+    return pipelineRandom.pick(unfinished.slice(-20))?.job.spec.ref;
   }
 
-  private async allOver(views: readonly UserView[]): Promise<void> {
-    while (!this.ended && !views.every((view) => view.toldDone || view.toldCancelled))
+  /** Waits until the users know the end of all these jobs. */
+  private async untilAllEnded(views: readonly UserView[]): Promise<void> {
+    while (!this.stopped && !views.every((view) => view.toldDone || view.toldCancelled))
       await this.deps.runtime.sleep(1000);
   }
 
-  /** One job of a script: nothing is repeated, and it is taken back when the script says so. */
-  private async livePlanned({ job, cancelAtS }: ScriptedJob): Promise<void> {
+  /** Simulates the user of one scripted job: no request is repeated, and the job is cancelled when the script says so. */
+  private async simulateScriptedJob({ job, cancelAtS }: ScriptedJob): Promise<void> {
     const { runtime, luck, now } = this.deps;
-    const { view, session } = this.upload(job);
+    const { view, session } = this.prepareSubmission(job);
     try {
       if (!(await this.submit(session, view))) return;
       if (cancelAtS !== null)
         runtime.after(Math.max(0, cancelAtS * 1000 - now()), () => void this.cancel(session, view));
-      await this.follow(session, view, luck.fork(`${job.spec.ref} user`));
+      await this.pollUntilEnded(session, view, luck.fork(`${job.spec.ref} user`));
     } finally {
       session.close();
     }
   }
 
-  private upload(job: JobTruth): { readonly view: UserView; readonly session: UserSession } {
+  /** Registers a job with the simulation and opens its user's session; nothing is sent yet. */
+  private prepareSubmission(job: JobTruth): { readonly view: UserView; readonly session: UserSession } {
     const { checker, jobs, balancer, now } = this.deps;
     jobs.add(job);
     checker.submits(job);
@@ -270,10 +305,10 @@
       ...{ cancelAskedAt: null, toldDone: false, toldCancelled: false },
     };
     this.deps.arrived(view);
-    return { view, session: balancer.session() };
+    return { view, session: balancer.openSession() };
   }
 
-  /** Tries until it is accepted, refused for good, or a minute has gone. */
+  /** Submits until the job is accepted, refused for good (400, 422), or given up. Returns whether it was accepted. */
   private async submit(session: UserSession, view: UserView): Promise<boolean> {
     for (;;) {
       const answer = await this.submitOnce(session, view);
@@ -283,90 +318,96 @@
         view.refused = true;
         return false;
       }
-      if (!(await this.pause(answer, view.submittedAt))) {
+      if (!(await this.waitToRetry(answer, view.submittedAt))) {
         view.refused = true;
         return false;
       }
     }
   }
 
-  /** Waits as the answer says; false when a minute is over. */
-  private async pause(answer: Answer, since: number): Promise<boolean> {
-    const saidS = answer.kind === 'answered' ? answer.retryAfterS : null;
-    const ms = Math.min(LONGEST_RETRY_MS, Math.max(RETRY_MS, (saidS ?? 0) * 1000)) + this.deps.luck.between(0, 200);
-    if (this.deps.now() + ms - since > GIVES_UP_MS) return false;
+  /** Waits as long as the response asks for, within bounds; returns false if the deadline passes before. */
+  private async waitToRetry(answer: Answer, startedAt: number): Promise<boolean> {
+    const retryAfterS = answer.kind === 'answered' ? answer.retryAfterS : null;
+    const ms =
+      Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, (retryAfterS ?? 0) * 1000)) +
+      this.deps.luck.between(0, 200);
+    if (this.deps.now() + ms - startedAt > RETRY_DEADLINE_MS) return false;
     await this.deps.runtime.sleep(ms);
     return true;
   }
 
+  /** Sends one submission and records the answer. */
   private async submitOnce(session: UserSession, view: UserView): Promise<Answer> {
     const { spec } = view.job;
     const call = { method: 'POST', path: '/v1/jobs', body: spec, timeoutMs: SUBMIT_TIMEOUT_MS } as const;
-    const asked = this.deps.checker.asks(spec.ref);
+    const known = this.deps.checker.asks(spec.ref);
     const answer = await session.call(call);
     if (answer.kind === 'answered') {
-      this.deps.checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), asked);
+      this.deps.checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), known);
       if ((answer.status === 200 || answer.status === 201) && view.acceptedAt === null) {
         view.acceptedAt = this.deps.now();
         this.accepted.push(view);
-        this.close.told(view, 'accepted');
+        this.close.onJobReported(view, 'accepted');
       }
     }
     return answer;
   }
 
-  private async follow(session: UserSession, view: UserView, own: Luck): Promise<void> {
-    while (!view.toldDone && !view.toldCancelled && !this.ended) {
-      await this.deps.runtime.sleep(POLL_EVERY_MS * own.between(0.8, 1.2));
+  /** Polls until the user knows that the job is done or cancelled, or the users are stopped. */
+  private async pollUntilEnded(session: UserSession, view: UserView, userRandom: Luck): Promise<void> {
+    while (!view.toldDone && !view.toldCancelled && !this.stopped) {
+      await this.deps.runtime.sleep(POLL_INTERVAL_MS * userRandom.between(0.8, 1.2));
       await this.poll(session, view);
     }
   }
 
   private async poll(session: UserSession, view: UserView): Promise<void> {
     const { ref } = view.job.spec;
-    const asked = this.deps.checker.asks(ref);
+    const known = this.deps.checker.asks(ref);
     const answer = await session.call({ method: 'GET', path: `/v1/jobs/${ref}`, timeoutMs: POLL_TIMEOUT_MS });
     const phase = phaseOf(answer);
-    this.deps.checker.polled(ref, statusOf(answer), phase, asked);
-    if (phase === 'done' || phase === 'withdrawn') this.over(view, phase);
+    this.deps.checker.polled(ref, statusOf(answer), phase, known);
+    if (phase === 'done' || phase === 'withdrawn') this.recordEnd(view, phase);
   }
 
-  /** Some node has told its user how it ended. */
-  private over(view: UserView, phase: 'done' | 'withdrawn'): void {
-    const known = view.toldDone || view.toldCancelled;
+  /** Records that a node has reported to the user how the job ended. */
+  private recordEnd(view: UserView, phase: 'done' | 'withdrawn'): void {
+    const alreadyReported = view.toldDone || view.toldCancelled;
     if (phase === 'done') view.toldDone = true;
     else view.toldCancelled = true;
-    if (!known) this.close.told(view, 'over');
+    if (!alreadyReported) this.close.onJobReported(view, 'over');
   }
 
+  /** Cancels a job, and retries until a node answers that it has ended or the users are stopped. */
   private async cancel(session: UserSession, view: UserView): Promise<void> {
     const { now, checker } = this.deps;
     const { ref } = view.job.spec;
-    if (view.toldDone || view.toldCancelled || this.ended) return;
+    if (view.toldDone || view.toldCancelled || this.stopped) return;
     checker.cancelAsked(ref);
     const askedAt = now();
     view.cancelAskedAt = askedAt;
     for (;;) {
       const path = `/v1/jobs/${ref}/cancel`;
-      const asked = checker.asks(ref);
+      const known = checker.asks(ref);
       const answer = await session.call({ method: 'POST', path, body: {}, timeoutMs: SUBMIT_TIMEOUT_MS });
-      if (answer.kind === 'answered') checker.cancelAnswered(ref, answer.status, phaseOf(answer), asked);
+      if (answer.kind === 'answered') checker.cancelAnswered(ref, answer.status, phaseOf(answer), known);
       if (answer.kind === 'answered' && answer.status === 200) {
-        this.over(view, phaseOf(answer) === 'withdrawn' ? 'withdrawn' : 'done');
+        this.recordEnd(view, phaseOf(answer) === 'withdrawn' ? 'withdrawn' : 'done');
         return;
       }
-      // Nobody gives up cancelling: a job that may run on costs money.
-      if (!(await this.pause(answer, now())) || this.ended) return;
+      // Users never give up a cancellation, because a job that may keep running costs money.
+      if (!(await this.waitToRetry(answer, now())) || this.stopped) return;
     }
   }
 
-  private async stranger(): Promise<void> {
-    if (this.ended) return;
+  /** Asks about a job that doesn't exist. */
+  private async pollUnknownJob(): Promise<void> {
+    if (this.stopped) return;
     const ref = `j-x${String(this.deps.luck.whole(1_000_000)).padStart(6, '0')}`;
-    const session = this.deps.balancer.session();
-    const asked = this.deps.checker.asks(ref);
+    const session = this.deps.balancer.openSession();
+    const known = this.deps.checker.asks(ref);
     const answer = await session.call({ method: 'GET', path: `/v1/jobs/${ref}`, timeoutMs: POLL_TIMEOUT_MS });
-    this.deps.checker.polled(ref, statusOf(answer), phaseOf(answer), asked);
+    this.deps.checker.polled(ref, statusOf(answer), phaseOf(answer), known);
     session.close();
   }
 }
--- a/packages/region/src/models/witness.ts
+++ b/packages/region/src/models/witness.ts
@@ -1,34 +1,38 @@
 import type { JobTruth } from './jobs.js';
 
-/** What users saw of one job. Times in milliseconds of true time. */
+/** What users know of one job. Times in milliseconds of real time since the start of the day. */
 export interface UserView {
   readonly job: JobTruth;
   readonly submittedAt: number;
   acceptedAt: number | null;
-  /** Refused for good, or given up after a minute. */
+  /** Refused for good, or given up. */
   refused: boolean;
   cancelAskedAt: number | null;
+  /** A node has reported the job as done, or as cancelled. */
   toldDone: boolean;
   toldCancelled: boolean;
 }
 
-/** What had been told of a job, by any node, when a question about it was sent: no answer may be older. */
+/** What any node had reported of a job when a request about it was sent; the answer must not be older. */
 export interface Asked {
   readonly accepted: boolean;
   readonly final: 'done' | 'withdrawn' | null;
 }
 
-/** Told what users do and what they are answered. */
+/** Observes the users' requests and the answers. */
 export interface UserWitness {
+  /** A job is about to be submitted for the first time. */
   submits(job: JobTruth): void;
-  /** A question is sent now. */
+  /** Returns what has been reported of a job, at the moment at which a request about it is sent. */
   asks(ref: string): Asked;
-  /** Any answer to a submission, the first or a repeated one. */
+  /** Called for each answer to a submission, the first or a repeated one. */
   submitAnswered(ref: string, status: number, phase: unknown, asked: Asked): void;
-  /** A poll's status, or null for one without an answer. */
+  /** Called for each poll with its status; null if there was no answer. */
   polled(ref: string, status: number | null, phase: unknown, asked: Asked): void;
+  /** A user cancels a job. */
   cancelAsked(ref: string): void;
+  /** Called for each answer to a cancellation. */
   cancelAnswered(ref: string, status: number, phase: unknown, asked: Asked): void;
-  /** A submission that can't be taken, what it should be answered, and what it was; null: nothing. */
+  /** Called after an invalid submission with the expected status and the actual one; null if there was no answer. */
   oddAnswered(what: string, wanted: number, status: number | null): void;
 }
--- a/packages/region/src/models/worker.ts
+++ b/packages/region/src/models/worker.ts
@@ -19,28 +19,35 @@
 import type { Machine } from './cloud.js';
 import type { GangBook } from './gangs.js';
 import type { JobBook } from './jobs.js';
-import { serveJson, type Answer, type Request } from './serve.js';
+import { serveJson, type JsonResponse, type JsonRequest } from './serve.js';
 import { MachineTasks, type TaskWatch } from './tasks.js';
 
+/** Timings of workers. */
 export interface WorkerFacts {
+  /** Interval of reports. */
   readonly reportS: number;
+  /** Time after the last answered report at which the worker's lease expires. */
   readonly leaseS: number;
+  /** How long a gang's task waits for the others. */
   readonly gangWaitS: number;
+  /** Within this time the members of a gang notice that another is lost. */
   readonly gangPeerS: number;
+  /** Time within which tasks of a cancelled job must be gone. */
   readonly cancelS: number;
 }
 
-/** Of all reports this share comes once more, up to so much later. */
+/** Injected duplicates of reports: this share is sent once more, up to `lateMs` later. */
 export interface ReportCopies {
   readonly share: number;
   readonly lateMs: number;
-  /** Instead they are kept, until another leads or holds a shard. */
+  /** Receives the copies instead, which are then sent when the leader or the holder of a shard has changed. */
   readonly keep?: (body: unknown) => void;
 }
 
+/** What {@link WorkerModel} depends on. */
 export interface WorkerDeps {
   readonly runtime: Runtime;
-  /** Goes on while the machine hangs: its lease ends all the same. */
+  /** Keeps running while the machine hangs, so that its lease expires nevertheless. */
   readonly watchdog: Runtime;
   readonly luck: Luck;
   readonly log: Logger;
@@ -49,45 +56,52 @@
   readonly jobs: JobBook;
   readonly gangs: GangBook;
   readonly watch: TaskWatch;
-  /** Seconds until the cloud takes the machine away. */
+  /** Seconds until the cloud reclaims the machine; null: no notice was given. */
   readonly noticeS: () => number | null;
-  /** Copies of reports that come late; null: none. */
+  /** Injected duplicates of reports; null: none. */
   readonly copies?: () => ReportCopies | null;
 }
 
 const REPORT_TIMEOUT_MS = 4000;
-const NEXT_NODE_MS = 1000;
-const HELD_MS = [200, 6000] as const;
-const CHANGE_MS = 500;
-
-/** A machine's worker, by its protocol: sessions, tokens, leases, and tasks that run. */
+/** Delay of the next report after one that failed, which goes to the next controller. */
+const FAILOVER_DELAY_MS = 1000;
+/** Range of the delay of held commands. */
+const HELD_COMMAND_DELAY_MS = [200, 6000] as const;
+/** Smallest interval between reports of changes. */
+const CHANGE_REPORT_INTERVAL_MS = 500;
+
+/** A simulated worker of one machine that serves the worker protocol: sessions, fencing tokens, a lease, and tasks. */
 export class WorkerModel {
   readonly tasks: MachineTasks;
   private readonly clients: readonly HttpClient[];
-  private at: number;
-  private helm = 0;
-  private tide = 1;
-  private tally = 0;
-  /** When the last answered report was sent. */
-  private leasedAt: number;
-  private helmToldAt = Number.NEGATIVE_INFINITY;
+  /** The controller that gets the next report. */
+  private controllerIndex: number;
+  /** Highest fencing token that it has seen. */
+  private seenToken = 0;
+  private session = 1;
+  /** Sequence number of the last message in the session. */
+  private sequence = 0;
+  /** When the last answered report was sent; the lease is counted from then on. */
+  private leaseStartedAt: number;
+  /** When a higher token was last reported at once. */
+  private tokenReportedAt = Number.NEGATIVE_INFINITY;
   private reporting = false;
   private lastReportAt = Number.NEGATIVE_INFINITY;
-  private next: Timer | undefined;
+  private nextReport: Timer | undefined;
   private ended = false;
   private paused = false;
-  private listening: Listening | undefined;
-  /** What it says arrives; answers and commands don't reach it. */
+  private listener: Listening | undefined;
+  /** Its messages arrive, but answers and commands don't reach it. */
   deaf = false;
-  /** No connection of its reaches a controller. */
+  /** Its connections don't reach any controller; commands do reach it. */
   mute = false;
-  /** A command for another session raises its token all the same: the protocol leaves that open. */
+  /** A refused command raises its token nevertheless; the protocol leaves that open. */
   refusedRaise = false;
-  /** Commands or their answers are held up. */
+  /** Delays commands or their answers. */
   holdsCommands = false;
-  /** Reports that were answered so that its lease was renewed. */
+  /** Number of reports whose answers have renewed its lease. */
   answers = 0;
-  /** Reports that it sent, and requests to its address that it served. */
+  /** Number of reports sent, and of requests served. */
   readonly counts = { reports: 0, commands: 0 };
   address = '';
 
@@ -97,50 +111,52 @@
   ) {
     const { runtime, luck, controllers } = deps;
     this.tasks = new MachineTasks(machine, deps, () => {
-      this.stamp += 1;
-      this.changed();
+      this.changeCount += 1;
+      this.onChange();
     });
     this.clients = controllers.map(({ at }) => new HttpClient(at, 1, runtime));
-    this.at = luck.whole(Math.max(1, controllers.length));
-    this.leasedAt = deps.watchdog.now();
+    this.controllerIndex = luck.whole(Math.max(1, controllers.length));
+    this.leaseStartedAt = deps.watchdog.now();
   }
 
-  /** The highest token that it has seen. */
+  /** The highest fencing token that it has seen. */
   get highestToken(): number {
-    return this.helm;
+    return this.seenToken;
   }
 
-  private heardAt: Endpoint = { host: '', port: 0 };
+  private listenEndpoint: Endpoint = { host: '', port: 0 };
 
+  /** Serves the worker protocol at an endpoint. */
   listen(at: Endpoint): Listening {
-    this.heardAt = at;
-    this.listening = serveJson(this.deps.runtime, at, this.deps.log, (request) => this.answer(request));
-    return this.listening;
+    this.listenEndpoint = at;
+    this.listener = serveJson(this.deps.runtime, at, this.deps.log, (request) => this.handleRequest(request));
+    return this.listener;
   }
 
-  /** Its address is known: it begins to report. */
+  /** Starts to report, once the address is known. */
   start(address: string): void {
     this.address = address;
     this.machine.address = address;
     this.watchLease();
-    this.reportIn(this.deps.luck.between(0, 200));
+    this.scheduleReport(this.deps.luck.between(0, 200));
   }
 
-  /** The machine is gone, and everything on it. */
+  /** Ends the worker: the machine and everything on it is gone. */
   end(): void {
     this.ended = true;
-    this.next?.cancel();
+    this.nextReport?.cancel();
     this.tasks.killAll();
     for (const client of this.clients) client.close();
-    this.listening?.close();
+    this.listener?.close();
   }
 
-  /** The machine hangs: tasks make no progress until it goes on. */
+  /** Handles that the machine hangs: tasks make no progress until `resume`. */
   pause(): void {
     this.paused = true;
     this.tasks.pause();
   }
 
+  /** Handles that the machine no longer hangs. */
   resume(): void {
     this.paused = false;
     this.tasks.resume();
@@ -148,20 +164,20 @@
 
   // ---- reports
 
-  private reportIn(ms: number): void {
-    this.next?.cancel();
-    this.next = this.deps.runtime.after(ms, () => void this.report());
+  private scheduleReport(ms: number): void {
+    this.nextReport?.cancel();
+    this.nextReport = this.deps.runtime.after(ms, () => void this.report());
   }
 
-  /** Something has changed: it reports at once, but no more often than every half second. */
-  private changed(): void {
+  /** Reports a change at once, but no more often than the smallest interval allows. */
+  private onChange(): void {
     if (this.reporting || this.ended) return;
-    this.reportIn(Math.max(1, this.lastReportAt + CHANGE_MS - this.deps.runtime.now()));
+    this.scheduleReport(Math.max(1, this.lastReportAt + CHANGE_REPORT_INTERVAL_MS - this.deps.runtime.now()));
   }
 
-  /** What it says of itself, newer than anything it has said before. */
+  /** Returns a status message with a new sequence number. */
   message(): unknown {
-    this.tally += 1;
+    this.sequence += 1;
     const { machine } = this;
     return {
       drifter: machine.id,
@@ -169,9 +185,9 @@
       hull: machine.type.name,
       berth: machine.zone,
       flotsam: machine.spot,
-      tide: this.tide,
-      tally: this.tally,
-      helm: this.helm,
+      tide: this.session,
+      tally: this.sequence,
+      helm: this.seenToken,
       recall_s: this.deps.noticeS(),
       pieces: [...this.tasks.all].map(({ key, attempt, phase, cause, stored }) => ({
         piece: key,
@@ -184,203 +200,212 @@
   }
 
   private async report(): Promise<void> {
-    const client = this.clients[this.at];
+    const client = this.clients[this.controllerIndex];
     if (this.ended || this.reporting || !client) return;
     this.reporting = true;
     const sentAt = this.deps.watchdog.now();
-    const { tide } = this;
+    const { session: sessionAtSend } = this;
     this.lastReportAt = this.deps.runtime.now();
     this.counts.reports += 1;
     const call = { method: 'POST', path: '/v1/report', body: this.message(), timeoutMs: REPORT_TIMEOUT_MS } as const;
-    const before = this.stamp;
-    const { life } = this;
-    if (!this.mute) this.copy(call.body);
-    const answer = await this.say(client, call);
-    if (life !== this.life) return;
+    const changesBefore = this.changeCount;
+    const { incarnation } = this;
+    if (!this.mute) this.sendCopy(call.body);
+    const answer = await this.sendReport(client, call);
+    if (incarnation !== this.incarnation) return;
     this.reporting = false;
     if (this.ended) return;
     const body = answer.kind === 'answered' && isObject(answer.body) ? answer.body : {};
     if (answer.kind === 'answered' && answer.status === 200) {
-      if (tide === this.tide) this.onReply(body, sentAt);
-      const usualMs = this.deps.facts.reportS * 1000 * this.deps.luck.between(0.75, 1.25);
-      // What changed while the report was under way is told next.
-      this.reportIn(this.stamp === before ? usualMs : CHANGE_MS);
+      if (sessionAtSend === this.session) this.onReply(body, sentAt);
+      const intervalMs = this.deps.facts.reportS * 1000 * this.deps.luck.between(0.75, 1.25);
+      // What changed while the report was in flight is reported next.
+      this.scheduleReport(this.changeCount === changesBefore ? intervalMs : CHANGE_REPORT_INTERVAL_MS);
       return;
     }
-    const named = this.deps.controllers.findIndex(({ name }) => name === asString(body['harbour']));
-    if (answer.kind === 'answered' && answer.status === 421 && named >= 0 && named !== this.at) {
-      this.at = named;
-      this.reportIn(this.deps.luck.between(1, 500));
+    const namedIndex = this.deps.controllers.findIndex(({ name }) => name === asString(body['harbour']));
+    if (answer.kind === 'answered' && answer.status === 421 && namedIndex >= 0 && namedIndex !== this.controllerIndex) {
+      this.controllerIndex = namedIndex;
+      this.scheduleReport(this.deps.luck.between(1, 500));
     } else {
-      this.at = (this.at + 1) % this.clients.length;
-      this.reportIn(NEXT_NODE_MS);
+      this.controllerIndex = (this.controllerIndex + 1) % this.clients.length;
+      this.scheduleReport(FAILOVER_DELAY_MS);
     }
   }
 
-  private async say(client: HttpClient, call: Call): Promise<CallAnswer> {
-    if (this.deaf) return this.unheard(client, call);
+  private async sendReport(client: HttpClient, call: Call): Promise<CallAnswer> {
+    if (this.deaf) return this.sendWithoutAnswer(client, call);
     if (!this.mute) return client.call(call);
     await this.deps.runtime.sleep(REPORT_TIMEOUT_MS);
     return { kind: 'failed', reason: 'no connection' };
   }
 
-  /** A report that arrives, and whose answer doesn't. */
-  private async unheard(client: HttpClient, call: Call): Promise<CallAnswer> {
+  /** Sends a report whose answer is lost. */
+  private async sendWithoutAnswer(client: HttpClient, call: Call): Promise<CallAnswer> {
     const { runtime } = this.deps;
-    const since = runtime.now();
+    const sentAt = runtime.now();
     await client.call(call);
-    await runtime.sleep(Math.max(0, since + REPORT_TIMEOUT_MS - runtime.now()));
+    await runtime.sleep(Math.max(0, sentAt + REPORT_TIMEOUT_MS - runtime.now()));
     return { kind: 'failed', reason: 'no answer' };
   }
 
-  /** Some reports come once more, late, and to whichever controller; nobody reads what is answered. */
-  private copy(body: unknown): void {
-    const again = this.deps.copies?.() ?? null;
+  /** Sends some reports once more, late and to a random controller; the answer is ignored. */
+  private sendCopy(body: unknown): void {
+    const copies = this.deps.copies?.() ?? null;
     const { runtime, luck, controllers } = this.deps;
-    if (!again || !luck.chance(again.share)) return;
-    if (again.keep) {
-      again.keep(body);
+    if (!copies || !luck.chance(copies.share)) return;
+    if (copies.keep) {
+      copies.keep(body);
       return;
     }
     const at = luck.pick(controllers)?.at;
     if (!at) return;
-    runtime.after(again.lateMs * luck.between(0.1, 1), () => {
+    runtime.after(copies.lateMs * luck.between(0.1, 1), () => {
       const client = new HttpClient(at, 1, runtime);
       const sent = client.call({ method: 'POST', path: '/v1/report', body, timeoutMs: REPORT_TIMEOUT_MS });
       void sent.finally(() => client.close());
     });
   }
 
-  /** Its address is nobody's any more. */
+  /** Closes its listener and its connections. */
   shut(): void {
-    this.listening?.close();
+    this.listener?.close();
     for (const client of this.clients) client.close();
   }
 
-  private life = 0;
+  /** Number of restarts; requests of an earlier incarnation are dropped. */
+  private incarnation = 0;
 
-  /** The machine ends with all that runs on it and is back after so long: session and sequence begin anew. */
+  /** Restarts the machine: all tasks are killed, and after `downS` session and sequence start from the beginning. */
   restart(downS: number): void {
-    this.next?.cancel();
+    this.nextReport?.cancel();
     this.tasks.killAll();
-    this.life += 1;
+    this.incarnation += 1;
     this.reporting = true;
-    this.down = true;
-    // Its connections end with it: what is still under way to it never arrives.
-    this.listening?.close();
+    this.restarting = true;
+    // Its connections are closed, so messages in flight to it never arrive.
+    this.listener?.close();
     this.deps.watchdog.after(downS * 1000, () => {
       if (this.ended) return;
       this.beginAnew();
-      [this.down, this.reporting] = [false, false];
-      this.listen(this.heardAt);
-      this.reportIn(1);
+      [this.restarting, this.reporting] = [false, false];
+      this.listen(this.listenEndpoint);
+      this.scheduleReport(1);
     });
   }
 
-  /** Nothing of before is left: the first session, and no token seen. */
+  /** Resets the worker to its initial state: first session, no token seen, no tasks. */
   beginAnew(): void {
     this.tasks.killAll();
-    [this.helm, this.tide, this.tally] = [0, 1, 0];
-    this.helmToldAt = Number.NEGATIVE_INFINITY;
-    this.leasedAt = this.deps.watchdog.now();
+    [this.seenToken, this.session, this.sequence] = [0, 1, 0];
+    this.tokenReportedAt = Number.NEGATIVE_INFINITY;
+    this.leaseStartedAt = this.deps.watchdog.now();
   }
 
-  private down = false;
+  private restarting = false;
 
-  /** Differs after whatever a report must tell. */
-  private stamp = 0;
+  /** Number of changes that a report must tell. */
+  private changeCount = 0;
 
-  /** Takes the answer to a report that was sent at this moment of the watchdog's clock. */
+  /** Handles the answer to a report that was sent at this time of the watchdog's clock. */
   onReply(body: Record<string, unknown>, sentAt: number): void {
-    const helm = asCount(body['helm']);
-    // A lower token, or none: dropped, and the lease is not renewed.
-    if (helm === undefined || helm < this.helm) return;
-    this.takeHelm(helm);
+    const token = asCount(body['helm']);
+    // An answer with a lower token or without one is dropped, and the lease is not renewed.
+    if (token === undefined || token < this.seenToken) return;
+    this.raiseToken(token);
     this.answers += 1;
-    if (sentAt > this.leasedAt) this.leasedAt = sentAt;
-    this.execute(asList(body['orders']));
+    if (sentAt > this.leaseStartedAt) this.leaseStartedAt = sentAt;
+    this.executeOrders(asList(body['orders']));
   }
 
-  private takeHelm(helm: number): void {
-    if (helm <= this.helm) return;
-    this.helm = helm;
+  /** Records a higher token, and reports it at once, but at most once in half a lease. */
+  private raiseToken(token: number): void {
+    if (token <= this.seenToken) return;
+    this.seenToken = token;
     const now = this.deps.runtime.now();
-    if (now - this.helmToldAt < (this.deps.facts.leaseS * 1000) / 2) return;
-    this.helmToldAt = now;
-    this.stamp += 1;
-    this.changed();
+    if (now - this.tokenReportedAt < (this.deps.facts.leaseS * 1000) / 2) return;
+    this.tokenReportedAt = now;
+    this.changeCount += 1;
+    this.onChange();
   }
 
+  /** Waits until the lease expires, then ends the session. */
   private watchLease(): void {
     const { watchdog, facts } = this.deps;
-    const leftMs = this.leasedAt + facts.leaseS * 1000 - watchdog.now();
+    const leftMs = this.leaseStartedAt + facts.leaseS * 1000 - watchdog.now();
     if (leftMs > 0) {
       watchdog.after(leftMs, () => {
         if (!this.ended) this.watchLease();
       });
       return;
     }
-    if (this.down) this.leasedAt = watchdog.now();
+    if (this.restarting) this.leaseStartedAt = watchdog.now();
     else this.expire();
-    if (!this.paused) this.changed();
+    if (!this.paused) this.onChange();
     this.watchLease();
   }
 
-  /** The lease is over: tasks are killed and forgotten, and the next session begins. */
+  /** Handles that the lease has expired: tasks are killed and forgotten, and the next session begins. */
   expire(): void {
     this.tasks.killAll();
-    this.tide += 1;
-    this.tally = 0;
-    this.leasedAt = this.deps.watchdog.now();
-    this.stamp += 1;
+    this.session += 1;
+    this.sequence = 0;
+    this.leaseStartedAt = this.deps.watchdog.now();
+    this.changeCount += 1;
   }
 
-  /** As its listener answers: not at all while nothing reaches it. */
-  private answer(request: Request): Answer | Promise<Answer> {
-    if (this.deaf || this.down) return new Promise<Answer>(() => undefined);
-    return this.holdsCommands && request.path === '/commands' ? this.heldUp(request) : this.serve(request);
+  /** Answers a request; never, while nothing reaches the worker. */
+  private handleRequest(request: JsonRequest): JsonResponse | Promise<JsonResponse> {
+    if (this.deaf || this.restarting) return new Promise<JsonResponse>(() => undefined);
+    return this.holdsCommands && request.path === '/commands' ? this.serveDelayed(request) : this.serve(request);
   }
 
-  /** Executed late, or at once and answered late; what is under way when the machine ends never is. */
-  private async heldUp(request: Request): Promise<Answer> {
+  /** Executes a command late, or answers it late; it is not executed if the machine ends or restarts before. */
+  private async serveDelayed(request: JsonRequest): Promise<JsonResponse> {
     const { runtime, luck } = this.deps;
-    const { life } = this;
-    const [before, after] = luck.chance(0.5) ? [luck.between(...HELD_MS), 0] : [0, luck.between(...HELD_MS)];
-    await runtime.sleep(before);
-    if (this.ended || this.down || life !== this.life) return new Promise<Answer>(() => undefined);
+    const { incarnation } = this;
+    const [delayBeforeMs, delayAfterMs] = luck.chance(0.5)
+      ? [luck.between(...HELD_COMMAND_DELAY_MS), 0]
+      : [0, luck.between(...HELD_COMMAND_DELAY_MS)];
+    await runtime.sleep(delayBeforeMs);
+    if (this.ended || this.restarting || incarnation !== this.incarnation)
+      return new Promise<JsonResponse>(() => undefined);
     const answer = this.serve(request);
-    await runtime.sleep(after);
+    await runtime.sleep(delayAfterMs);
     return answer;
   }
 
-  serve({ method, path, body }: Pick<Request, 'method' | 'path' | 'body'>): Answer {
+  /** Executes a request. Commands with a lower token or for another session are refused with 409. */
+  serve({ method, path, body }: Pick<JsonRequest, 'method' | 'path' | 'body'>): JsonResponse {
     this.counts.commands += 1;
     if (method === 'GET' && path === '/status') return { status: 200, body: this.message() };
     if (method !== 'POST' || path !== '/commands') return { status: 404, body: { error: 'no such call' } };
-    const helm = isObject(body) ? asCount(body['helm']) : undefined;
-    const tide = isObject(body) ? asCount(body['tide']) : undefined;
-    if (helm === undefined || tide === undefined) return { status: 400, body: { error: 'helm or tide is missing' } };
-    if (helm < this.helm || tide !== this.tide) {
-      if (this.refusedRaise) this.takeHelm(helm);
+    const token = isObject(body) ? asCount(body['helm']) : undefined;
+    const session = isObject(body) ? asCount(body['tide']) : undefined;
+    if (token === undefined || session === undefined)
+      return { status: 400, body: { error: 'helm or tide is missing' } };
+    if (token < this.seenToken || session !== this.session) {
+      if (this.refusedRaise) this.raiseToken(token);
       return { status: 409, body: this.message() };
     }
-    this.takeHelm(helm);
-    this.execute(asList(isObject(body) ? body['orders'] : undefined));
+    this.raiseToken(token);
+    this.executeOrders(asList(isObject(body) ? body['orders'] : undefined));
     return { status: 200, body: this.message() };
   }
 
-  private execute(orders: readonly unknown[]): void {
+  /** Executes start, stop and forget orders; malformed ones are ignored. */
+  private executeOrders(orders: readonly unknown[]): void {
     for (const order of orders) {
       if (!isObject(order)) continue;
       const piece = asString(order['piece']) ?? '';
-      const launch = asCount(order['launch']);
-      const named = parseTaskKey(piece);
-      if (!named || launch === undefined) continue;
+      const attempt = asCount(order['launch']);
+      const parsedKey = parseTaskKey(piece);
+      if (!parsedKey || attempt === undefined) continue;
       const key = piece as TaskKey;
-      const held = this.tasks.held(key, launch);
-      if (order['verb'] === 'start' && !held) this.tasks.begin(key, named.job, named.index, launch);
-      else if (order['verb'] === 'stop' && held) this.tasks.stop(held, asNumber(order['moor_s']) ?? 0);
-      else if (order['verb'] === 'forget' && held?.phase === 'exited') this.tasks.forget(held);
+      const task = this.tasks.find(key, attempt);
+      if (order['verb'] === 'start' && !task) this.tasks.start(key, parsedKey.job, parsedKey.index, attempt);
+      else if (order['verb'] === 'stop' && task) this.tasks.stop(task, asNumber(order['moor_s']) ?? 0);
+      else if (order['verb'] === 'forget' && task?.phase === 'exited') this.tasks.forget(task);
     }
   }
 }
