--- a/packages/region/test/models.test.ts
+++ b/packages/region/test/models.test.ts
@@ -5,11 +5,11 @@
   Balancer,
   CloudModel,
   GangBook,
-  ImageStore,
+  ImageCache,
   JobBook,
   JobTruth,
   WorkerModel,
-  type CloudFacts,
+  type CloudConfig,
   type GangMember,
   type Machine,
   type StateFacts,
@@ -22,9 +22,9 @@
 
 // ---- the state service
 
-function store(facts: Partial<StateFacts> = {}) {
+function stateService(limits: Partial<StateFacts> = {}) {
   const lab = new Lab();
-  const { model, at } = lab.state(facts);
+  const { model, at } = lab.state(limits);
   const node = lab.process('10.0.0.1');
   const other = lab.process('10.0.0.2');
   const ask = async (method: 'GET' | 'POST' | 'DELETE', path: string, body?: unknown, from = node) => {
@@ -36,8 +36,8 @@
   return { lab, model, node, other, ask, txn };
 }
 
-test('state service: guards, revisions and limits hold as the protocol says', async () => {
-  const { ask, txn } = store({ txnOps: 2, valueKb: 1 });
+test('state service: checks guards, assigns one revision per transaction and enforces limits', async () => {
+  const { ask, txn } = stateService({ txnOps: 2, valueKb: 1 });
   const first = await txn([{ write: 'a/b', value: 1 }], [{ path: 'a/b', stamp: 0 }]);
   assert.equal(first.status, 200);
   const stamp = first.body['epoch'];
@@ -47,7 +47,7 @@
   assert.equal(both.status, 200);
   assert.equal((await ask('GET', '/store/a/c')).body['stamp'], both.body['epoch'], 'changes share one revision');
   assert.equal((await ask('GET', '/store/a/b')).status, 404);
-  assert.equal((await txn([], [{ path: 'a/c', stamp: both.body['epoch'] }])).status, 200, 'a plain comparison');
+  assert.equal((await txn([], [{ path: 'a/c', stamp: both.body['epoch'] }])).status, 200, 'guards without changes');
   assert.equal((await txn([1, 2, 3].map((n) => ({ write: `k${n}`, value: n })))).status, 400, 'too many changes');
   assert.equal((await txn([{ write: 'big', value: 'x'.repeat(1100) }])).status, 400);
   assert.equal((await txn([{ write: 'with space', value: 1 }])).status, 400);
@@ -57,8 +57,8 @@
   assert.deepEqual([page.body['truncated'], (page.body['entries'] as Json[]).map((e) => e['path'])], [true, ['p/2']]);
 });
 
-test('state service: leases end with their keys, never early, and have their full time after an outage', async () => {
-  const { lab, model, ask, txn } = store();
+test('state service: expired leases delete their keys, never early, and get their full TTL after an outage', async () => {
+  const { lab, model, ask, txn } = stateService();
   const { mooring } = (await ask('POST', '/leases', { life_ms: 2000 })).body;
   await txn([{ write: 'node', value: 1, mooring }]);
   await lab.pass(1500);
@@ -76,14 +76,14 @@
   assert.equal((await ask('POST', `/leases/${String(mooring)}/extend`)).status, 404);
   const again = (await ask('POST', '/leases', { life_ms: 60_000 })).body['mooring'];
   await txn([{ write: 'kept', value: 1, mooring: again }]);
-  // Written without its lease, a key is detached from it.
+  // A write without the lease detaches the key from it.
   await txn([{ write: 'kept', value: 2 }]);
   assert.equal((await ask('DELETE', `/leases/${String(again)}`)).status, 200);
   assert.equal(model.get('kept'), 2);
 });
 
-test('state service: watches show every change in order, wait through refusals, and say when they are too old', async () => {
-  const { lab, model, node, other, ask, txn } = store();
+test('state service: watches deliver every change in order, stay open while a node is refused, and report a compacted revision', async () => {
+  const { lab, model, node, other, ask, txn } = stateService();
   const { epoch } = (await txn([{ write: 'c/1', value: 1 }])).body;
   const begun = lab.world.now;
   const empty = await ask('GET', `/follow?under=c/&after=${String(epoch)}&wait_ms=1000`);
@@ -91,7 +91,7 @@
   assert.ok(lab.world.now - begun >= 1000);
   model.refuse(node.host.ip, true);
   assert.equal((await ask('GET', '/store/c/1')).status, 503);
-  assert.equal((await ask('GET', '/store/c/1', undefined, other)).status, 200, 'one node alone is refused');
+  assert.equal((await ask('GET', '/store/c/1', undefined, other)).status, 200, 'only one node is refused');
   model.refuse(node.host.ip, false);
   const waiting = ask('GET', `/follow?under=c/&after=${String(epoch)}&wait_ms=10000`);
   await lab.pass(100);
@@ -109,8 +109,8 @@
   assert.equal((await ask('GET', `/follow?under=c/&after=${String(epoch)}`)).status, 410);
 });
 
-test('state service: requests and changes beyond their rates get 429, failed conditions counted', async () => {
-  const { lab, txn } = store({ writeRps: 5 });
+test('state service: requests and changes beyond their rates get 429, and failed guards count', async () => {
+  const { lab, txn } = stateService({ writeRps: 5 });
   const statuses = [];
   for (let i = 0; i < 8; i++) statuses.push((await txn([{ write: 'k', value: i }], [{ path: 'k', stamp: 77 }])).status);
   assert.deepEqual(statuses.slice(0, 5), [409, 409, 409, 409, 409]);
@@ -126,7 +126,7 @@
   ...{ cacheGb: 3, fetchGbPerS: 1, bootS: 10, bootFail: 0 },
 };
 
-function cloud(over: Partial<CloudFacts> = {}) {
+function cloud(overrides: Partial<CloudConfig> = {}) {
   const lab = new Lab(3);
   const at = { host: '10.2.0.2', port: 8443 };
   const [up, gone]: [string[], string[]] = [[], []];
@@ -137,7 +137,7 @@
       ...{ rps: 100, latencyMs: 50, listLagS: 5, types: [type] },
       capacity: [{ type: 'm', zone: 'a', ordinary: 3, spot: 2 }],
       spot: { perHour: 0, noticeS: 20, silentShare: 0 },
-      ...over,
+      ...overrides,
     },
     { up: (m) => up.push(m.id), gone: (m) => gone.push(m.id) },
   );
@@ -155,24 +155,24 @@
   return { lab, model, up, gone, ask, rent, names };
 }
 
-test('cloud: a request name rents once, capacity is kept, and what is returned makes room', async () => {
+test('cloud: a repeated request id rents once, capacity is limited, and returned machines free it', async () => {
   const { lab, up, gone, ask, rent } = cloud();
   const first = await rent('r-1', 2);
   assert.deepEqual((await rent('r-1', 2)).body, first.body);
   const rest = await rent('r-2', 50);
-  assert.equal((rest.body['drifters'] as unknown[]).length, 1, 'filled in part');
+  assert.equal((rest.body['drifters'] as unknown[]).length, 1, 'partially filled');
   const none = await rent('r-3', 1);
   assert.deepEqual([none.status, none.body['error']], [503, 'no capacity']);
-  assert.equal((await rent('r-4', 1, true)).status, 200, 'spot has room of its own');
+  assert.equal((await rent('r-4', 1, true)).status, 200, 'spot capacity is separate');
   await lab.pass(61_000);
   assert.equal(up.length, 4);
   const returned = await ask('POST', '/rentals/return', { drifters: [...(first.body['drifters'] as []), 'host-none'] });
   assert.equal(returned.status, 200);
   assert.equal(gone.length, 2);
-  assert.equal((await rent('r-3', 1)).status, 200, 'after no capacity the same request may be sent again');
+  assert.equal((await rent('r-3', 1)).status, 200, 'a request that found no capacity may be repeated');
 });
 
-test('cloud: the list lags and may be older than the last one, but what was listed stays until it is gone', async () => {
+test('cloud: the list lags and may be older than the previous one, but a listed machine stays listed until it is gone', async () => {
   const { lab, ask, rent, names } = cloud();
   const [id] = (await rent('r-1', 1)).body['drifters'] as string[];
   assert.deepEqual(await names(), []);
@@ -180,12 +180,12 @@
   assert.deepEqual(await names(), [id]);
   for (let i = 0; i < 40; i++) assert.deepEqual(await names(), [id]);
   await ask('POST', '/rentals/return', { drifters: [id] });
-  assert.deepEqual(await names(), [id], 'gone, and still listed');
+  assert.deepEqual(await names(), [id], 'still listed after it is gone');
   await lab.pass(11_000);
   assert.deepEqual(await names(), []);
 });
 
-test('cloud: the first minute is charged, a machine that dies is not, and takebacks give notice', async () => {
+test('cloud: the first minute is always billed, a failed machine is not billed, and spot reclaims give notice', async () => {
   const { lab, model, ask, rent, gone } = cloud();
   const [id] = (await rent('r-1', 1)).body['drifters'] as string[];
   await ask('POST', '/rentals/return', { drifters: [id] });
@@ -202,15 +202,15 @@
   assert.deepEqual(gone, [ordinary.id]);
   const phase = async (): Promise<unknown> =>
     ((await ask('GET', '/rentals')).body['drifters'] as Json[]).find((d) => d['ref'] === ordinary.id)?.['phase'];
-  assert.equal(await phase(), 'running', 'for a while it still shows as running');
+  assert.equal(await phase(), 'running', 'still listed as running for a while');
   await lab.pass(35_000);
   assert.deepEqual(gone, [ordinary.id, spot.id]);
   const after = model.settle() - spent;
-  assert.ok(after < (0.9 * 1.34 * 45) / 3600, `${after} for a spot machine's last seconds`);
+  assert.ok(after < (0.9 * 1.34 * 45) / 3600, `the spot machine cost ${after} after its notice`);
   assert.equal(await phase(), 'failed');
 });
 
-test('cloud: above its rate it answers 429, in an outage 503', async () => {
+test('cloud: answers 429 above its rate and 503 in an outage', async () => {
   const { lab, model, ask } = cloud({ rps: 1 });
   const statuses = [];
   for (let i = 0; i < 4; i++) statuses.push((await ask('GET', '/machine_types')).status);
@@ -222,7 +222,7 @@
 
 // ---- workers
 
-const job = (over: Partial<Submission> & { ref: string }): Submission => ({
+const job = (overrides: Partial<Submission> & { ref: string }): Submission => ({
   ...{
     jobclass: 'c',
     owner: 't',
@@ -235,7 +235,7 @@
   },
   ...{ bundle: '', pull_gb: 0, hulls: null, berth: null, same_place: false, scatter: false, flotsam: false },
   ...{ expected_s: 10, mark_every_s: 0, mark_cost_s: 0, due_s: null },
-  ...over,
+  ...overrides,
 });
 
 function worker(specs: Submission[], runS = 10) {
@@ -274,13 +274,13 @@
   return { lab, process, model, jobs, seen, send, start, stop, forget };
 }
 
-test('worker: tokens and sessions decide which commands are executed', async () => {
+test('worker: refuses commands with a lower token or for another session', async () => {
   const { lab, send, start, seen } = worker([job({ ref: 'j-1' })]);
   assert.equal((await send(5, [start('j-1/0', 1)])).status, 200);
   assert.equal((await send(4, [start('j-1/1', 1)])).status, 409, 'a lower token');
   assert.equal((await send(6, [start('j-1/1', 1)], 2)).status, 409, 'another session');
   const low = await send(5, []);
-  assert.equal(low.body['helm'], 5, 'a refused command teaches no token');
+  assert.equal(low.body['helm'], 5, 'a refused command does not raise the token');
   assert.deepEqual(low.pieces, ['j-1/0 running']);
   await lab.pass(21_000);
   const next = await send(5, [start('j-1/1', 1)], 2);
@@ -288,7 +288,7 @@
   assert.deepEqual(seen.slice(0, 2), ['on j-1/0 1', 'off j-1/0 1 done']);
 });
 
-test('worker: starts are held once, refused as the protocol says, and start again once forgotten', async () => {
+test('worker: repeated starts are ignored, invalid ones refused, and a forgotten attempt can start again', async () => {
   const { lab, send, start, forget, seen } = worker([job({ ref: 'j-1' }), job({ ref: 'j-2', vcpus: 4 })]);
   await send(1, [start('j-1/0', 1), start('j-1/0', 1)]);
   assert.equal(seen.length, 1);
@@ -304,13 +304,13 @@
   await lab.pass(12_000);
   assert.ok(seen.includes('off j-1/0 1 done'));
   await send(1, [start('j-1/0', 1)]);
-  assert.equal(seen.length, 2, 'an exited attempt is held too');
+  assert.equal(seen.length, 2, 'an exited attempt is not started again');
   await send(1, [forget('j-1/0', 1), start('j-1/0', 1)]);
   await lab.pass(100);
-  assert.deepEqual(seen.slice(2), ['on j-1/0 1', 'off j-1/0 1 done'], 'its result was kept');
+  assert.deepEqual(seen.slice(2), ['on j-1/0 1', 'off j-1/0 1 done'], 'its result was stored');
 });
 
-test('worker: what saves goes on from there; without time to save it falls back to its last checkpoint', async () => {
+test('worker: a task resumes from saved progress; without time to save it falls back to its last checkpoint', async () => {
   const { lab, jobs, send, start, stop } = worker([job({ ref: 'j-1', mark_every_s: 4, mark_cost_s: 2 })]);
   const saved = (): number => jobs.get('j-1')?.saved.get(0) ?? 0;
   await send(1, [start('j-1/0', 1)]);
@@ -322,13 +322,13 @@
   await send(1, [start('j-1/0', 2)]);
   await lab.pass(2500);
   await send(1, [stop('j-1/0', 2, 0)]);
-  assert.equal(saved(), 8, 'the last multiple of its interval');
+  assert.equal(saved(), 8, 'the last multiple of the checkpoint interval');
   await send(1, [start('j-1/0', 3)]);
   await lab.pass(2600);
   assert.deepEqual([...(jobs.get('j-1')?.finished ?? [])], [0]);
 });
 
-test('worker: a machine that hangs makes no progress, and its lease ends all the same', async () => {
+test('worker: a machine that hangs makes no progress, and its lease expires nevertheless', async () => {
   const { lab, process, model, seen, send, start } = worker([job({ ref: 'j-1' })], 15);
   await send(1, [start('j-1/0', 1)]);
   await lab.pass(5000);
@@ -345,12 +345,12 @@
   assert.deepEqual(seen, ['on j-1/0 1', 'off j-1/0 1 killed']);
 });
 
-test('worker: an image is fetched once for all that wait, at a shared rate, and the oldest gives way', async () => {
+test('worker: an image is fetched once for all waiting tasks, fetches share the bandwidth, and the oldest image is evicted', async () => {
   const lab = new Lab();
-  const store = new ImageStore(lab.process('10.1.0.1'), 3, 1);
+  const cache = new ImageCache(lab.process('10.1.0.1'), 3, 1);
   const ready: string[] = [];
   const want = (image: string, gb: number, who: string): void =>
-    store.want(image, gb, who, () => ready.push(`${who} ${Math.round(lab.world.now / 100) / 10}`));
+    cache.request(image, gb, who, () => ready.push(`${who} ${Math.round(lab.world.now / 100) / 10}`));
   want('x', 2, 'a');
   want('x', 2, 'b');
   want('y', 1, 'c');
@@ -358,21 +358,21 @@
   assert.deepEqual(ready.splice(0), ['c 2', 'a 3', 'b 3']);
   want('x', 2, 'd');
   want('z', 1, 'e');
-  store.leave('z', 'e');
+  cache.cancel('z', 'e');
   want('z', 1, 'f');
   await lab.pass(10_000);
-  assert.deepEqual(ready.splice(0), ['d 10', 'f 11'], 'given up when nobody waits');
+  assert.deepEqual(ready.splice(0), ['d 10', 'f 11'], 'a fetch is aborted when no task waits for it');
   want('x', 2, 'g');
   want('y', 1, 'h');
   await lab.pass(10_000);
-  assert.deepEqual(ready, ['g 20', 'h 21'], 'y had given way');
+  assert.deepEqual(ready, ['g 20', 'h 21'], 'y was evicted');
 });
 
 // ---- gangs
 
-function gang(pieces: number, over: Partial<Submission> = {}) {
+function gang(pieces: number, overrides: Partial<Submission> = {}) {
   const lab = new Lab(9);
-  const truth = new JobTruth(job({ ref: 'j-1', shape: 'ensemble', pieces, ...over }), () => 20, false);
+  const truth = new JobTruth(job({ ref: 'j-1', shape: 'ensemble', pieces, ...overrides }), () => 20, false);
   const book = new GangBook(lab.process('10.9.0.1'), lab.luck, { waitS: 30, peerS: 5 });
   const seen: string[] = [];
   const members = Array.from({ length: pieces }, (_, index): GangMember => ({
@@ -388,7 +388,7 @@
   return { lab, truth, book, seen, join, member: (i: number) => members[i] as GangMember };
 }
 
-test('gang: it starts together, runs at the slowest speed and completes together', async () => {
+test('gang: members start together, run at the slowest speed and complete together', async () => {
   const { lab, truth, seen, join } = gang(3);
   join(1, 0, 2);
   await lab.pass(10_000);
@@ -400,31 +400,31 @@
   assert.deepEqual([seen, truth.complete], [['done 0', 'done 2', 'done 1'], true]);
 });
 
-test('gang: who waits too long is alone, and a replacement with the same attempt completes it', async () => {
+test('gang: a member that waits too long exits as alone, and a replacement with the same attempt completes the gang', async () => {
   const { lab, seen, book, truth, join, member } = gang(2);
   join(1, 0);
   await lab.pass(30_100);
   assert.deepEqual(seen.splice(0), ['alone 0']);
   join(2, 0);
-  book.lose(truth, 2, member(0), false);
+  book.onMemberLost(truth, 2, member(0), false);
   await lab.pass(10_000);
   join(2, 1);
   join(2, 0);
   assert.deepEqual(seen, ['start 1', 'start 0']);
 });
 
-test('gang: when one is lost the others notice in time, and progress falls back to the last checkpoint', async () => {
+test('gang: when a member is lost the others exit in time, and progress falls back to the last checkpoint', async () => {
   const { lab, seen, book, truth, join, member } = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   join(1, 0, 1);
   await lab.pass(10_000);
-  book.lose(truth, 1, member(1), false);
+  book.onMemberLost(truth, 1, member(1), false);
   await lab.pass(5001);
   assert.deepEqual([seen.slice(2), truth.saved.get(0)], [['mates_gone 0'], 3], '5 s at half speed');
   join(1, 1);
-  assert.equal(seen.at(-1), 'mates_gone 1', 'that attempt is past');
+  assert.equal(seen.at(-1), 'mates_gone 1', 'that attempt has ended');
 });
 
-test('gang: an orderly stop saves when all are told in time, and fails when one is not', async () => {
+test('gang: a stop saves progress when all members are told in time, and fails when one is not', async () => {
   const told = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   told.join(1, 0, 1);
   await told.lab.pass(10_000);
@@ -433,7 +433,7 @@
   told.book.stop(told.truth, 1, told.member(1), 2);
   await told.lab.pass(1100);
   assert.deepEqual(told.seen.slice(2), ['saving 0', 'saving 1', 'stopped stored 0', 'stopped stored 1']);
-  assert.ok(Math.abs((told.truth.saved.get(0) ?? 0) - 5) < 0.01, 'progress stopped with the first');
+  assert.ok(Math.abs((told.truth.saved.get(0) ?? 0) - 5) < 0.01, 'progress freezes at the first stop');
   const late = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   late.join(1, 0, 1);
   await late.lab.pass(10_000);
@@ -445,7 +445,7 @@
 
 // ---- the balancer
 
-test('balancer: health by its probes, fewest connections first, and refusals moved on', async () => {
+test('balancer: probes determine health, new connections go to the least loaded node, and refused ones to another', async () => {
   const lab = new Lab(2);
   const nodes = ['10.0.0.1', '10.0.0.2'].map((host) => ({ host, port: 8080 }));
   const served = [0, 0];
@@ -469,10 +469,10 @@
   const balancer = new Balancer(lab.process('10.3.0.1'), nodes);
   balancer.start();
   const poll = { method: 'GET', path: '/v1/jobs/j-1', timeoutMs: 2000 } as const;
-  assert.equal((await lab.settle(balancer.session().call(poll))).kind, 'failed', 'no node is healthy yet');
+  assert.equal((await lab.settle(balancer.openSession().call(poll))).kind, 'failed', 'no node is healthy yet');
   await lab.pass(100);
-  assert.equal(balancer.healthyCount, 2, 'one success suffices at first');
-  const sessions = Array.from({ length: 10 }, () => balancer.session());
+  assert.equal(balancer.healthyCount, 2, 'the first success suffices');
+  const sessions = Array.from({ length: 10 }, () => balancer.openSession());
   for (const session of sessions) await lab.settle(session.call(poll));
   assert.deepEqual(served, [5, 5]);
   health[0] = 503;
@@ -481,14 +481,18 @@
   await lab.pass(1500);
   assert.equal(balancer.healthyCount, 1, 'two failures in a row');
   for (const session of sessions.slice(0, 4)) await lab.settle(session.call(poll));
-  assert.deepEqual(served, [7, 7], 'open connections are not moved at once');
+  assert.deepEqual(served, [7, 7], 'open connections are not closed at once');
   await lab.pass(5000);
   health[0] = 200;
   for (const session of sessions) await lab.settle(session.call(poll));
-  assert.deepEqual(served, [7, 17], 'after five seconds they are');
+  assert.deepEqual(served, [7, 17], 'they are closed after five seconds');
   await lab.pass(2500);
-  assert.equal(balancer.healthyCount, 2, 'two successes, and the pause is over');
+  assert.equal(balancer.healthyCount, 2, 'two successes, and the removal time has passed');
   processes[1]?.kill();
   assert.equal((await lab.settle(sessions[0]?.call(poll) ?? Promise.reject(new Error('none')))).kind, 'failed');
-  assert.equal((await lab.settle(balancer.session().call(poll))).kind, 'answered', 'a refusal is moved on');
+  assert.equal(
+    (await lab.settle(balancer.openSession().call(poll))).kind,
+    'answered',
+    'a refused connection is retried on another node',
+  );
 });
