--- a/packages/region/src/models/balancer.ts
+++ b/packages/region/src/models/balancer.ts
@@ -12,7 +12,7 @@
 const PROBE_TIMEOUT_MS = 1000;
 /** A connection that is not accepted within this time counts as refused. */
 const ACCEPT_TIMEOUT_MS = 500;
-/** Bounds of the time for which an unhealthy node stays removed; it doubles with each further removal within the window. */
+/** Bounds of the time for which an unhealthy node stays removed; doubled by each further removal within the window. */
 const MIN_REMOVAL_MS = 3000;
 const MAX_REMOVAL_MS = 60_000;
 const REMOVAL_BACKOFF_WINDOW_MS = 120_000;
@@ -20,7 +20,7 @@
 const SLOW_START_MS = 10_000;
 /** Open connections to a node that became unhealthy are closed after this delay, if it still is. */
 const CONNECTION_CLOSE_DELAY_MS = 5000;
-/** A node that refuses several connections in a row gets no new ones for this time. */
+/** A node that has refused three connections since its last answer gets no new ones for this time. */
 const REFUSAL_COOLDOWN_MS = 3000;
 /** Number of nodes that one request tries to connect to. */
 const MAX_CONNECT_ATTEMPTS = 3;
@@ -29,7 +29,7 @@
 class Backend {
   healthy = false;
   everHealthy = false;
-  /** Start of the slow start. */
+  /** When the slow start began. */
   healthySince = 0;
   removedAt = Number.NEGATIVE_INFINITY;
   /** How long the node stays removed after it became unhealthy. */
--- a/packages/region/src/models/close.ts
+++ b/packages/region/src/models/close.ts
@@ -43,7 +43,7 @@
 const MAX_RECENT_JOBS = 60;
 /** Only jobs whose tasks run longer are cancelled while they run. */
 const MIN_RUN_S = 20;
-/** Fields of a submission that may be missing: without them a submission is valid. */
+/** Fields of a submission that may be null or missing: a submission without them is valid. */
 const NULLABLE_FIELDS = new Set(['hulls', 'berth', 'due_s', 'awaits']);
 
 /**
@@ -88,7 +88,7 @@
       runtime.after(luck.between(0, QUERY_WINDOW_MS), () => this.deps.cancel(view));
   }
 
-  /** Handles that the last task of a job has just completed. */
+  /** Called when the last task of a job has just completed; cancels the configured share of these jobs. */
   completed(job: JobTruth): void {
     if (!this.deps.luck.chance(this.habits.cancelsAtEnd)) return;
     const view = this.deps.accepted.find((candidate) => candidate.job === job);
@@ -129,14 +129,14 @@
   }
 
   private sendUnusualRequest(): void {
-    const { luck, accepted, checker, nodes, resubmit: submitAgain } = this.deps;
+    const { luck, accepted, checker, nodes, resubmit } = this.deps;
     const recent = accepted.slice(-MAX_RECENT_JOBS);
     const node = luck.pick(nodes);
     if (!node) return;
     switch (luck.whole(4)) {
       case 0: {
         const openJob = luck.pick(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
-        if (openJob) submitAgain(openJob);
+        if (openJob) resubmit(openJob);
         return;
       }
       case 1: {
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -44,7 +44,7 @@
   /** Requests per second. */
   readonly rps: number;
   readonly latencyMs: number;
-  /** Usual age of the machine list. */
+  /** Usual upper bound of the age of the machine list; some lists are up to twice as old. */
   readonly listLagS: number;
   readonly types: readonly TypeFacts[];
   readonly capacity: readonly ZoneCapacity[];
@@ -54,10 +54,10 @@
   readonly script?: Script['machine'];
 }
 
-/** State of a machine as it really is: `failed` stopped by itself, `gone` was returned or reclaimed. */
+/** Actual state of a machine: `failed` stopped by itself, `gone` was returned or reclaimed. */
 export type MachineState = 'starting' | 'running' | 'failed' | 'gone';
 
-/** A rented machine in its real state, which the API may show late. Times in milliseconds of the cloud's monotonic clock. */
+/** Actual state of a rented machine, which the API shows late. Times in milliseconds of the cloud's monotonic clock. */
 export interface Machine {
   readonly id: string;
   readonly type: TypeFacts;
@@ -111,8 +111,9 @@
   private readonly machines = new Map<string, Machine>();
   /** The machine ids that each request has rented; a repeated request gets the same. */
   private readonly rentalsByRequestId = new Map<string, readonly string[]>();
-  /** Rented machines and the capacity, by kind. */
+  /** Number of rented machines, by kind. */
   private readonly usedCapacity = new Map<string, number>();
+  /** Largest number of rented machines, by kind. */
   private readonly capacityLimits = new Map<string, number>();
   /** Machines created so far, by kind. */
   private readonly createdCounts = new Map<string, number>();
@@ -122,7 +123,7 @@
   private inOutage = false;
   /** Only this share of the capacity is available. */
   capacityShare = 1;
-  /** Factor on boot times. */
+  /** Boot times are multiplied by this. */
   bootFactor = 1;
   /** At least this share of the boots never finishes. */
   neverShare = 0;
@@ -175,16 +176,17 @@
   }
 
   /** Reclaims a spot machine, with or without notice. A machine that is not running yet gets no notice. */
-  takeBack(machine: Machine, noticed: boolean): void {
+  takeBack(machine: Machine, withNotice: boolean): void {
     if (machine.fate === 'gone' || machine.takenAt !== null) return;
     this.counts.takenBack += 1;
-    if (!noticed || machine.fate !== 'running') {
+    if (!withNotice || machine.fate !== 'running') {
       this.removeMachine(machine);
       return;
     }
     this.reclaimAfter(machine, this.config.spot.noticeS * 1000 * this.luck.between(0.5, 1.5));
   }
 
+  /** Gives notice of a reclaim, and removes the machine when the notice is over. */
   private reclaimAfter(machine: Machine, noticeMs: number): void {
     if (machine.fate !== 'running') return;
     machine.takenAt = this.runtime.now() + noticeMs;
@@ -316,12 +318,13 @@
     if (machine.script) this.applyScript(machine, machine.script);
     const { perHour, silentShare } = this.config.spot;
     if (machine.spot && perHour > 0 && !machine.script) {
-      const noticed = !this.luck.chance(silentShare);
-      this.runtime.after(this.luck.exponential(3600 / perHour) * 1000, () => this.takeBack(machine, noticed));
+      const withNotice = !this.luck.chance(silentShare);
+      this.runtime.after(this.luck.exponential(3600 / perHour) * 1000, () => this.takeBack(machine, withNotice));
     }
     this.hooks.up(machine);
   }
 
+  /** Schedules the scripted failure and reclaim of a machine; what lies in the past is left out. */
   private applyScript(machine: Machine, { diesAtS, takenBack }: ScriptedMachine): void {
     const runAt = (atS: number, work: () => void): void => {
       const ms = atS * 1000 - this.runtime.now();
@@ -341,6 +344,7 @@
     return { status: 200, body: {} };
   }
 
+  /** Removes a returned or reclaimed machine and bills it. */
   private removeMachine(machine: Machine): void {
     if (machine.fate === 'gone') return;
     const wasRunning = machine.fate === 'running';
@@ -377,7 +381,10 @@
     }
   }
 
-  /** Lists the machines as of 0.3 to 1 times the lag ago, in some cases up to twice the lag: a list can be older than the previous one. */
+  /**
+   * Lists the machines as they were 0.3 to 1 times the lag ago, in one of ten cases up to twice the lag. A list can
+   * therefore be older than the previous one.
+   */
   private listMachines(query: URLSearchParams): JsonResponse {
     const after = query.get('after') ?? '';
     const maxEntries = Math.min(500, Math.max(1, Number(query.get('most') ?? 500) || 500));
--- a/packages/region/src/models/gangs.ts
+++ b/packages/region/src/models/gangs.ts
@@ -44,7 +44,7 @@
     private readonly job: JobTruth,
     private readonly runtime: Runtime,
     private readonly luck: Luck,
-    private readonly facts: GangFacts,
+    private readonly timeouts: GangFacts,
   ) {}
 
   /** Progress of each member in seconds at nominal speed. */
@@ -66,7 +66,7 @@
       this.startAll();
       return;
     }
-    const waitTimer = this.runtime.after(this.facts.waitS * 1000, () => {
+    const waitTimer = this.runtime.after(this.timeouts.waitS * 1000, () => {
       if (this.startedAt !== null || this.members.get(member.index) !== member) return;
       this.members.delete(member.index);
       member.exit('alone', false);
@@ -88,7 +88,10 @@
     });
   }
 
-  /** Handles that a member is gone, or that its machine hangs (then it stays a member and exits once it resumes). */
+  /**
+   * Called when a member is gone or its machine hangs. On a machine that hangs it stays a member, and exits once the
+   * machine resumes. Fails the attempt if it has started.
+   */
   onMemberLost(member: GangMember, machineHangs: boolean): void {
     if (this.members.get(member.index) !== member) return;
     this.waitTimers.get(member)?.cancel();
@@ -102,7 +105,7 @@
     this.finishTimer?.cancel();
     this.saveProgress(this.job.lastCheckpointBefore(this.progressS));
     for (const member of this.members.values()) {
-      this.runtime.after(this.luck.between(0.2, 1) * this.facts.peerS * 1000, () => {
+      this.runtime.after(this.luck.between(0.2, 1) * this.timeouts.peerS * 1000, () => {
         if (this.members.get(member.index) === member) member.exit('mates_gone', false);
       });
     }
@@ -116,9 +119,7 @@
     this.job.saved.set(0, progressS);
   }
 
-  /**
-   * Handles a stop command. All members save and exit together if each is told in time; otherwise the attempt fails.
-   */
+  /** Executes a stop command. All members save and exit together if each is told in time; otherwise the attempt fails. */
   stop(member: GangMember, graceS: number): void {
     if (this.members.get(member.index) !== member || this.ended) return;
     if (this.startedAt === null) {
@@ -139,7 +140,7 @@
     if (this.frozenProgressS === null) {
       this.frozenProgressS = this.progressS;
       this.finishTimer?.cancel();
-      this.runtime.after(this.facts.peerS * 1000, () => {
+      this.runtime.after(this.timeouts.peerS * 1000, () => {
         if (!this.ended && this.stoppingMembers.size < this.members.size) this.fail();
       });
     }
@@ -151,7 +152,7 @@
       if (this.savedMembers.size < this.members.size) return;
       this.ended = true;
       this.saveProgress(this.progressS);
-      for (const each of this.members.values()) each.exit('stopped', true);
+      for (const savedMember of this.members.values()) savedMember.exit('stopped', true);
     });
   }
 }
@@ -163,13 +164,14 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly luck: Luck,
-    private readonly facts: GangFacts,
+    private readonly timeouts: GangFacts,
   ) {}
 
   private attemptOf(job: JobTruth, attempt: number): GangAttempt {
     const key = `${job.spec.ref}#${attempt}`;
     let gangAttempt = this.attempts.get(key);
-    if (!gangAttempt) this.attempts.set(key, (gangAttempt = new GangAttempt(job, this.runtime, this.luck, this.facts)));
+    if (!gangAttempt)
+      this.attempts.set(key, (gangAttempt = new GangAttempt(job, this.runtime, this.luck, this.timeouts)));
     return gangAttempt;
   }
 
@@ -178,12 +180,12 @@
     this.attemptOf(job, attempt).join(member);
   }
 
-  /** Handles that a task is gone, or that its machine hangs. */
+  /** Called when a task is gone or its machine hangs. */
   onMemberLost(job: JobTruth, attempt: number, member: GangMember, machineHangs: boolean): void {
     this.attemptOf(job, attempt).onMemberLost(member, machineHangs);
   }
 
-  /** Handles a stop command with this grace period for a task. */
+  /** Executes a stop command with this grace period for a task. */
   stop(job: JobTruth, attempt: number, member: GangMember, graceS: number): void {
     this.attemptOf(job, attempt).stop(member, graceS);
   }
--- a/packages/region/src/models/jobs.ts
+++ b/packages/region/src/models/jobs.ts
@@ -37,7 +37,7 @@
 }
 
 /**
- * The real state of a simulated job, independent of what the scheduler knows: how long its tasks run, what they have
+ * The actual state of a simulated job, independent of what the scheduler knows: how long its tasks run, what they have
  * saved and which have completed. Checkpoints and results are stored outside the machines, so they are kept here.
  */
 export class JobTruth {
@@ -50,8 +50,10 @@
 
   constructor(
     readonly spec: Submission,
-    /** Real run time of a task in seconds on a machine of nominal speed; tasks of a service never end by themselves, its user
-     * cancels it after this time. */
+    /**
+     * Actual run time of a task in seconds on a machine of nominal speed. Tasks of a service never end by themselves; its
+     * user cancels it after this time.
+     */
     readonly runS: (index: number) => number,
     /** The job is faulty: its tasks fail on every machine. */
     readonly mistaken: boolean,
@@ -76,16 +78,19 @@
   /** `findElsewhere` looks up jobs that were not added here. */
   constructor(private readonly findElsewhere?: (ref: string) => JobTruth | undefined) {}
 
+  /** Adds a job; replaces one with the same id. */
   add(job: JobTruth): void {
     this.jobs.set(job.spec.ref, job);
   }
 
+  /** Returns a job; undefined if neither this collection nor `findElsewhere` knows it. */
   get(ref: string): JobTruth | undefined {
     const job = this.jobs.get(ref) ?? this.findElsewhere?.(ref);
     if (job) this.jobs.set(ref, job);
     return job;
   }
 
+  /** All jobs that were added or found so far. */
   get all(): Iterable<JobTruth> {
     return this.jobs.values();
   }
--- a/packages/region/src/models/script.ts
+++ b/packages/region/src/models/script.ts
@@ -25,7 +25,10 @@
 /** A scripted day: when jobs are submitted, and what happens to each machine and controller. */
 export interface Script {
   readonly jobs: readonly ScriptedJob[];
-  /** The course of the nth machine of a kind (`type zone spot|ordinary`), from 0; machines of the start of the day count first. */
+  /**
+   * Returns the course of the nth machine of a kind (`type zone spot|ordinary`), counted from 0; the machines that exist
+   * at the start of the day count first.
+   */
   machine(kind: string, nth: number): ScriptedMachine;
   /** Crashes of controllers: index, time and how long the controller stays down. */
   readonly crashes: readonly { readonly controller: number; readonly atS: number; readonly downS: number }[];
--- a/packages/region/src/models/state.ts
+++ b/packages/region/src/models/state.ts
@@ -110,7 +110,7 @@
   private readonly nodesWithHeldWatches = new Set<string>();
   private readonly requestBucket: TokenBucket;
   private readonly changeBucket: TokenBucket;
-  /** Factor on the latency. */
+  /** The latency is multiplied by this. */
   slowness = 1;
   /** This share of the transactions gets no answer and is applied seconds later, after newer ones. */
   lateWrites = 0;
@@ -118,7 +118,7 @@
   lateAtOnce = false;
   /** This share of the reads and transactions is executed at once and answered later. */
   heldAnswers = 0;
-  /** Called by each change, for measurements; `value` is undefined for a deletion. */
+  /** Called for each change, for measurements; `value` is undefined for a deletion. */
   wrote: (key: string, value: unknown) => void = () => undefined;
   /** Set by tests: drops a change although the transaction is answered with success. */
   loses: (key: string) => boolean = () => false;
@@ -144,7 +144,10 @@
     return serveJson(this.runtime, at, log, (request) => this.handleRequest(request));
   }
 
-  /** Starts or ends an outage: every request gets 503, open watches stay open, and leases get their full TTL at its end. */
+  /**
+   * Starts or ends an outage: every request gets 503, open watches stay open, no lease expires, and leases get their full
+   * TTL at the end.
+   */
   outage(on: boolean): void {
     this.inOutage = on;
     for (const [id, lease] of this.leases) {
@@ -171,7 +174,7 @@
     if (!on) this.wakeWatches();
   }
 
-  /** Changes limits from now on; stored values stay as they are. */
+  /** Lowers limits from now on; stored values stay as they are. */
   limit(lower: Partial<Pick<StateFacts, 'writeRps' | 'valueKb' | 'txnOps'>>): void {
     this.config = { ...this.config, ...lower };
     this.changeBucket.ratePerS = this.config.writeRps;
@@ -330,10 +333,10 @@
       const key = 'gone' in write ? write.gone : write.key;
       if (this.loses(key)) continue;
       this.wrote(key, 'gone' in write ? undefined : write.value);
-      const before = this.entries.get(key);
-      if (before?.lease != null) this.leases.get(before.lease)?.keys.delete(key);
+      const previous = this.entries.get(key);
+      if (previous?.lease != null) this.leases.get(previous.lease)?.keys.delete(key);
       if ('gone' in write) {
-        if (!before) continue;
+        if (!previous) continue;
         this.entries.delete(key);
         this.changeLog.push({ key, stamp, wireEntry: { remove: key, stamp } });
       } else {
@@ -355,11 +358,11 @@
 
   /** Returns the changes after a revision; searches from the end of the log, as watches are seldom far behind. */
   private changesAfter(after: number, prefix: string): unknown[] {
-    let start = this.changeLog.length;
-    while (start > 0 && (this.changeLog[start - 1]?.stamp ?? 0) > after) start -= 1;
+    let position = this.changeLog.length;
+    while (position > 0 && (this.changeLog[position - 1]?.stamp ?? 0) > after) position -= 1;
     const entries: unknown[] = [];
-    for (; start < this.changeLog.length; start++) {
-      const logged = this.changeLog[start];
+    for (; position < this.changeLog.length; position++) {
+      const logged = this.changeLog[position];
       if (logged?.key.startsWith(prefix) === true) entries.push(logged.wireEntry);
     }
     return entries;
--- a/packages/region/src/models/tasks.ts
+++ b/packages/region/src/models/tasks.ts
@@ -35,10 +35,11 @@
   stored: boolean;
   /** Has its image, and the observer has not been told yet that it left. */
   on: boolean;
-  /** Progress in seconds at `runningAt`, or at present while it makes none. */
+  /** Progress in seconds at `runningAt`; while `runningAt` is null, the present progress. */
   baseProgressS: number;
   runningAt: number | null;
   timer: Timer | undefined;
+  /** Its membership in the gang, once it has joined. */
   member: GangMember | undefined;
 }
 
@@ -57,7 +58,7 @@
   private readonly images: ImageCache;
   /** Speed of this machine without slowness, between 0.95 and 1.05. */
   private readonly nominalSpeed: number;
-  /** Factor on the run time of its tasks. */
+  /** The run time of its tasks is multiplied by this. */
   slowness = 1;
   /** Every task that starts from now on fails. */
   failsTasks = false;
@@ -94,7 +95,7 @@
     this.tasks.clear();
   }
 
-  /** Handles that the machine hangs: tasks make no progress until `resume`. */
+  /** Called when the machine hangs: tasks make no progress until `resume`. */
   pause(): void {
     this.images.pause();
     for (const task of this.tasks.values()) {
@@ -108,7 +109,7 @@
     }
   }
 
-  /** Handles that the machine no longer hangs. */
+  /** Called when the machine no longer hangs. */
   resume(): void {
     this.images.resume();
     for (const task of this.tasks.values()) {
@@ -235,7 +236,7 @@
     });
   }
 
-  /** Executes a stop command: the task saves its progress and exits, or exits at once if the grace period is too short. */
+  /** Executes a stop command: the task saves and exits, or exits at once if it can't save within the grace period. */
   stop(task: Task, graceS: number): void {
     const { job } = task;
     if (!job || task.phase === 'exited') return;
--- a/packages/region/src/models/users.ts
+++ b/packages/region/src/models/users.ts
@@ -11,7 +11,7 @@
 /** What {@link UserModel} depends on. */
 export interface UserDeps {
   readonly runtime: Runtime;
-  /** Real time in milliseconds since the start of the day. */
+  /** True time in milliseconds since the start of the day. */
   readonly now: () => number;
   readonly luck: Luck;
   readonly day: Day;
@@ -37,18 +37,19 @@
 const RETRY_DEADLINE_MS = 60_000;
 const UNKNOWN_JOB_POLL_INTERVAL_MS = 15_000;
 const INITIAL_JOBS_WINDOW_MS = 5000;
-/** Share of the accepted jobs that are submitted once more, and share of the ended ones that are polled and submitted again. */
+/** Share of the accepted jobs that are submitted once more. */
 const RESUBMIT_SHARE = 0.03;
+/** Share of the ended jobs that are polled and submitted again. */
 const ASK_AFTER_END_SHARE = 0.05;
-/** Largest factor between the estimated and the real run time of a job. */
+/** Largest factor between the estimated and the actual run time of a job. */
 const MAX_ESTIMATE_FACTOR = 20;
 
 /**
- * Simulated users of the job API: they submit jobs and pipelines, retry, poll, cancel, repeat requests, and ask about jobs
- * that don't exist.
+ * Simulated users of the job API: they submit jobs and pipelines, retry, poll, cancel, repeat requests, and ask about
+ * jobs that don't exist.
  */
 export class UserModel {
-  /** Factor on the arrival rate, by job class. */
+  /** The arrival rate of a job class is multiplied by this. */
   private readonly arrivalFactors = new Map<string, number>();
   private readonly usedRefs = new Set<string>();
   /** Accepted jobs, in the order of their acceptance. */
@@ -68,14 +69,14 @@
     });
   }
 
-  /** Does some work in a session of its own. */
+  /** Opens a session for some requests and closes it afterwards. */
   private async withSession(work: (session: UserSession) => Promise<unknown>): Promise<void> {
     const session = this.deps.balancer.openSession();
     await work(session);
     session.close();
   }
 
-  /** Sets the factor on the arrival rate of a job class. */
+  /** Sets the factor by which the arrival rate of a job class is multiplied. */
   burst(jobClass: string, times: number): void {
     this.arrivalFactors.set(jobClass, times);
   }
--- a/packages/region/src/models/witness.ts
+++ b/packages/region/src/models/witness.ts
@@ -1,11 +1,11 @@
 import type { JobTruth } from './jobs.js';
 
-/** What users know of one job. Times in milliseconds of real time since the start of the day. */
+/** What users know of one job. Times in milliseconds of true time since the start of the day. */
 export interface UserView {
   readonly job: JobTruth;
   readonly submittedAt: number;
   acceptedAt: number | null;
-  /** Refused for good, or given up. */
+  /** Refused for good, or given up after a minute. */
   refused: boolean;
   cancelAskedAt: number | null;
   /** A node has reported the job as done, or as cancelled. */
@@ -26,13 +26,13 @@
   /** Returns what has been reported of a job, at the moment at which a request about it is sent. */
   asks(ref: string): Asked;
   /** Called for each answer to a submission, the first or a repeated one. */
-  submitAnswered(ref: string, status: number, phase: unknown, asked: Asked): void;
+  submitAnswered(ref: string, status: number, phase: unknown, known: Asked): void;
   /** Called for each poll with its status; null if there was no answer. */
-  polled(ref: string, status: number | null, phase: unknown, asked: Asked): void;
+  polled(ref: string, status: number | null, phase: unknown, known: Asked): void;
   /** A user cancels a job. */
   cancelAsked(ref: string): void;
   /** Called for each answer to a cancellation. */
-  cancelAnswered(ref: string, status: number, phase: unknown, asked: Asked): void;
+  cancelAnswered(ref: string, status: number, phase: unknown, known: Asked): void;
   /** Called after an invalid submission with the expected status and the actual one; null if there was no answer. */
-  oddAnswered(what: string, wanted: number, status: number | null): void;
+  oddAnswered(description: string, expectedStatus: number, status: number | null): void;
 }
--- a/packages/region/src/models/worker.ts
+++ b/packages/region/src/models/worker.ts
@@ -63,7 +63,7 @@
 }
 
 const REPORT_TIMEOUT_MS = 4000;
-/** Delay of the next report after one that failed, which goes to the next controller. */
+/** Delay before a report to the next controller, after one that failed. */
 const FAILOVER_DELAY_MS = 1000;
 /** Range of the delay of held commands. */
 const HELD_COMMAND_DELAY_MS = [200, 6000] as const;
@@ -95,7 +95,7 @@
   deaf = false;
   /** Its connections don't reach any controller; commands do reach it. */
   mute = false;
-  /** A refused command raises its token nevertheless; the protocol leaves that open. */
+  /** A command that is refused because of its session raises the token nevertheless; the protocol leaves that open. */
   refusedRaise = false;
   /** Delays commands or their answers. */
   holdsCommands = false;
@@ -150,13 +150,13 @@
     this.listener?.close();
   }
 
-  /** Handles that the machine hangs: tasks make no progress until `resume`. */
+  /** Called when the machine hangs: tasks make no progress until `resume`. */
   pause(): void {
     this.paused = true;
     this.tasks.pause();
   }
 
-  /** Handles that the machine no longer hangs. */
+  /** Called when the machine no longer hangs. */
   resume(): void {
     this.paused = false;
     this.tasks.resume();
@@ -199,6 +199,7 @@
     };
   }
 
+  /** Sends a report; on failure the next one goes to the controller named in the answer, or to the next one. */
   private async report(): Promise<void> {
     const client = this.clients[this.controllerIndex];
     if (this.ended || this.reporting || !client) return;
@@ -276,7 +277,7 @@
   /** Number of restarts; requests of an earlier incarnation are dropped. */
   private incarnation = 0;
 
-  /** Restarts the machine: all tasks are killed, and after `downS` session and sequence start from the beginning. */
+  /** Restarts the machine: all tasks are killed, and after `downS` seconds session and sequence number start anew. */
   restart(downS: number): void {
     this.nextReport?.cancel();
     this.tasks.killAll();
@@ -304,7 +305,7 @@
 
   private restarting = false;
 
-  /** Number of changes that a report must tell. */
+  /** Counts the changes that must be reported. */
   private changeCount = 0;
 
   /** Handles the answer to a report that was sent at this time of the watchdog's clock. */
@@ -345,7 +346,7 @@
     this.watchLease();
   }
 
-  /** Handles that the lease has expired: tasks are killed and forgotten, and the next session begins. */
+  /** Expires the lease: all tasks are killed and forgotten, and the next session begins. */
   expire(): void {
     this.tasks.killAll();
     this.session += 1;
@@ -354,7 +355,7 @@
     this.changeCount += 1;
   }
 
-  /** Answers a request; never, while nothing reaches the worker. */
+  /** Answers a request; leaves it unanswered while nothing reaches the worker. */
   private handleRequest(request: JsonRequest): JsonResponse | Promise<JsonResponse> {
     if (this.deaf || this.restarting) return new Promise<JsonResponse>(() => undefined);
     return this.holdsCommands && request.path === '/commands' ? this.serveDelayed(request) : this.serve(request);
