--- a/packages/region/test/models.test.ts
+++ b/packages/region/test/models.test.ts
@@ -150,19 +150,19 @@
   };
   const rent = (charter: string, number: number, flotsam = false) =>
     ask('POST', '/rentals', { charter, hull: 'm', berth: 'a', flotsam, number });
-  const names = async (): Promise<unknown[]> =>
+  const listedIds = async (): Promise<unknown[]> =>
     ((await ask('GET', '/rentals')).body['drifters'] as Json[]).map((d) => d['ref']);
-  return { lab, model, up, gone, ask, rent, names };
+  return { lab, model, up, gone, ask, rent, listedIds };
 }
 
 test('cloud: a repeated request id rents once, capacity is limited, and returned machines free it', async () => {
   const { lab, up, gone, ask, rent } = cloud();
   const first = await rent('r-1', 2);
   assert.deepEqual((await rent('r-1', 2)).body, first.body);
-  const rest = await rent('r-2', 50);
-  assert.equal((rest.body['drifters'] as unknown[]).length, 1, 'partially filled');
-  const none = await rent('r-3', 1);
-  assert.deepEqual([none.status, none.body['error']], [503, 'no capacity']);
+  const partial = await rent('r-2', 50);
+  assert.equal((partial.body['drifters'] as unknown[]).length, 1, 'partially filled');
+  const refused = await rent('r-3', 1);
+  assert.deepEqual([refused.status, refused.body['error']], [503, 'no capacity']);
   assert.equal((await rent('r-4', 1, true)).status, 200, 'spot capacity is separate');
   await lab.pass(61_000);
   assert.equal(up.length, 4);
@@ -173,16 +173,16 @@
 });
 
 test('cloud: the list lags and may be older than the previous one, but a listed machine stays listed until it is gone', async () => {
-  const { lab, ask, rent, names } = cloud();
+  const { lab, ask, rent, listedIds } = cloud();
   const [id] = (await rent('r-1', 1)).body['drifters'] as string[];
-  assert.deepEqual(await names(), []);
+  assert.deepEqual(await listedIds(), []);
   await lab.pass(11_000);
-  assert.deepEqual(await names(), [id]);
-  for (let i = 0; i < 40; i++) assert.deepEqual(await names(), [id]);
+  assert.deepEqual(await listedIds(), [id]);
+  for (let i = 0; i < 40; i++) assert.deepEqual(await listedIds(), [id]);
   await ask('POST', '/rentals/return', { drifters: [id] });
-  assert.deepEqual(await names(), [id], 'still listed after it is gone');
+  assert.deepEqual(await listedIds(), [id], 'still listed after it is gone');
   await lab.pass(11_000);
-  assert.deepEqual(await names(), []);
+  assert.deepEqual(await listedIds(), []);
 });
 
 test('cloud: the first minute is always billed, a failed machine is not billed, and spot reclaims give notice', async () => {
@@ -349,21 +349,21 @@
   const lab = new Lab();
   const cache = new ImageCache(lab.process('10.1.0.1'), 3, 1);
   const ready: string[] = [];
-  const want = (image: string, gb: number, who: string): void =>
-    cache.request(image, gb, who, () => ready.push(`${who} ${Math.round(lab.world.now / 100) / 10}`));
-  want('x', 2, 'a');
-  want('x', 2, 'b');
-  want('y', 1, 'c');
+  const requestImage = (image: string, gb: number, waiter: string): void =>
+    cache.request(image, gb, waiter, () => ready.push(`${waiter} ${Math.round(lab.world.now / 100) / 10}`));
+  requestImage('x', 2, 'a');
+  requestImage('x', 2, 'b');
+  requestImage('y', 1, 'c');
   await lab.pass(10_000);
   assert.deepEqual(ready.splice(0), ['c 2', 'a 3', 'b 3']);
-  want('x', 2, 'd');
-  want('z', 1, 'e');
+  requestImage('x', 2, 'd');
+  requestImage('z', 1, 'e');
   cache.cancel('z', 'e');
-  want('z', 1, 'f');
+  requestImage('z', 1, 'f');
   await lab.pass(10_000);
   assert.deepEqual(ready.splice(0), ['d 10', 'f 11'], 'a fetch is aborted when no task waits for it');
-  want('x', 2, 'g');
-  want('y', 1, 'h');
+  requestImage('x', 2, 'g');
+  requestImage('y', 1, 'h');
   await lab.pass(10_000);
   assert.deepEqual(ready, ['g 20', 'h 21'], 'y was evicted');
 });
@@ -372,8 +372,8 @@
 
 function gang(pieces: number, overrides: Partial<Submission> = {}) {
   const lab = new Lab(9);
-  const truth = new JobTruth(job({ ref: 'j-1', shape: 'ensemble', pieces, ...overrides }), () => 20, false);
-  const book = new GangBook(lab.process('10.9.0.1'), lab.luck, { waitS: 30, peerS: 5 });
+  const gangJob = new JobTruth(job({ ref: 'j-1', shape: 'ensemble', pieces, ...overrides }), () => 20, false);
+  const coordinator = new GangBook(lab.process('10.9.0.1'), lab.luck, { waitS: 30, peerS: 5 });
   const seen: string[] = [];
   const members = Array.from({ length: pieces }, (_, index): GangMember => ({
     index,
@@ -383,13 +383,13 @@
     exit: (cause, stored) => seen.push(`${cause}${stored ? ' stored' : ''} ${index}`),
   }));
   const join = (attempt: number, ...which: number[]): void => {
-    for (const i of which) book.join(truth, attempt, members[i] as GangMember);
+    for (const i of which) coordinator.join(gangJob, attempt, members[i] as GangMember);
   };
-  return { lab, truth, book, seen, join, member: (i: number) => members[i] as GangMember };
+  return { lab, gangJob, coordinator, seen, join, member: (i: number) => members[i] as GangMember };
 }
 
 test('gang: members start together, run at the slowest speed and complete together', async () => {
-  const { lab, truth, seen, join } = gang(3);
+  const { lab, gangJob, seen, join } = gang(3);
   join(1, 0, 2);
   await lab.pass(10_000);
   assert.deepEqual(seen, []);
@@ -397,16 +397,16 @@
   await lab.pass(39_000);
   assert.deepEqual(seen.splice(0), ['start 0', 'start 2', 'start 1']);
   await lab.pass(1100);
-  assert.deepEqual([seen, truth.complete], [['done 0', 'done 2', 'done 1'], true]);
+  assert.deepEqual([seen, gangJob.complete], [['done 0', 'done 2', 'done 1'], true]);
 });
 
 test('gang: a member that waits too long exits as alone, and a replacement with the same attempt completes the gang', async () => {
-  const { lab, seen, book, truth, join, member } = gang(2);
+  const { lab, seen, coordinator, gangJob, join, member } = gang(2);
   join(1, 0);
   await lab.pass(30_100);
   assert.deepEqual(seen.splice(0), ['alone 0']);
   join(2, 0);
-  book.onMemberLost(truth, 2, member(0), false);
+  coordinator.onMemberLost(gangJob, 2, member(0), false);
   await lab.pass(10_000);
   join(2, 1);
   join(2, 0);
@@ -414,33 +414,33 @@
 });
 
 test('gang: when a member is lost the others exit in time, and progress falls back to the last checkpoint', async () => {
-  const { lab, seen, book, truth, join, member } = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
+  const { lab, seen, coordinator, gangJob, join, member } = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   join(1, 0, 1);
   await lab.pass(10_000);
-  book.onMemberLost(truth, 1, member(1), false);
+  coordinator.onMemberLost(gangJob, 1, member(1), false);
   await lab.pass(5001);
-  assert.deepEqual([seen.slice(2), truth.saved.get(0)], [['mates_gone 0'], 3], '5 s at half speed');
+  assert.deepEqual([seen.slice(2), gangJob.saved.get(0)], [['mates_gone 0'], 3], '5 s at half speed');
   join(1, 1);
   assert.equal(seen.at(-1), 'mates_gone 1', 'that attempt has ended');
 });
 
 test('gang: a stop saves progress when all members are told in time, and fails when one is not', async () => {
-  const told = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
-  told.join(1, 0, 1);
-  await told.lab.pass(10_000);
-  told.book.stop(told.truth, 1, told.member(0), 2);
-  await told.lab.pass(3000);
-  told.book.stop(told.truth, 1, told.member(1), 2);
-  await told.lab.pass(1100);
-  assert.deepEqual(told.seen.slice(2), ['saving 0', 'saving 1', 'stopped stored 0', 'stopped stored 1']);
-  assert.ok(Math.abs((told.truth.saved.get(0) ?? 0) - 5) < 0.01, 'progress freezes at the first stop');
-  const late = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
-  late.join(1, 0, 1);
-  await late.lab.pass(10_000);
-  late.book.stop(late.truth, 1, late.member(0), 2);
-  await late.lab.pass(11_000);
-  assert.deepEqual(late.seen.slice(2).sort(), ['mates_gone 0', 'mates_gone 1', 'saving 0']);
-  assert.equal(late.truth.saved.get(0), 3);
+  const toldInTime = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
+  toldInTime.join(1, 0, 1);
+  await toldInTime.lab.pass(10_000);
+  toldInTime.coordinator.stop(toldInTime.gangJob, 1, toldInTime.member(0), 2);
+  await toldInTime.lab.pass(3000);
+  toldInTime.coordinator.stop(toldInTime.gangJob, 1, toldInTime.member(1), 2);
+  await toldInTime.lab.pass(1100);
+  assert.deepEqual(toldInTime.seen.slice(2), ['saving 0', 'saving 1', 'stopped stored 0', 'stopped stored 1']);
+  assert.ok(Math.abs((toldInTime.gangJob.saved.get(0) ?? 0) - 5) < 0.01, 'progress freezes at the first stop');
+  const toldLate = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
+  toldLate.join(1, 0, 1);
+  await toldLate.lab.pass(10_000);
+  toldLate.coordinator.stop(toldLate.gangJob, 1, toldLate.member(0), 2);
+  await toldLate.lab.pass(11_000);
+  assert.deepEqual(toldLate.seen.slice(2).sort(), ['mates_gone 0', 'mates_gone 1', 'saving 0']);
+  assert.equal(toldLate.gangJob.saved.get(0), 3);
 });
 
 // ---- the balancer
