--- a/packages/region/src/cli/capacity.ts
+++ b/packages/region/src/cli/capacity.ts
@@ -2,53 +2,54 @@
 import {
   amountOf,
   capacityRun,
-  DIMENSIONS,
+  CAPACITY_DIMENSIONS,
   figuresOf,
-  FITTED,
-  FULL,
-  slopes,
-  type Dimension,
-  type Sample,
+  FITTED_PARTS,
+  FULL_PART,
+  fitSlopes,
+  type CapacityDimension,
+  type CapacitySample,
 } from '../scale/index.js';
 import { dayArgument, loadDay } from './days.js';
-import { positiveNumber } from './options.js';
-import { machineOptions, runScale } from './scale.js';
+import { parsePositiveNumber } from './options.js';
+import { hostOptions, runScale } from './scale.js';
 
-const dimension = (text: string, before: readonly Dimension[] = []): readonly Dimension[] => {
-  const known = DIMENSIONS.find((name) => name === text);
-  if (!known) throw new InvalidArgumentError(`one of ${DIMENSIONS.join(', ')}`);
-  return [...before, known];
+const parseDimension = (text: string, previous: readonly CapacityDimension[] = []): readonly CapacityDimension[] => {
+  const match = CAPACITY_DIMENSIONS.find((name) => name === text);
+  if (!match) throw new InvalidArgumentError(`one of ${CAPACITY_DIMENSIONS.join(', ')}`);
+  return [...previous, match];
 };
 
 interface CapacityFlags {
-  readonly dimension?: readonly Dimension[];
+  readonly dimension?: readonly CapacityDimension[];
   readonly workerProcesses: number;
   readonly warmup: number;
   readonly seconds: number;
 }
 
-const print = (line: unknown): void => void process.stdout.write(`${JSON.stringify(line)}\n`);
+const printJsonLine = (line: unknown): void => void process.stdout.write(`${JSON.stringify(line)}\n`);
 
 /** The slopes of each dimension, as JSON lines: a line for each run, and one with what they fit. */
-async function measureCapacity(given: string, flags: CapacityFlags): Promise<void> {
-  const whole = loadDay(given);
+async function measureCapacity(nameOrPath: string, flags: CapacityFlags): Promise<void> {
+  const fullDay = loadDay(nameOrPath);
   const { workerProcesses: hollowProcesses, warmup: warmupS, seconds } = flags;
-  for (const varied of flags.dimension ?? DIMENSIONS) {
-    const samples: Sample[] = [];
-    for (const part of [...FITTED, FULL]) {
-      const run = capacityRun(whole, varied, part);
+  for (const varied of flags.dimension ?? CAPACITY_DIMENSIONS) {
+    const samples: CapacitySample[] = [];
+    for (const part of [...FITTED_PARTS, FULL_PART]) {
+      const run = capacityRun(fullDay, varied, part);
       const { day, changesPerMinute } = run;
       process.stderr.write(`${varied} at ${part}\n`);
       const result = await runScale({
-        ...machineOptions(),
+        ...hostOptions(),
         ...{ day, hollowProcesses, warmupS, seconds, changesPerMinute, changesAtOnce: 0 },
       });
       const sample = { amount: amountOf(run, result), figures: figuresOf(result) };
       samples.push(sample);
-      print({ dimension: varied, part, ...sample, result });
+      printJsonLine({ dimension: varied, part, ...sample, result });
     }
     const full = samples.pop();
-    if (full) print({ dimension: varied, fitted: samples.length, full: full.amount, slopes: slopes(samples, full) });
+    if (full)
+      printJsonLine({ dimension: varied, fitted: samples.length, full: full.amount, slopes: fitSlopes(samples, full) });
   }
 }
 
@@ -57,9 +58,9 @@
     .command('capacity')
     .description('slopes of what controllers take: one thing varied at a time, and what they predict for the whole')
     .argument(...dayArgument)
-    .option('--dimension <name>', `only this one, repeatable: ${DIMENSIONS.join(', ')}`, dimension)
-    .option('--worker-processes <n>', 'processes that the hollow workers share', positiveNumber, 3)
-    .option('--warmup <seconds>', 'before anything is measured', positiveNumber, 35)
-    .option('--seconds <n>', 'that are measured', positiveNumber, 20)
+    .option('--dimension <name>', `only this one, repeatable: ${CAPACITY_DIMENSIONS.join(', ')}`, parseDimension)
+    .option('--worker-processes <n>', 'processes that the hollow workers share', parsePositiveNumber, 3)
+    .option('--warmup <seconds>', 'before anything is measured', parsePositiveNumber, 35)
+    .option('--seconds <n>', 'that are measured', parsePositiveNumber, 20)
     .action((day: string, flags: CapacityFlags) => measureCapacity(day, flags));
 }
--- a/packages/region/src/cli/days.ts
+++ b/packages/region/src/cli/days.ts
@@ -8,16 +8,16 @@
 export const shippedDayNames = (): string => Object.keys(SHIPPED_DAYS).join(', ');
 
 /** Reads a day that ships with the package, or a file. */
-export function loadDay(given: string): Day {
-  const shipped = SHIPPED_DAYS[given];
-  if (shipped !== undefined) return readDay(shipped, `${given}.toml`);
+export function loadDay(nameOrPath: string): Day {
+  const shippedToml = SHIPPED_DAYS[nameOrPath];
+  if (shippedToml !== undefined) return readDay(shippedToml, `${nameOrPath}.toml`);
   let toml: string;
   try {
-    toml = readFileSync(given, 'utf8');
+    toml = readFileSync(nameOrPath, 'utf8');
   } catch {
-    throw new UsageError(`${given}: no such file, and no day of that name (${shippedDayNames()})`);
+    throw new UsageError(`${nameOrPath}: no such file, and no day of that name (${shippedDayNames()})`);
   }
-  return readDay(toml, given);
+  return readDay(toml, nameOrPath);
 }
 
 /** The argument of commands that take a day: its name and what it means. */
--- a/packages/region/src/measure/chains.ts
+++ b/packages/region/src/measure/chains.ts
@@ -1,30 +1,38 @@
+/** Measures chains of dependent jobs. */
+
 import { build } from 'hdr-histogram-js';
 import type { Day } from '../day/index.js';
 import { Region, type RegionOptions } from '../region.js';
 
-export interface Chains {
+/** Delays within chains of jobs, and the changes that storing a day takes. */
+export interface ChainMeasurement {
   readonly day: string;
   readonly seed: number;
-  /** Jobs that awaited others and were begun. */
+  /** Jobs that waited for other jobs and have started. */
   readonly steps: number;
-  /** From the last final that a job needed to its first task's start on a machine, in seconds. */
+  /** Time from the last final state that a job waited for to the first start of one of its tasks, in seconds. */
   readonly finalToStartS: { readonly p50: number; readonly p99: number };
-  /** From a user's word that a job is cancelled to the finals of all that needed it, in seconds; null: none needed any. */
+  /** Longest time from the cancelled state of a job to the cancelled state of a job that waits for it, in seconds; null if none did. */
   readonly cancelledWithinS: number | null;
-  /** Changes of the state service a second, by the first part of their keys. */
+  /** Changes of the state service per second, by kind of key. */
   readonly changesPerS: Readonly<Record<string, number>>;
-  /** The longest value of each of these, in bytes. */
+  /** Largest stored value in bytes, by kind of key. */
   readonly longestValue: Readonly<Record<string, number>>;
   readonly breaches: number;
 }
 
-const kindOf = (key: string): string => (key.startsWith('live/') ? (key.split('/')[1] ?? key) : 'finals');
+/** Kind of a state key: the part after `live/`, or `finals`. */
+const keyKind = (key: string): string => (key.startsWith('live/') ? (key.split('/')[1] ?? key) : 'finals');
 
-/** How soon the steps of chains follow each other, and what storing all of a day takes. */
-export async function measureChains(day: Day, seed: number, releases?: RegionOptions['releases']): Promise<Chains> {
-  const finals = new Map<string, { readonly at: number; readonly cancelled: boolean }>();
-  const begun = new Map<string, number>();
-  const changes: Record<string, number> = {};
+/** Measures how soon the jobs of a chain follow each other, and how much a day changes in the state service. */
+export async function measureChains(
+  day: Day,
+  seed: number,
+  releases?: RegionOptions['releases'],
+): Promise<ChainMeasurement> {
+  const finalsByJob = new Map<string, { readonly at: number; readonly cancelled: boolean }>();
+  const firstStartedAtMs = new Map<string, number>();
+  const changesByKind: Record<string, number> = {};
   const longestValue: Record<string, number> = {};
   const region = new Region({
     day,
@@ -33,44 +41,50 @@
     event: (line) => {
       const [at, what, task] = line.split(' ');
       const ref = task?.split('/')[0];
-      if (what === 'on' && ref !== undefined && !begun.has(ref)) begun.set(ref, Number(at));
+      if (what === 'on' && ref !== undefined && !firstStartedAtMs.has(ref)) firstStartedAtMs.set(ref, Number(at));
     },
   });
   region.parts.state.wrote = (key, value) => {
-    const kind = kindOf(key);
-    changes[kind] = (changes[kind] ?? 0) + 1;
+    const kind = keyKind(key);
+    changesByKind[kind] = (changesByKind[kind] ?? 0) + 1;
     if (value !== undefined)
       longestValue[kind] = Math.max(longestValue[kind] ?? 0, Buffer.byteLength(JSON.stringify(value)));
     if (kind !== 'finals') return;
     const cancelled = (value as { phase?: string } | undefined)?.phase === 'cancelled';
-    finals.set(key.slice('finals/'.length), { at: region.now, cancelled });
+    finalsByJob.set(key.slice('finals/'.length), { at: region.now, cancelled });
   };
   await region.play();
-  const gaps = build({
+  const finalToStartMs = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 3_600_000,
     numberOfSignificantValueDigits: 3,
   });
   let cancelledWithinS: number | null = null;
   for (const { spec } of region.parts.jobs.all) {
-    const needs = (spec.awaits ?? []).flatMap((id) => finals.get(id) ?? []);
-    const last = Math.max(...needs.map(({ at }) => at));
-    const start = begun.get(spec.ref);
-    if (needs.length > 0 && start !== undefined) gaps.recordValue(Math.max(1, Math.round(start - last)));
-    const cause = needs.find(({ cancelled }) => cancelled);
-    const own = finals.get(spec.ref);
-    if (cause && own?.cancelled === true)
-      cancelledWithinS = Math.max(cancelledWithinS ?? 0, Math.round(own.at - cause.at) / 1000);
+    const requiredFinals = (spec.awaits ?? []).flatMap((id) => finalsByJob.get(id) ?? []);
+    const lastFinalMs = Math.max(...requiredFinals.map(({ at }) => at));
+    const start = firstStartedAtMs.get(spec.ref);
+    if (requiredFinals.length > 0 && start !== undefined)
+      finalToStartMs.recordValue(Math.max(1, Math.round(start - lastFinalMs)));
+    const cancelledFinal = requiredFinals.find(({ cancelled }) => cancelled);
+    const ownFinal = finalsByJob.get(spec.ref);
+    if (cancelledFinal && ownFinal?.cancelled === true)
+      cancelledWithinS = Math.max(cancelledWithinS ?? 0, Math.round(ownFinal.at - cancelledFinal.at) / 1000);
   }
   const result = region.close();
-  const seconds = (p: number): number => gaps.getValueAtPercentile(p) / 1000;
-  const perS = Object.entries(changes).map(([kind, count]) => [
+  const percentileS = (percentile: number): number => finalToStartMs.getValueAtPercentile(percentile) / 1000;
+  const ratesPerS = Object.entries(changesByKind).map(([kind, count]) => [
     kind,
     Math.round((count / result.simulatedS) * 100) / 100,
   ]);
   return {
-    ...{ day: day.name, seed, steps: gaps.totalCount, finalToStartS: { p50: seconds(50), p99: seconds(99) } },
-    ...{ cancelledWithinS, changesPerS: Object.fromEntries(perS) as Record<string, number>, longestValue },
+    ...{
+      day: day.name,
+      seed,
+      steps: finalToStartMs.totalCount,
+      finalToStartS: { p50: percentileS(50), p99: percentileS(99) },
+    },
+    ...{ cancelledWithinS, changesPerS: Object.fromEntries(ratesPerS) as Record<string, number>, longestValue },
     breaches: result.breaches.length + result.defects.length,
   };
 }
--- a/packages/region/src/measure/fleet.ts
+++ b/packages/region/src/measure/fleet.ts
@@ -1,22 +1,25 @@
+/** Generates days of any fleet size for measurements. */
+
 import { readDay, type Day, type Trouble } from '../day/index.js';
 
-/** A day of so many machines, all up from the start, with load in proportion; for measurements. */
+/** Returns a day for measurements: its machines are all up from the start, and its load is in proportion to them. */
 export function fleetDay(machines: number, durationS: number, troubles: readonly Trouble[] = []): Day {
-  const scale = machines / 900;
-  const part = (of900: number): number => Math.max(1, Math.round(of900 * scale));
-  const wide = part(150);
-  const small = Math.max(1, machines - wide);
-  const each = (total: number, zone: 0 | 1 | 2): number => Math.max(1, Math.floor((total + zone) / 3));
+  // The amounts below are those of a fleet of 900 machines.
+  const sizeFactor = machines / 900;
+  const scaledCount = (countOf900: number): number => Math.max(1, Math.round(countOf900 * sizeFactor));
+  const wideMachines = scaledCount(150);
+  const smallMachines = Math.max(1, machines - wideMachines);
+  const countInZone = (total: number, zone: 0 | 1 | 2): number => Math.max(1, Math.floor((total + zone) / 3));
   const zones = ['a', 'b', 'c'] as const;
-  const lines = zones.flatMap((zone, i) =>
+  const lines = zones.flatMap((zoneIndex, i) =>
     (
       [
-        ['small', each(small, i as 0 | 1 | 2)],
-        ['wide', each(wide, i as 0 | 1 | 2)],
+        ['small', countInZone(smallMachines, i as 0 | 1 | 2)],
+        ['wide', countInZone(wideMachines, i as 0 | 1 | 2)],
       ] as const
     ).flatMap(([type, count]) => [
-      `[[capacity]]\ntype = "${type}"\nzone = "${zone}"\nordinary = ${count + 2}\nspot = ${part(20)}`,
-      `[[machines]]\ntype = "${type}"\nzone = "${zone}"\ncount = ${count}`,
+      `[[capacity]]\ntype = "${type}"\nzone = "${zoneIndex}"\nordinary = ${count + 2}\nspot = ${scaledCount(20)}`,
+      `[[machines]]\ntype = "${type}"\nzone = "${zoneIndex}"\ncount = ${count}`,
     ]),
   );
   const day = readDay(
@@ -66,8 +69,8 @@
 cpus = 1.0
 memory_gb = 2.0
 run_s = { median = 900.0, p95 = 2000.0, max = 4000.0 }
-initial = ${part(260)}
-per_minute = ${part(20)}
+initial = ${scaledCount(260)}
+per_minute = ${scaledCount(20)}
 [[classes]]
 name = "batch"
 shape = "array"
@@ -78,8 +81,8 @@
 memory_gb = 5.0
 run_s = { median = 30.0, p95 = 60.0, max = 90.0 }
 spot = true
-initial = ${part(24)}
-per_minute = ${part(30)}
+initial = ${scaledCount(24)}
+per_minute = ${scaledCount(30)}
 [[classes]]
 name = "gangs"
 shape = "gang"
@@ -93,8 +96,8 @@
 spot = true
 checkpoint_s = 20.0
 save_s = 2.0
-initial = ${part(12)}
-per_minute = ${part(8)}
+initial = ${scaledCount(12)}
+per_minute = ${scaledCount(8)}
 `,
     'fleet',
   );
--- a/packages/region/src/measure/index.ts
+++ b/packages/region/src/measure/index.ts
@@ -1,3 +1,4 @@
+/** Measurements on simulated fleets of any size. */
 export * from './cancels.js';
 export * from './chains.js';
 export * from './fleet.js';
--- a/packages/region/src/measure/recovery.ts
+++ b/packages/region/src/measure/recovery.ts
@@ -1,50 +1,64 @@
+/** Measures the recovery from crashes of controllers. */
+
 import { decodeShard } from '../../../../src/membership/index.js';
 import type { Trouble } from '../day/index.js';
 import { Region } from '../region.js';
 import { fleetDay } from './fleet.js';
 
-/** Which controllers end at once. */
-export type Ended = 'one' | 'leader' | 'two' | 'all';
-export const ENDED: readonly Ended[] = ['one', 'leader', 'two', 'all'];
+/** Controllers that crash at the same moment. */
+export type CrashTarget = 'one' | 'leader' | 'two' | 'all';
+/** All crash targets. */
+export const CRASH_TARGETS: readonly CrashTarget[] = ['one', 'leader', 'two', 'all'];
 
-export interface Recovery {
+/** How long each step of the recovery takes. Times are in seconds since the crash; null if the step was not reached. */
+export interface RecoveryMeasurement {
   readonly machines: number;
-  readonly ended: Ended;
+  readonly ended: CrashTarget;
   readonly seed: number;
   readonly rps: number;
   readonly writeRps: number;
-  /** Seconds from the end of the processes until each shard that lost its holder was claimed. */
+  /** Until every shard that lost its holder was claimed again. */
   readonly claimedS: number | null;
-  /** Until half, and until the last, of the machines of those shards had a report answered. */
+  /** Until half of the machines of those shards had a report answered. */
   readonly halfAnsweredS: number | null;
+  /** Until all machines of those shards had a report answered. */
   readonly lastAnsweredS: number | null;
-  /** Until a task that a new holder started first ran in one of those shards, and in the last of them. */
+  /** Until a task that a new holder started was on a machine of one of those shards. */
   readonly firstStartS: number | null;
+  /** Until this was so in each of those shards. */
   readonly lastFirstStartS: number | null;
-  /** Tasks that a worker killed because its lease had run out. */
+  /** Tasks that a worker killed because its lease had expired. */
   readonly killed: number;
-  /** The state service, from the end of the processes until the last report: requests and changes a second, refusals. */
+  /** Requests to the state service per second, from the crash until `lastAnsweredS`. */
   readonly requestsPerS: number;
+  /** Changes of the state service per second in that time. */
   readonly changesPerS: number;
+  /** Requests that the state service refused in that time. */
   readonly refused: number;
   readonly breaches: number;
 }
 
-const STEP_S = 0.1;
-const ATTEMPTS = 2 ** 20;
+/** Interval at which the recovery is sampled, in simulated seconds. */
+const SAMPLE_STEP_S = 0.1;
+/** Attempt numbers of a holder begin with the revision of its claim times this number. */
+const ATTEMPTS_PER_REVISION = 2 ** 20;
 
-interface Options {
+/** Options of a recovery measurement. */
+interface RecoveryOptions {
   readonly machines: number;
-  readonly ended: Ended;
+  readonly ended: CrashTarget;
   readonly seed: number;
-  /** The state service's requests and changes a second. */
+  /** Limit of the state service in requests per second. */
   readonly rps: number;
+  /** Limit of the state service in changes per second. */
   readonly writeRps: number;
+  /** When the controllers crash, in simulated seconds. */
   readonly atS?: number;
-  readonly watchS?: number;
+  /** How long the recovery is observed after the crash, in simulated seconds. */
+  readonly observedS?: number;
 }
 
-/** Ends controllers of a loaded fleet, and measures how long each step of the recovery takes. */
+/** Crashes controllers of a loaded fleet, and measures how long each step of the recovery takes. */
 export async function measureRecovery({
   machines,
   ended,
@@ -52,83 +66,93 @@
   rps,
   writeRps,
   atS = 75,
-  watchS = 45,
-}: Options): Promise<Recovery> {
-  // Submissions come so thick around it that the state service is at its changes a second.
-  const rush: Trouble = { kind: 'burst', at_s: atS - 10, for_s: 30, class: 'batch', times: 3 };
-  const fleet = fleetDay(machines, atS + watchS + 1, [rush]);
+  observedS = 45,
+}: RecoveryOptions): Promise<RecoveryMeasurement> {
+  // A burst of submissions around the crash brings the state service to its limit of changes per second.
+  const submissionBurst: Trouble = { kind: 'burst', at_s: atS - 10, for_s: 30, class: 'batch', times: 3 };
+  const fleet = fleetDay(machines, atS + observedS + 1, [submissionBurst]);
   const day = { ...fleet, seed, state: { ...fleet.state, rps, write_rps: writeRps } };
-  const starts: { at: number; attempt: number; machine: string }[] = [];
+  const taskStarts: { at: number; attempt: number; machine: string }[] = [];
   let killed = 0;
   const region = new Region({
     day,
     event: (line) => {
       const [at = '', what, , attempt = '', machine = '', cause] = line.trimEnd().split(' ');
-      if (what === 'on') starts.push({ at: Number(at), attempt: Number(attempt), machine });
+      if (what === 'on') taskStarts.push({ at: Number(at), attempt: Number(attempt), machine });
       if (what === 'off' && cause === 'killed') killed += 1;
     },
   });
   await region.play(atS);
   const { parts } = region;
   const leader = region.leader ?? region.controllers[0];
-  const rest = region.controllers.filter((controller) => controller !== leader);
-  const chosen = {
-    one: rest.slice(0, 1),
+  const otherControllers = region.controllers.filter((controller) => controller !== leader);
+  const crashed = {
+    one: otherControllers.slice(0, 1),
     leader: leader ? [leader] : [],
-    two: leader ? [leader, ...rest.slice(0, 1)] : [],
+    two: leader ? [leader, ...otherControllers.slice(0, 1)] : [],
     all: region.controllers,
   }[ended];
-  const names = new Set(chosen.map(({ seat }) => seat.name));
-  const recordOf = (shard: string) => decodeShard(parts.state.get(`live/shards/${shard}`));
-  const blocks = new Map<string, Set<string>>();
+  const crashedNames = new Set(crashed.map(({ seat }) => seat.name));
+  const shardRecord = (shard: string) => decodeShard(parts.state.get(`live/shards/${shard}`));
+  const machinesByShard = new Map<string, Set<string>>();
   for (const { seat } of region.controllers) {
-    const record = recordOf(seat.name);
-    if (record && names.has(record.holder)) blocks.set(seat.name, new Set(record.machines.map(({ id }) => id)));
+    const record = shardRecord(seat.name);
+    if (record && crashedNames.has(record.holder))
+      machinesByShard.set(seat.name, new Set(record.machines.map(({ id }) => id)));
   }
-  const lives = new Map([...blocks.keys()].map((shard) => [shard, recordOf(shard)?.incarnation]));
-  const answersOf = (id: string): number => parts.workers.get(id)?.model.answers ?? 0;
-  const affected = [...blocks.values()].flatMap((block) => [...block]);
-  const answersBefore = new Map(affected.map((id) => [id, answersOf(id)]));
+  const incarnationsBefore = new Map(
+    [...machinesByShard.keys()].map((shard) => [shard, shardRecord(shard)?.incarnation]),
+  );
+  const answeredReports = (id: string): number => parts.workers.get(id)?.model.answers ?? 0;
+  const affected = [...machinesByShard.values()].flatMap((machineIds) => [...machineIds]);
+  const answersBefore = new Map(affected.map((id) => [id, answeredReports(id)]));
   const [before, killedBefore] = [{ ...parts.state.counts }, killed];
-  const began = region.now;
-  // A holder's attempts begin with the revision of its claim.
-  const newest = parts.state.revision * ATTEMPTS;
-  starts.length = 0;
-  for (const controller of chosen) region.crash(controller, day.controllers.restart_s);
-  let claimed: number | null = null;
-  let half: number | null = null;
-  let last: number | null = null;
+  const crashedAtMs = region.now;
+  // Attempts of a later claim have higher numbers than this, because a holder's attempts begin with the revision of its claim.
+  const firstNewAttempt = parts.state.revision * ATTEMPTS_PER_REVISION;
+  taskStarts.length = 0;
+  for (const controller of crashed) region.crash(controller, day.controllers.restart_s);
+  let claimedS: number | null = null;
+  let halfAnsweredS: number | null = null;
+  let lastAnsweredS: number | null = null;
   let after = before;
-  for (let t = STEP_S; t <= watchS; t += STEP_S) {
+  for (let t = SAMPLE_STEP_S; t <= observedS; t += SAMPLE_STEP_S) {
     await region.play(atS + t);
-    const passed = (region.now - began) / 1000;
-    if (claimed === null && [...lives].every(([shard, life]) => recordOf(shard)?.incarnation !== life))
-      claimed = passed;
+    const elapsedS = (region.now - crashedAtMs) / 1000;
+    if (
+      claimedS === null &&
+      [...incarnationsBefore].every(
+        ([shard, incarnationBefore]) => shardRecord(shard)?.incarnation !== incarnationBefore,
+      )
+    )
+      claimedS = elapsedS;
     let [answered, present] = [0, 0];
     for (const id of affected) {
       if (!parts.workers.has(id)) continue;
       present += 1;
-      if (answersOf(id) > (answersBefore.get(id) ?? 0)) answered += 1;
+      if (answeredReports(id) > (answersBefore.get(id) ?? 0)) answered += 1;
     }
-    if (half === null && answered * 2 >= present) half = passed;
-    if (last === null && answered === present) {
-      last = passed;
+    if (halfAnsweredS === null && answered * 2 >= present) halfAnsweredS = elapsedS;
+    if (lastAnsweredS === null && answered === present) {
+      lastAnsweredS = elapsedS;
       after = { ...parts.state.counts };
     }
   }
-  if (last === null) after = { ...parts.state.counts };
-  const firsts = [...blocks.values()].map(
-    (block) => starts.find(({ machine, attempt }) => block.has(machine) && attempt >= newest)?.at ?? null,
+  if (lastAnsweredS === null) after = { ...parts.state.counts };
+  const firstStarts = [...machinesByShard.values()].map(
+    (machineIds) =>
+      taskStarts.find(({ machine, attempt }) => machineIds.has(machine) && attempt >= firstNewAttempt)?.at ?? null,
   );
-  const known = firsts.filter((at): at is number => at !== null).map((at) => (at - began) / 1000);
-  const lost = killed - killedBefore;
-  const spanS = last ?? watchS;
+  const startDelaysS = firstStarts.filter((at): at is number => at !== null).map((at) => (at - crashedAtMs) / 1000);
+  const killedDuringRecovery = killed - killedBefore;
+  const spanS = lastAnsweredS ?? observedS;
   const result = region.close();
   return {
-    ...{ machines, ended, seed, rps, writeRps, claimedS: claimed, halfAnsweredS: half, lastAnsweredS: last },
-    firstStartS: known.length > 0 ? Math.min(...known) : null,
-    lastFirstStartS: known.length > 0 && known.length === firsts.length ? Math.max(...known) : null,
-    killed: lost,
+    ...{ machines, ended, seed, rps, writeRps, claimedS, halfAnsweredS, lastAnsweredS },
+    firstStartS: startDelaysS.length > 0 ? Math.min(...startDelaysS) : null,
+    lastFirstStartS:
+      startDelaysS.length > 0 && startDelaysS.length === firstStarts.length ? Math.max(...startDelaysS) : null,
+    killed: killedDuringRecovery,
     requestsPerS: (after.requests - before.requests) / spanS,
     changesPerS: (after.changes - before.changes) / spanS,
     refused: after.refused - before.refused,
--- a/packages/region/src/measure/speed.ts
+++ b/packages/region/src/measure/speed.ts
@@ -1,27 +1,32 @@
+/** Measures the speed of the simulation. */
+
 import { Region } from '../region.js';
 import { fleetDay } from './fleet.js';
 
-export interface Speed {
+/** How fast a fleet is simulated. */
+export interface SpeedMeasurement {
   readonly machines: number;
   readonly simulatedS: number;
-  /** Real seconds that it took, measured by the caller's clock. */
+  /** Real seconds that the simulation took, by the clock of the caller. */
   readonly tookS: number;
+  /** Simulated seconds per real second. */
   readonly timesRealTime: number;
+  /** Events of the simulation per simulated second. */
   readonly happeningsPerSimulatedS: number;
   readonly residentMb: number;
 }
 
-/** How fast a fleet of so many machines plays, from its start on; nothing fails. */
+/** Measures how fast a fleet of a given size is simulated from its start, without troubles. */
 export async function measureSpeed(
   machines: number,
   simulatedS: number,
   clockMs: () => number,
   residentBytes: () => number,
-): Promise<Speed> {
-  const began = clockMs();
+): Promise<SpeedMeasurement> {
+  const startedMs = clockMs();
   const region = new Region({ day: fleetDay(machines, simulatedS) });
   await region.play();
-  const tookS = (clockMs() - began) / 1000;
+  const tookS = (clockMs() - startedMs) / 1000;
   const residentMb = Math.round(residentBytes() / 1e6);
   const { played } = region.world;
   region.close();
--- a/packages/region/src/report/charts.ts
+++ b/packages/region/src/report/charts.ts
@@ -4,13 +4,13 @@
 import type { Trouble } from '../day/index.js';
 import type { DayResult } from '../region.js';
 
-const WIDTH = 860;
+const CHART_WIDTH_PX = 860;
 
-const base = { $schema: 'https://vega.github.io/schema/vega-lite/v5.json', width: WIDTH } as const;
-const seconds = { field: 'atS', type: 'quantitative', title: 'seconds since the day began' } as const;
+const chartDefaults = { $schema: 'https://vega.github.io/schema/vega-lite/v5.json', width: CHART_WIDTH_PX } as const;
+const timeAxis = { field: 'atS', type: 'quantitative', title: 'seconds since the day began' } as const;
 
 /** Bands for troubles that last, lines for those that only happen. */
-const marks = (troubles: readonly Trouble[]): UnitSpec<Field>[] => {
+const troubleMarks = (troubles: readonly Trouble[]): UnitSpec<Field>[] => {
   const values = troubles.map((t) => ({
     kind: t.kind,
     atS: t.at_s,
@@ -31,7 +31,7 @@
 };
 
 /** Tasks of one kind over time, stacked by class. */
-export function tasksChart(
+export function renderTasksChart(
   { timeline }: DayResult,
   which: 'running' | 'waiting',
   troubles: readonly Trouble[],
@@ -40,39 +40,39 @@
     Object.entries(moment[which]).map(([name, tasks]) => ({ atS: moment.atS, class: name, tasks })),
   );
   return svg({
-    ...base,
+    ...chartDefaults,
     height: 200,
     layer: [
       {
         data: { values },
         mark: { type: 'area', interpolate: 'step-after' },
         encoding: {
-          x: seconds,
+          x: timeAxis,
           y: { field: 'tasks', type: 'quantitative', stack: 'zero', title: `tasks ${which}` },
           color: { field: 'class', type: 'nominal' },
         },
       },
-      ...marks(troubles),
+      ...troubleMarks(troubles),
     ],
   });
 }
 
 /** How many machines, or controllers, were up over time. */
-export function upChart(
+export function renderUpChart(
   { timeline }: DayResult,
   which: 'machinesUp' | 'controllersUp',
   troubles: readonly Trouble[],
 ): Promise<string> {
   const machines = which === 'machinesUp';
   return svg({
-    ...base,
+    ...chartDefaults,
     height: machines ? 120 : 60,
     layer: [
       {
         data: { values: timeline.map((moment) => ({ atS: moment.atS, up: moment[which] })) },
         mark: { type: 'line', interpolate: 'step-after' },
         encoding: {
-          x: seconds,
+          x: timeAxis,
           y: {
             field: 'up',
             type: 'quantitative',
@@ -81,13 +81,13 @@
           },
         },
       },
-      ...marks(troubles),
+      ...troubleMarks(troubles),
     ],
   });
 }
 
 /** Waits and finishing times by class, at three percentiles. */
-export function timesChart({ classes }: DayResult): Promise<string> {
+export function renderLatencyChart({ classes }: DayResult): Promise<string> {
   const values = classes.flatMap(({ name, waitS, finishS }) =>
     (
       [
@@ -99,8 +99,8 @@
     ),
   );
   return svg({
-    ...base,
-    width: WIDTH / 2 - 60,
+    ...chartDefaults,
+    width: CHART_WIDTH_PX / 2 - 60,
     data: { values },
     mark: 'point',
     encoding: {
--- a/packages/region/src/report/page.ts
+++ b/packages/region/src/report/page.ts
@@ -1,11 +1,11 @@
 import { Eta } from 'eta';
 import type { Day } from '../day/index.js';
 import type { DayResult } from '../region.js';
-import { tasksChart, timesChart, upChart } from './charts.js';
-import { aimText, quantilesText } from './table.js';
+import { renderTasksChart, renderLatencyChart, renderUpChart } from './charts.js';
+import { formatAim, formatQuantiles } from './table.js';
 
 /** Everything in one file: opens without a network, and needs no script. */
-const PAGE = `<!doctype html>
+const PAGE_TEMPLATE = `<!doctype html>
 <html lang="en">
 <head>
 <meta charset="utf-8">
@@ -51,14 +51,20 @@
 `;
 
 /** A played day as one HTML page. */
-export async function dayPage(result: DayResult, day: Day): Promise<string> {
+export async function renderDayPage(result: DayResult, day: Day): Promise<string> {
   const { troubles } = day;
   const charts = {
-    running: await tasksChart(result, 'running', troubles),
-    waiting: await tasksChart(result, 'waiting', troubles),
-    machines: await upChart(result, 'machinesUp', troubles),
-    controllers: await upChart(result, 'controllersUp', troubles),
-    times: await timesChart(result),
+    running: await renderTasksChart(result, 'running', troubles),
+    waiting: await renderTasksChart(result, 'waiting', troubles),
+    machines: await renderUpChart(result, 'machinesUp', troubles),
+    controllers: await renderUpChart(result, 'controllersUp', troubles),
+    times: await renderLatencyChart(result),
   };
-  return new Eta({ autoEscape: true }).renderString(PAGE, { result, day, charts, aimText, quantilesText });
+  return new Eta({ autoEscape: true }).renderString(PAGE_TEMPLATE, {
+    result,
+    day,
+    charts,
+    aimText: formatAim,
+    quantilesText: formatQuantiles,
+  });
 }
--- a/packages/region/src/report/table.ts
+++ b/packages/region/src/report/table.ts
@@ -2,9 +2,9 @@
 import type { AimResult, Quantiles } from '../daybook.js';
 import type { DayResult } from '../region.js';
 
-export const quantilesText = (q: Quantiles | null): string => (q ? `${q.p50} / ${q.p95} / ${q.p99}` : '-');
+export const formatQuantiles = (q: Quantiles | null): string => (q ? `${q.p50} / ${q.p95} / ${q.p99}` : '-');
 
-export function aimText({ aim, share }: AimResult): string {
+export function formatAim({ aim, share }: AimResult): string {
   const name =
     aim.kind === 'deadline' ? 'deadline' : `${aim.kind} ${aim.kind === 'up' ? 'from' : 'within'} ${aim.within_s} s`;
   if (share === null) return `${name}: nothing to count`;
@@ -12,14 +12,14 @@
   return `${name}: ${(share * 100).toFixed(1)} % (${met ? 'met' : 'missed'}, asked ${(aim.share * 100).toFixed(1)} %)`;
 }
 
-const share = (of: number | null): string => (of === null ? '-' : `${(of * 100).toFixed(0)} %`);
+const formatShare = (fraction: number | null): string => (fraction === null ? '-' : `${(fraction * 100).toFixed(0)} %`);
 
 /** Of each class, who was served: all, and the largest. */
-const servedText = ({ classes }: DayResult): string =>
-  `served, all and the largest: ${classes.map((c) => `${c.name} ${share(c.served)}, ${share(c.largestServed)}`).join('; ')}`;
+const formatServedShares = ({ classes }: DayResult): string =>
+  `served, all and the largest: ${classes.map((c) => `${c.name} ${formatShare(c.served)}, ${formatShare(c.largestServed)}`).join('; ')}`;
 
 /** The day's table, class by class, then money, rules and what is still open. */
-export function dayTable(result: DayResult): string {
+export function renderDayTable(result: DayResult): string {
   const table = new Table({
     head: ['class', 'submitted', 'done', 'cancelled', 'open', 'aims', 'wait s', 'finished s', 'restarts'],
     style: { head: [], border: [] },
@@ -33,9 +33,9 @@
       c.shape === 'service' ? '-' : c.done,
       c.cancelled,
       c.open,
-      c.aims.map(aimText).join('\n') || '-',
-      quantilesText(c.waitS),
-      quantilesText(c.finishS),
+      c.aims.map(formatAim).join('\n') || '-',
+      formatQuantiles(c.waitS),
+      formatQuantiles(c.finishS),
       c.restarts,
     ]);
   }
@@ -50,7 +50,7 @@
     `controllers started ${result.controllerStarts} times`,
     breaches.length === 0 ? 'rules: all kept' : `rules: ${breaches.length} broken`,
     ...breaches.slice(0, 20).map(({ rule, at, what }) => `  ${(at / 1000).toFixed(1)} s ${rule}: ${what}`),
-    servedText(result),
+    formatServedShares(result),
     ...failures.map((failure) => `the day fails: ${failure}`),
     ...defects.slice(0, 5).map((defect) => `defect: ${defect}`),
     `event log: ${result.events} lines, sha256 ${result.digest}`,
--- a/packages/region/src/scale/accounting.ts
+++ b/packages/region/src/scale/accounting.ts
@@ -1,40 +1,48 @@
+/** Reads the resource usage of processes from Linux procfs. */
+
 import { readFileSync } from 'node:fs';
 import { ScaleError } from './errors.js';
 
-/** What the system has accounted to a process. */
+/** Resource usage that the operating system has accounted to a process. */
 export interface ProcessUse {
-  /** Seconds of processor time, user and system, since it began. */
+  /** User and system CPU time in seconds since the process began. */
   readonly cpuS: number;
-  /** Resident memory now, and at its peak, in bytes. */
+  /** Resident memory now. */
   readonly residentBytes: number;
+  /** Peak of the resident memory. */
   readonly peakBytes: number;
 }
 
-/** Linux accounts processor time to user space in ticks of this many a second on every platform that Node.js runs on. */
-const TICKS_PER_S = 100;
-/** Fields of /proc/PID/stat behind the command's closing parenthesis: state is the first, utime and stime these. */
-const UTIME = 11;
-const STIME = 12;
+/** Unit of the CPU times in /proc: USER_HZ is 100 on every Linux platform that Node.js supports. */
+const CPU_TICKS_PER_SECOND = 100;
+/** Indexes into the fields of /proc/PID/stat after the closing parenthesis of the command; index 0 is the state. */
+const UTIME_FIELD = 11;
+const STIME_FIELD = 12;
 
 function readProc(pid: number, file: string): string {
   try {
     return readFileSync(`/proc/${pid}/${file}`, 'utf8');
   } catch {
-    throw new ScaleError(`/proc/${pid}/${file} can't be read: the process has ended, or this is not Linux`);
+    throw new ScaleError(`cannot read /proc/${pid}/${file}: the process has ended, or this system is not Linux`);
   }
 }
 
-const kilobytes = (status: string, field: string): number =>
+/** Reads a field in kB from the text of /proc/PID/status and returns bytes; 0 if the field is missing. */
+const statusBytes = (status: string, field: string): number =>
   Number(new RegExp(`^${field}:\\s+(\\d+) kB`, 'm').exec(status)?.[1] ?? 0) * 1024;
 
-/** Reads the system's accounting of a process. */
-export function useOf(pid: number): ProcessUse {
+/**
+ * Reads the resource usage of a process.
+ *
+ * @throws ScaleError if the process has ended or the system is not Linux.
+ */
+export function readProcessUse(pid: number): ProcessUse {
   const stat = readProc(pid, 'stat');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const status = readProc(pid, 'status');
   return {
-    cpuS: (Number(fields[UTIME]) + Number(fields[STIME])) / TICKS_PER_S,
-    residentBytes: kilobytes(status, 'VmRSS'),
-    peakBytes: kilobytes(status, 'VmHWM'),
+    cpuS: (Number(fields[UTIME_FIELD]) + Number(fields[STIME_FIELD])) / CPU_TICKS_PER_SECOND,
+    residentBytes: statusBytes(status, 'VmRSS'),
+    peakBytes: statusBytes(status, 'VmHWM'),
   };
 }
--- a/packages/region/src/scale/capacity.ts
+++ b/packages/region/src/scale/capacity.ts
@@ -1,25 +1,38 @@
+/** Measures how the resource usage of controllers grows with each dimension of the load. */
+
 import { linearRegression, linearRegressionLine, rSquared } from 'simple-statistics';
 import { scaledDay, type Day, type DayClass } from '../day/index.js';
 import type { ScaleResult } from './run.js';
 
-/** What is varied, one at a time, while everything else stays. */
-export const DIMENSIONS = ['size', 'workers', 'tasks', 'starts', 'jobs', 'teams', 'controllers', 'changes'] as const;
-export type Dimension = (typeof DIMENSIONS)[number];
+/** Dimensions of the load. A measurement varies one of them and keeps the others fixed. */
+export const CAPACITY_DIMENSIONS = [
+  'size',
+  'workers',
+  'tasks',
+  'starts',
+  'jobs',
+  'teams',
+  'controllers',
+  'changes',
+] as const;
+/** One of the dimensions of the load. */
+export type CapacityDimension = (typeof CAPACITY_DIMENSIONS)[number];
 
-/** One run of a dimension: what was asked for, and with what day. */
+/** One run of a dimension: the size that is asked for, and the day that is run. */
 export interface CapacityRun {
-  readonly dimension: Dimension;
-  /** Of the full size, 1: all of it. */
+  readonly dimension: CapacityDimension;
+  /** Part of the full size; 1 is the full size. */
   readonly part: number;
   readonly day: Day;
   readonly changesPerMinute: number;
 }
 
-/** Sizes that are fitted, and the full one that they predict. */
-export const FITTED = [0.125, 0.25, 0.375, 0.5] as const;
-export const FULL = 1;
+/** Parts of the full size whose runs are fitted. */
+export const FITTED_PARTS = [0.125, 0.25, 0.375, 0.5] as const;
+/** The full size, which the fit predicts. */
+export const FULL_PART = 1;
 
-/** What the whole plan has of each. */
+/** Amounts of each dimension at the planned full size. */
 const FULL_CHANGES_PER_MINUTE = 240;
 const FULL_SERVICE_TASKS = 16_000;
 const FULL_STARTS_PER_S = 150;
@@ -27,72 +40,78 @@
 const FULL_TEAMS = 52;
 const FULL_CONTROLLERS = 7;
 
-/** What is not varied: the load of an eighth on a quarter of the machines. */
-const FIXED_MACHINES = 0.25;
-const FIXED_LOAD = 0.125;
+/** Load of the dimensions that are not varied: an eighth of the full load on a quarter of the machines. */
+const FIXED_MACHINE_PART = 0.25;
+const FIXED_LOAD_PART = 0.125;
 const FIXED_JOBS_PER_S = 1;
 const FIXED_STARTS_PER_S = 30;
-const SERVICE_TASKS = 64;
-const SHORT_RUN = { median: 8, p95: 10, max: 12 } as const;
-const USUAL_CHANGES_PER_MINUTE = 12;
+const TASKS_PER_SERVICE = 64;
+/** Run times of short tasks in seconds. */
+const SHORT_RUN_S = { median: 8, p95: 10, max: 12 } as const;
+const DEFAULT_CHANGES_PER_MINUTE = 12;
 
-const withClass = (day: Day, name: string, change: (c: DayClass) => DayClass): Day => ({
+/** Returns the day with one of its classes changed. */
+const replaceClass = (day: Day, name: string, change: (c: DayClass) => DayClass): Day => ({
   ...day,
   classes: day.classes.map((c) => (c.name === name ? change(c) : c)),
 });
 
-/** The machines of one part of the day, with the load of another. */
-function machinesAndLoad(day: Day, machines: number, load: number): Day {
-  const { classes, pipelines } = scaledDay(day, load);
-  return { ...scaledDay(day, machines), classes, pipelines, teams: day.teams };
+/** Scales the machines and the load of a day by different parts. */
+function scaleMachinesAndLoad(day: Day, machinePart: number, loadPart: number): Day {
+  const { classes, pipelines } = scaledDay(day, loadPart);
+  return { ...scaledDay(day, machinePart), classes, pipelines, teams: day.teams };
 }
 
-/** Arrays that come so often, with so many short tasks a second together, instead of the day's own. */
-function steadyArrays(day: Day, jobsPerS: number, startsPerS: number): Day {
+/** Replaces the batch arrays of a day by arrays of short tasks that arrive at fixed rates of jobs and task starts. */
+function withSteadyArrays(day: Day, jobsPerS: number, startsPerS: number): Day {
   const tasks = Math.max(1, Math.round(startsPerS / jobsPerS));
-  return withClass(day, 'batch', (c) => ({
+  return replaceClass(day, 'batch', (c) => ({
     ...c,
-    ...{ tasks: { sizes: [tasks], weights: [1] }, run_s: SHORT_RUN, per_minute: jobsPerS * 60, initial: 0 },
+    ...{ tasks: { sizes: [tasks], weights: [1] }, run_s: SHORT_RUN_S, per_minute: jobsPerS * 60, initial: 0 },
     ...{ cancel_share: 0 },
   }));
 }
 
-function dayOf(day: Day, dimension: Dimension, part: number): Day {
-  const fixed = machinesAndLoad(day, FIXED_MACHINES, FIXED_LOAD);
+/** Returns the day of a run, with one dimension at a part of its full size. */
+function capacityDay(day: Day, dimension: CapacityDimension, part: number): Day {
+  const fixedDay = scaleMachinesAndLoad(day, FIXED_MACHINE_PART, FIXED_LOAD_PART);
   switch (dimension) {
     case 'size':
       return scaledDay(day, part);
     case 'workers':
-      return machinesAndLoad(day, part, FIXED_LOAD);
+      return scaleMachinesAndLoad(day, part, FIXED_LOAD_PART);
     case 'tasks':
-      // Few and large services, so that the number of jobs hardly changes.
-      return withClass(machinesAndLoad(day, FULL, FIXED_LOAD), 'portal', (c) => ({
+      // A few large services carry the tasks, so that the number of jobs hardly changes.
+      return replaceClass(scaleMachinesAndLoad(day, FULL_PART, FIXED_LOAD_PART), 'portal', (c) => ({
         ...c,
-        tasks: { sizes: [SERVICE_TASKS], weights: [1] },
-        initial: Math.round((FULL_SERVICE_TASKS * part) / SERVICE_TASKS),
+        tasks: { sizes: [TASKS_PER_SERVICE], weights: [1] },
+        initial: Math.round((FULL_SERVICE_TASKS * part) / TASKS_PER_SERVICE),
         per_minute: 1,
       }));
     case 'starts':
-      return steadyArrays(fixed, FIXED_JOBS_PER_S, FULL_STARTS_PER_S * part);
+      return withSteadyArrays(fixedDay, FIXED_JOBS_PER_S, FULL_STARTS_PER_S * part);
     case 'jobs':
-      return steadyArrays(fixed, FULL_JOBS_PER_S * part, FIXED_STARTS_PER_S);
+      return withSteadyArrays(fixedDay, FULL_JOBS_PER_S * part, FIXED_STARTS_PER_S);
     case 'teams':
-      return { ...fixed, teams: day.teams.slice(0, Math.max(1, Math.round(FULL_TEAMS * part))) };
+      return { ...fixedDay, teams: day.teams.slice(0, Math.max(1, Math.round(FULL_TEAMS * part))) };
     case 'controllers':
-      return { ...fixed, controllers: { ...day.controllers, count: Math.max(1, Math.round(FULL_CONTROLLERS * part)) } };
+      return {
+        ...fixedDay,
+        controllers: { ...day.controllers, count: Math.max(1, Math.round(FULL_CONTROLLERS * part)) },
+      };
     case 'changes':
-      return fixed;
+      return fixedDay;
   }
 }
 
-/** The run of a dimension at a part of its full size, of a day that has the classes of the shipped day `scale`. */
-export function capacityRun(whole: Day, dimension: Dimension, part: number): CapacityRun {
-  const day = dayOf({ ...whole, troubles: [], duration_s: 100_000, quiet_end_s: 0 }, dimension, part);
-  const changesPerMinute = dimension === 'changes' ? FULL_CHANGES_PER_MINUTE * part : USUAL_CHANGES_PER_MINUTE;
+/** Returns the run of a dimension at a part of its full size. The day must have the classes of the shipped day `scale`. */
+export function capacityRun(fullDay: Day, dimension: CapacityDimension, part: number): CapacityRun {
+  const day = capacityDay({ ...fullDay, troubles: [], duration_s: 100_000, quiet_end_s: 0 }, dimension, part);
+  const changesPerMinute = dimension === 'changes' ? FULL_CHANGES_PER_MINUTE * part : DEFAULT_CHANGES_PER_MINUTE;
   return { dimension, part, day, changesPerMinute };
 }
 
-/** How large a run really was, in the unit of its dimension. */
+/** Returns the size that a run actually had, in the unit of its dimension. */
 export function amountOf({ dimension, day, changesPerMinute }: CapacityRun, result: ScaleResult): number {
   switch (dimension) {
     case 'size':
@@ -113,7 +132,7 @@
   }
 }
 
-/** Figures of a run that are fitted, by name; units in the names. */
+/** Returns the measured figures of a run that are fitted. Their names include the units. */
 export function figuresOf(result: ScaleResult): Readonly<Record<string, number>> {
   const controllers = result.processes.filter(({ role }) => role === 'controller');
   const cores = controllers.map((process) => process.cores);
@@ -137,36 +156,40 @@
   };
 }
 
+/** Fit of one figure over the sizes of a dimension, and its prediction for the full size. */
 export interface Slope {
   readonly figure: string;
   readonly slope: number;
   readonly intercept: number;
-  /** Root of the mean squared distance of the fitted sizes from the line; r² beside it. */
+  /** Root mean square of the distances of the fitted points from the line. */
   readonly residual: number;
   readonly rSquared: number;
+  /** Value at the full size that the line predicts. */
   readonly predicted: number;
+  /** Value that was measured at the full size. */
   readonly measured: number;
-  /** Of what was measured; null: that was 0. */
+  /** Relative error of the prediction; null if the measured value is 0. */
   readonly offBy: number | null;
 }
 
-export interface Sample {
+/** Size and figures of one run. */
+export interface CapacitySample {
   readonly amount: number;
   readonly figures: Readonly<Record<string, number>>;
 }
 
-/** Least squares through the fitted sizes, and what they predict for the full one beside what it measured. Pure. */
-export function slopes(fitted: readonly Sample[], full: Sample): Slope[] {
+/** Fits a line to each figure by least squares, and compares its prediction for the full size with the measured value. */
+export function fitSlopes(fitted: readonly CapacitySample[], full: CapacitySample): Slope[] {
   return Object.keys(full.figures).map((figure) => {
     const points = fitted.map(({ amount, figures }) => [amount, figures[figure] ?? 0]);
     const line = linearRegression(points);
-    const at = linearRegressionLine(line);
-    const squares = points.map(([x = 0, y = 0]) => (y - at(x)) ** 2);
+    const predictAt = linearRegressionLine(line);
+    const squares = points.map(([x = 0, y = 0]) => (y - predictAt(x)) ** 2);
     const residual = Math.sqrt(squares.reduce((a, b) => a + b, 0) / Math.max(1, squares.length));
     const measured = full.figures[figure] ?? 0;
-    const predicted = at(full.amount);
+    const predicted = predictAt(full.amount);
     return {
-      ...{ figure, slope: line.m, intercept: line.b, residual, rSquared: rSquared(points, at) },
+      ...{ figure, slope: line.m, intercept: line.b, residual, rSquared: rSquared(points, predictAt) },
       ...{ predicted, measured, offBy: measured === 0 ? null : (predicted - measured) / measured },
     };
   });
--- a/packages/region/src/scale/configuration.ts
+++ b/packages/region/src/scale/configuration.ts
@@ -1,74 +1,79 @@
+/** Generates changes of the operators' settings as load on the controllers. */
+
 import type { Histogram } from 'hdr-histogram-js';
 import { HttpClient, isObject, type Endpoint, type Runtime } from '../../../../src/kernel/index.js';
-import { histogram, percentilesOf, record, type Percentiles } from './meter.js';
+import { createHistogram, percentilesOf, recordDuration, type Percentiles } from './meter.js';
 
 const CHANGE_TIMEOUT_MS = 8000;
-const LOOK_TIMEOUT_MS = 500;
-const LOOK_EVERY_MS = 25;
-const IN_FORCE_WITHIN_MS = 15_000;
+const POLL_TIMEOUT_MS = 500;
+const POLL_INTERVAL_MS = 25;
+const IN_FORCE_TIMEOUT_MS = 15_000;
 
-/** How changes of the operators' settings fared. Times in milliseconds from when they were sent. */
+/** Outcome of the changes to the operators' settings. Times are in milliseconds since the change was sent. */
 export interface ConfigurationResult {
   readonly sent: number;
+  /** Answered with status 200 and a revision. */
   readonly stored: number;
-  /** By status, 0 for no answer. */
+  /** Changes that were not stored, by HTTP status; 0 means no answer. */
   readonly refused: Readonly<Record<number, number>>;
   readonly storedMs: Percentiles | null;
-  /** Until every controller acts on them. */
+  /** Time until every controller applies the change. */
   readonly inForceMs: Percentiles | null;
-  /** Stored, and not in force on every controller within the time that was waited. */
+  /** Changes that were stored, but that some controller did not apply before the timeout. */
   readonly notInForce: number;
 }
 
-/** Sends changes of the operators' settings to the controllers, and measures how soon all of them act on each. */
+/** Sends changes of the operators' settings to the controllers, and measures how soon all controllers apply each change. */
 export class ConfigurationLoad {
   private readonly clients: readonly HttpClient[];
-  private readonly storedMs: Histogram = histogram();
-  private readonly inForceMs: Histogram = histogram();
+  private readonly storedMs: Histogram = createHistogram();
+  private readonly inForceMs: Histogram = createHistogram();
   private readonly refused: Record<number, number> = {};
   private sent = 0;
   private stored = 0;
   private notInForce = 0;
-  private next = 0;
+  private nextChange = 0;
 
   constructor(
     controllers: readonly Endpoint[],
     private readonly runtime: Runtime,
-    /** Machines that may be marked. */
+    /** Ids of machines that may be cordoned. */
     private readonly machines: () => readonly string[],
   ) {
     this.clients = controllers.map((at) => new HttpClient(at, 16, runtime));
   }
 
+  /** Closes all connections to the controllers. */
   close(): void {
     for (const client of this.clients) client.close();
   }
 
-  /** One change at the next controller in turn: a machine is cordoned, and uncordoned with the next but one. */
-  async change(): Promise<void> {
-    const number = this.next++;
+  /** Sends one change to the next controller in turn. Changes alternate: one cordons a machine, the next uncordons it. */
+  async sendNextChange(): Promise<void> {
+    const changeIndex = this.nextChange++;
     const machines = this.machines();
-    const machine = machines[(number >> 1) % Math.max(1, machines.length)];
-    const client = this.clients[number % this.clients.length];
+    const machine = machines[(changeIndex >> 1) % Math.max(1, machines.length)];
+    const client = this.clients[changeIndex % this.clients.length];
     if (machine === undefined || !client) return;
-    const mark = number % 2 === 0 ? 'cordon' : 'uncordon';
-    await this.send(client, `/admin/v1/machines/${machine}/${mark}`);
+    const action = changeIndex % 2 === 0 ? 'cordon' : 'uncordon';
+    await this.sendAndMeasure(client, `/admin/v1/machines/${machine}/${action}`);
   }
 
-  /** So many different machines are cordoned at once, spread over the controllers, and freed one by one afterwards. */
-  async burst(count: number): Promise<void> {
+  /** Cordons `count` machines at once, spread over the controllers, and afterwards uncordons all of them at once. */
+  async sendBurst(count: number): Promise<void> {
     const machines = this.machines().slice(0, count);
-    const at = (i: number): HttpClient | undefined => this.clients[i % this.clients.length];
-    const each = (mark: string) =>
+    const clientFor = (i: number): HttpClient | undefined => this.clients[i % this.clients.length];
+    const sendAll = (action: string) =>
       machines.map((machine, i) => {
-        const client = at(i);
-        return client ? this.send(client, `/admin/v1/machines/${machine}/${mark}`) : Promise.resolve();
+        const client = clientFor(i);
+        return client ? this.sendAndMeasure(client, `/admin/v1/machines/${machine}/${action}`) : Promise.resolve();
       });
-    await Promise.all(each('cordon'));
-    await Promise.all(each('uncordon'));
+    await Promise.all(sendAll('cordon'));
+    await Promise.all(sendAll('uncordon'));
   }
 
-  private async send(client: HttpClient, path: string): Promise<void> {
+  /** Sends one change, and waits until every controller applies it. */
+  private async sendAndMeasure(client: HttpClient, path: string): Promise<void> {
     const sentAt = this.runtime.now();
     this.sent += 1;
     const answer = await client.call({ method: 'POST', path, body: {}, timeoutMs: CHANGE_TIMEOUT_MS });
@@ -79,25 +84,26 @@
       return;
     }
     this.stored += 1;
-    record(this.storedMs, this.runtime.now() - sentAt);
-    const acted = await Promise.all(this.clients.map((controller) => this.acts(controller, revision)));
-    if (acted.every((yes) => yes)) record(this.inForceMs, this.runtime.now() - sentAt);
+    recordDuration(this.storedMs, this.runtime.now() - sentAt);
+    const inForce = await Promise.all(this.clients.map((controller) => this.waitUntilInForce(controller, revision)));
+    if (inForce.every((isInForce) => isInForce)) recordDuration(this.inForceMs, this.runtime.now() - sentAt);
     else this.notInForce += 1;
   }
 
-  /** Waits until a controller acts on this revision of the settings. */
-  private async acts(client: HttpClient, revision: number): Promise<boolean> {
-    const until = this.runtime.now() + IN_FORCE_WITHIN_MS;
-    while (this.runtime.now() < until) {
+  /** Polls a controller until it applies this revision of the settings. Resolves to false after the timeout. */
+  private async waitUntilInForce(client: HttpClient, revision: number): Promise<boolean> {
+    const deadlineMs = this.runtime.now() + IN_FORCE_TIMEOUT_MS;
+    while (this.runtime.now() < deadlineMs) {
       const path = '/admin/v1/settings/in-force';
-      const answer = await client.call({ method: 'GET', path, timeoutMs: LOOK_TIMEOUT_MS });
-      const seen = answer.kind === 'answered' && isObject(answer.body) ? answer.body['revision'] : undefined;
-      if (typeof seen === 'number' && seen >= revision) return true;
-      await this.runtime.sleep(LOOK_EVERY_MS);
+      const answer = await client.call({ method: 'GET', path, timeoutMs: POLL_TIMEOUT_MS });
+      const revisionInForce = answer.kind === 'answered' && isObject(answer.body) ? answer.body['revision'] : undefined;
+      if (typeof revisionInForce === 'number' && revisionInForce >= revision) return true;
+      await this.runtime.sleep(POLL_INTERVAL_MS);
     }
     return false;
   }
 
+  /** Outcome of the changes so far. */
   get result(): ConfigurationResult {
     return {
       ...{ sent: this.sent, stored: this.stored, refused: this.refused, notInForce: this.notInForce },
--- a/packages/region/src/scale/controllers.ts
+++ b/packages/region/src/scale/controllers.ts
@@ -1,3 +1,5 @@
+/** Runs the controllers of a scale run as child processes. */
+
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -9,117 +11,133 @@
 import type { ControllerSeat } from '../parts.js';
 import type { Endpoint } from '../../../../src/kernel/index.js';
 import { ScaleError } from './errors.js';
-import type { Launch } from './fleet.js';
+import type { ProcessLaunch } from './fleet.js';
 
-const HEALTHY_WITHIN_MS = 30_000;
-const LOOK_EVERY_MS = 100;
-const PROBE_TIMEOUT_MS = 1000;
-/** Levels of the log's lines that count as warnings. */
-const WARNING_LEVEL = 40;
-const KEPT_LINES = 20;
+const HEALTHY_TIMEOUT_MS = 30_000;
+const HEALTH_PROBE_INTERVAL_MS = 100;
+const HEALTH_PROBE_TIMEOUT_MS = 1000;
+/** Lowest level of log lines that count as warnings; 40 is `warn` of pino. */
+const MIN_WARNING_LEVEL = 40;
+const MAX_KEPT_WARNING_LINES = 20;
 
-/** Below the ports that systems give to outgoing connections and to listeners that name none. */
-const PORTS = { from: 12_000, to: 30_000 } as const;
-const PORTS_TRIED = 2000;
+/** Below the ephemeral ports, which the operating system assigns to outgoing connections and to listeners without a port. */
+const PORT_RANGE = { from: 12_000, to: 30_000 } as const;
+const MAX_PORTS_TRIED = 2000;
 
+/** Returns whether this process can listen on a loopback port. */
 async function isFree(port: number): Promise<boolean> {
   const at = { host: LOOPBACK, port };
   const accept = (socket: Connection): void => void socket.destroy();
-  const free = await new Promise<boolean>((resolve) => {
+  const isAvailable = await new Promise<boolean>((resolve) => {
     const listening = systemRuntime.listen({ ...at, accept, failed: () => resolve(false) });
     void listening.ready.then(() => {
       listening.close();
       resolve(true);
     });
   });
-  return free;
+  return isAvailable;
 }
 
-/** Ports on loopback that nothing listens on now, and that the system gives to nobody by itself. */
-export async function freePorts(
+/**
+ * Finds loopback ports that nothing listens on now and that the operating system does not assign by itself. The search
+ * starts at a random port of the range.
+ *
+ * @throws ScaleError if too few ports are free.
+ */
+export async function findFreePorts(
   count: number,
   random: () => number = systemRuntime.random,
 ): Promise<readonly number[]> {
-  const span = PORTS.to - PORTS.from;
-  const first = Math.floor(random() * span);
-  const found: number[] = [];
-  for (let i = 0; i < PORTS_TRIED && found.length < count; i++) {
-    const port = PORTS.from + ((first + i) % span);
-    if (await isFree(port)) found.push(port);
+  const portCount = PORT_RANGE.to - PORT_RANGE.from;
+  const firstOffset = Math.floor(random() * portCount);
+  const freePorts: number[] = [];
+  for (let i = 0; i < MAX_PORTS_TRIED && freePorts.length < count; i++) {
+    const port = PORT_RANGE.from + ((firstOffset + i) % portCount);
+    if (await isFree(port)) freePorts.push(port);
   }
-  if (found.length < count)
-    throw new ScaleError(`${found.length} free ports from ${PORTS.from} to ${PORTS.to}, and ${count} are needed`);
-  return found;
+  if (freePorts.length < count)
+    throw new ScaleError(
+      `found ${freePorts.length} free ports between ${PORT_RANGE.from} and ${PORT_RANGE.to}, but ${count} are needed`,
+    );
+  return freePorts;
 }
 
-interface Running {
+/** A controller of the run and its current process. */
+interface ControllerProcess {
   readonly seat: ControllerSeat;
+  /** Path of the settings file. */
   readonly file: string;
   child: ChildProcess | undefined;
-  ended: boolean;
-  /** It was ended on purpose, and is started again later. */
-  expected: boolean;
-  lives: number;
+  exited: boolean;
+  /** The process was killed on purpose and is restarted later, so its exit is no failure. */
+  exitExpected: boolean;
+  launches: number;
 }
 
-export interface ControllersOptions {
+/** What controller processes need in order to start and to report failures. */
+export interface ControllerProcessesOptions {
   readonly day: Day;
   readonly seats: readonly ControllerSeat[];
+  /** Addresses of the state service and of the cloud API. */
   readonly services: { readonly state: Endpoint; readonly cloud: Endpoint };
-  readonly launch: Launch;
+  readonly launch: ProcessLaunch;
   readonly runtime: Runtime;
-  /** A controller ended although nobody asked it to. */
+  /** Called when a controller cannot be started or exits unexpectedly. */
   readonly failed: (error: ScaleError) => void;
 }
 
-/** The controllers of a scale run: whole processes of this program, started and ended here. */
+/** Starts, faults and ends the controllers of a scale run. Each is a separate process of this program. */
 export class ControllerProcesses {
-  private readonly running: readonly Running[];
+  private readonly controller: readonly ControllerProcess[];
   private readonly dir = mkdtempSync(join(tmpdir(), 'wooddrift-scale-'));
   private ending = false;
-  /** Lines of the logs at or above the level of a warning; the first few whole. */
+  /** Number of log lines at warning level or above, or without a level, and the text of the first of them. */
   readonly warnings = { count: 0, first: [] as string[] };
+  /** Last log line of any controller, for error messages. */
   private lastLine = '';
 
-  constructor(private readonly options: ControllersOptions) {
+  constructor(private readonly options: ControllerProcessesOptions) {
     const { day, seats, services } = options;
-    this.running = seats.map((seat) => {
+    this.controller = seats.map((seat) => {
       const file = join(this.dir, `${seat.name}.toml`);
       writeFileSync(file, settingsFor(day, seat, seats, services));
-      return { seat, file, child: undefined, ended: false, expected: false, lives: 0 };
+      return { seat, file, child: undefined, exited: false, exitExpected: false, launches: 0 };
     });
   }
 
-  /** Starts all of them; resolves once each answers its health check. */
+  /** Starts all controllers. Resolves when each answers its health check; rejects if one exits or times out. */
   async start(): Promise<void> {
-    for (const running of this.running) this.launch(running);
-    await Promise.all(this.running.map((running) => this.healthy(running)));
+    for (const controller of this.controller) this.spawnController(controller);
+    await Promise.all(this.controller.map((running) => this.waitUntilHealthy(running)));
   }
 
-  private launch(running: Running): void {
+  private spawnController(controller: ControllerProcess): void {
     const { node, controllerFlags, script } = this.options.launch;
-    const args = [...controllerFlags, script, 'serve', '--config', running.file];
+    const args = [...controllerFlags, script, 'serve', '--config', controller.file];
     const child = spawn(node, args, { stdio: ['ignore', 'ignore', 'pipe'], env: { ...this.environment } });
-    running.child = child;
-    running.ended = running.expected = false;
-    running.lives += 1;
+    controller.child = child;
+    controller.exited = controller.exitExpected = false;
+    controller.launches += 1;
     child.stderr.setEncoding('utf8');
-    child.stderr.on('data', (text: string) => this.read(text));
+    child.stderr.on('data', (text: string) => this.readLog(text));
     child.on('error', (error) =>
-      this.options.failed(new ScaleError(`${running.seat.name} could not be started: ${error.message}`)),
+      this.options.failed(new ScaleError(`${controller.seat.name} could not be started: ${error.message}`)),
     );
     child.on('exit', (code, signal) => {
-      if (running.child !== child) return;
-      running.ended = true;
-      if (this.ending || running.expected) return;
-      const why = signal ?? `exit code ${code}`;
-      this.options.failed(new ScaleError(`${running.seat.name} ended: ${why}; its last line: ${this.lastLine}`));
+      if (controller.child !== child) return;
+      controller.exited = true;
+      if (this.ending || controller.exitExpected) return;
+      const cause = signal ?? `exit code ${code}`;
+      this.options.failed(
+        new ScaleError(`${controller.seat.name} exited unexpectedly (${cause}); last log line: ${this.lastLine}`),
+      );
     });
   }
 
   private readonly environment = { LOG_LEVEL: 'warn' };
 
-  private read(text: string): void {
+  /** Counts warnings in the log output of a controller. Lines that are no JSON count as warnings. */
+  private readLog(text: string): void {
     for (const line of text.split('\n')) {
       if (line.trim() === '') continue;
       this.lastLine = line;
@@ -130,73 +148,76 @@
       } catch {
         level = undefined;
       }
-      if (typeof level === 'number' && level < WARNING_LEVEL) continue;
+      if (typeof level === 'number' && level < MIN_WARNING_LEVEL) continue;
       this.warnings.count += 1;
-      if (this.warnings.first.length < KEPT_LINES) this.warnings.first.push(line);
+      if (this.warnings.first.length < MAX_KEPT_WARNING_LINES) this.warnings.first.push(line);
     }
   }
 
-  private async healthy(running: Running): Promise<void> {
-    const { name, serveOn } = running.seat;
+  /** Polls the health check until the controller answers it, exits or times out. */
+  private async waitUntilHealthy(controller: ControllerProcess): Promise<void> {
+    const { name, serveOn } = controller.seat;
     const { runtime } = this.options;
     const client = new HttpClient(serveOn, 1, runtime);
-    const until = runtime.now() + HEALTHY_WITHIN_MS;
+    const deadlineMs = runtime.now() + HEALTHY_TIMEOUT_MS;
     try {
-      while (runtime.now() < until && !this.ending) {
-        if (running.ended) throw new ScaleError(`${name} ended at once; the last line of the logs: ${this.lastLine}`);
-        const answer = await client.call({ method: 'GET', path: '/healthz', timeoutMs: PROBE_TIMEOUT_MS });
+      while (runtime.now() < deadlineMs && !this.ending) {
+        if (controller.exited)
+          throw new ScaleError(`${name} exited before it was healthy; last log line: ${this.lastLine}`);
+        const answer = await client.call({ method: 'GET', path: '/healthz', timeoutMs: HEALTH_PROBE_TIMEOUT_MS });
         if (answer.kind === 'answered' && answer.status === 200) return;
-        await runtime.sleep(LOOK_EVERY_MS);
+        await runtime.sleep(HEALTH_PROBE_INTERVAL_MS);
       }
     } finally {
       client.close();
     }
     if (!this.ending)
       throw new ScaleError(
-        `${name} was not healthy within ${HEALTHY_WITHIN_MS / 1000} s; the last line of the logs: ${this.lastLine || 'none'}`,
+        `${name} was not healthy within ${HEALTHY_TIMEOUT_MS / 1000} s; last log line: ${this.lastLine || 'none'}`,
       );
   }
 
+  /** Names, zones and addresses of the controllers. */
   get seats(): readonly ControllerSeat[] {
-    return this.running.map(({ seat }) => seat);
+    return this.controller.map(({ seat }) => seat);
   }
 
-  /** Process ids by name; those that are down have none. */
+  /** Process ids by controller name. Controllers that are down have no entry. */
   get pids(): ReadonlyMap<string, number> {
     const pids = new Map<string, number>();
-    for (const { seat, child, ended } of this.running)
-      if (child?.pid !== undefined && !ended) pids.set(seat.name, child.pid);
+    for (const { seat, child, exited } of this.controller)
+      if (child?.pid !== undefined && !exited) pids.set(seat.name, child.pid);
     return pids;
   }
 
-  private find(name: string): Running | undefined {
-    return this.running.find(({ seat }) => seat.name === name);
+  private findController(name: string): ControllerProcess | undefined {
+    return this.controller.find(({ seat }) => seat.name === name);
   }
 
-  /** Ends a controller without a signal that it could handle, and starts it again. */
+  /** Kills a controller with SIGKILL, which it cannot handle, and restarts it after `downS` seconds. */
   crash(name: string, downS: number): void {
-    const running = this.find(name);
-    if (!running?.child || running.ended) return;
-    running.expected = true;
-    running.child.kill('SIGKILL');
+    const controller = this.findController(name);
+    if (!controller?.child || controller.exited) return;
+    controller.exitExpected = true;
+    controller.child.kill('SIGKILL');
     this.options.runtime.after(downS * 1000, () => {
-      if (!this.ending) this.launch(running);
+      if (!this.ending) this.spawnController(controller);
     });
   }
 
-  /** A controller stands still while its clocks run on. */
+  /** Suspends a controller with SIGSTOP for `forS` seconds. Its clocks keep running. */
   pause(name: string, forS: number): void {
-    const running = this.find(name);
-    const child = running?.child;
-    if (!child || running.ended) return;
+    const controller = this.findController(name);
+    const child = controller?.child;
+    if (!child || controller.exited) return;
     child.kill('SIGSTOP');
     this.options.runtime.after(forS * 1000, () => child.kill('SIGCONT'));
   }
 
-  /** Ends every process, by its id, and removes their settings files. */
+  /** Kills every controller by process id and removes the settings files. */
   end(): void {
     this.ending = true;
-    for (const { child, ended } of this.running) if (child && !ended) child.kill('SIGKILL');
+    for (const { child, exited } of this.controller) if (child && !exited) child.kill('SIGKILL');
     rmSync(this.dir, { recursive: true, force: true });
   }
 }
--- a/packages/region/src/scale/errors.ts
+++ b/packages/region/src/scale/errors.ts
@@ -1,4 +1,4 @@
-/** A scale run that can't be made, or that failed; the message names the figure or the process, in one line. */
+/** A scale run cannot be started, or it failed. The one-line message names the limit, the field or the process. */
 export class ScaleError extends Error {
   override readonly name = 'ScaleError';
 }
--- a/packages/region/src/scale/faults.ts
+++ b/packages/region/src/scale/faults.ts
@@ -1,3 +1,5 @@
+/** Injects the troubles of a day into the processes and models of a scale run. */
+
 import { isObject, type Runtime } from '../../../../src/kernel/index.js';
 import type { Day, Trouble } from '../day/index.js';
 import type { RegionParts } from '../parts.js';
@@ -7,8 +9,8 @@
 import { ScaleError } from './errors.js';
 import type { HollowFleet } from './fleet.js';
 
-/** Troubles of a day that real processes can be given. */
-const PLAYED = new Set<Trouble['kind']>([
+/** Kinds of troubles that can be injected into real processes. */
+const SUPPORTED_FAULTS = new Set<Trouble['kind']>([
   'machines_restart',
   'machines_die',
   'zone_cut',
@@ -19,27 +21,38 @@
   'burst',
 ]);
 
-/** Refuses days whose troubles or machines real processes can't be given, naming the field. */
-export function checkDay(day: Day): void {
-  const spot = day.machines.findIndex((entry) => entry.spot);
-  if (spot >= 0) throw new ScaleError(`${day.name}: machines.${spot}.spot: a scale run has no spot machines`);
-  const offered = day.capacity.findIndex((entry) => entry.spot > 0);
-  if (offered >= 0) throw new ScaleError(`${day.name}: capacity.${offered}.spot: a scale run has no spot machines`);
-  const odd = day.troubles.findIndex(({ kind }) => !PLAYED.has(kind));
-  const trouble = day.troubles[odd];
-  if (trouble) throw new ScaleError(`${day.name}: troubles.${odd}.kind: a scale run can't play ${trouble.kind}`);
+/**
+ * Checks that a scale run supports the machines and troubles of a day.
+ *
+ * @throws ScaleError that names the unsupported field.
+ */
+export function checkScaleDay(day: Day): void {
+  const spotMachinesIndex = day.machines.findIndex((entry) => entry.spot);
+  if (spotMachinesIndex >= 0)
+    throw new ScaleError(`${day.name}: machines.${spotMachinesIndex}.spot: a scale run does not support spot machines`);
+  const spotCapacityIndex = day.capacity.findIndex((entry) => entry.spot > 0);
+  if (spotCapacityIndex >= 0)
+    throw new ScaleError(`${day.name}: capacity.${spotCapacityIndex}.spot: a scale run does not support spot machines`);
+  const unsupportedIndex = day.troubles.findIndex(({ kind }) => !SUPPORTED_FAULTS.has(kind));
+  const trouble = day.troubles[unsupportedIndex];
+  if (trouble)
+    throw new ScaleError(
+      `${day.name}: troubles.${unsupportedIndex}.kind: a scale run does not support ${trouble.kind}`,
+    );
 }
 
+/** What faults are injected into. */
 export interface FaultTargets {
   readonly day: Day;
   readonly parts: RegionParts;
   readonly fleet: HollowFleet;
   readonly controllers: ControllerProcesses;
   readonly runtime: Runtime;
-  readonly luck: Luck;
+  readonly rng: Luck;
 }
 
-function controllersOf({ parts, controllers }: FaultTargets, which: number | 'leader' | 'all'): string[] {
+/** Returns the names of the controllers that a trouble means; none if there is no leader now. */
+function targetControllers({ parts, controllers }: FaultTargets, which: number | 'leader' | 'all'): string[] {
   const names = controllers.seats.map(({ name }) => name);
   if (which === 'all') return names;
   if (which !== 'leader') return names.slice(which, which + 1);
@@ -47,43 +60,44 @@
   return isObject(leader) && typeof leader['node'] === 'string' ? [leader['node']] : [];
 }
 
-/** Lets a trouble begin, and plans its end. A zone that is cut loses its workers; its controllers stay in reach. */
-export function playFault(trouble: Trouble, targets: FaultTargets): void {
-  const { day, parts, fleet, controllers, runtime, luck } = targets;
-  const after = (seconds: number, work: () => void): void => void runtime.after(seconds * 1000, work);
+/** Begins a trouble and schedules its end. A zone cut only disconnects the workers of the zone; its controllers stay reachable. */
+export function injectFault(trouble: Trouble, targets: FaultTargets): void {
+  const { day, parts, fleet, controllers, runtime, rng } = targets;
+  const schedule = (seconds: number, action: () => void): void => void runtime.after(seconds * 1000, action);
   switch (trouble.kind) {
     case 'machines_restart':
-      for (const { id } of chooseMachines(parts.cloud.up, luck, trouble)) fleet.fault(id, 'restart', trouble.down_s);
+      for (const { id } of chooseMachines(parts.cloud.up, rng, trouble))
+        fleet.applyFault(id, 'restart', trouble.down_s);
       break;
     case 'machines_die':
-      for (const machine of chooseMachines(parts.cloud.up, luck, trouble)) parts.cloud.die(machine);
+      for (const machine of chooseMachines(parts.cloud.up, rng, trouble)) parts.cloud.die(machine);
       break;
     case 'zone_cut': {
-      const cut = parts.cloud.up.filter(({ zone }) => zone === trouble.zone);
-      for (const { id } of cut) fleet.fault(id, 'cut');
-      after(trouble.for_s, () => cut.forEach(({ id }) => fleet.fault(id, 'heal')));
+      const cutMachines = parts.cloud.up.filter(({ zone }) => zone === trouble.zone);
+      for (const { id } of cutMachines) fleet.applyFault(id, 'cut');
+      schedule(trouble.for_s, () => cutMachines.forEach(({ id }) => fleet.applyFault(id, 'heal')));
       break;
     }
     case 'controller_crash':
-      for (const name of controllersOf(targets, trouble.controller))
+      for (const name of targetControllers(targets, trouble.controller))
         controllers.crash(name, trouble.down_s ?? day.controllers.restart_s);
       break;
     case 'controller_pause':
-      for (const name of controllersOf(targets, trouble.controller)) controllers.pause(name, trouble.for_s);
+      for (const name of targetControllers(targets, trouble.controller)) controllers.pause(name, trouble.for_s);
       break;
     case 'state_outage':
       parts.state.outage(true);
-      after(trouble.for_s, () => parts.state.outage(false));
+      schedule(trouble.for_s, () => parts.state.outage(false));
       break;
     case 'state_slow':
       parts.state.slowness = trouble.times;
-      after(trouble.for_s, () => (parts.state.slowness = 1));
+      schedule(trouble.for_s, () => (parts.state.slowness = 1));
       break;
     case 'burst':
       parts.users.burst(trouble.class, trouble.times);
-      after(trouble.for_s, () => parts.users.burst(trouble.class, 1));
+      schedule(trouble.for_s, () => parts.users.burst(trouble.class, 1));
       break;
     default:
-      throw new ScaleError(`a scale run can't play ${trouble.kind}`);
+      throw new ScaleError(`a scale run does not support ${trouble.kind}`);
   }
 }
--- a/packages/region/src/scale/fleet.ts
+++ b/packages/region/src/scale/fleet.ts
@@ -1,43 +1,51 @@
+/** Runs the hollow workers of a scale run in child processes. */
+
 import { fork, type ChildProcess } from 'node:child_process';
 import type { Endpoint, Runtime } from '../../../../src/kernel/index.js';
 import type { Day } from '../day/index.js';
 import type { JobTruth, Machine } from '../models/index.js';
 import { workerFacts, type WorkerHosts } from '../parts.js';
 import { ScaleError } from './errors.js';
-import type { HollowCommand, HollowEvent, HollowMeasure, TaskEvent, WorkerFault } from './messages.js';
+import type { HollowCommand, HollowEvent, HollowMeasurement, TaskEvent, WorkerFault } from './messages.js';
 
-/** How this program is started again, as another of its commands. */
-export interface Launch {
-  /** The Node.js executable, its flags for controllers, and this program's script. */
+/** How to start a further process of this program. */
+export interface ProcessLaunch {
+  /** Path of the Node.js executable. */
   readonly node: string;
+  /** Flags of Node.js for controllers. */
   readonly controllerFlags: readonly string[];
+  /** Path of this program's script. */
   readonly script: string;
 }
 
-const READY_WITHIN_MS = 15_000;
-const MEASURED_WITHIN_MS = 10_000;
-/** All machines that gangs may use share this process: the tasks of a gang find each other within one. */
-const GANG_PROCESS = 0;
+const READY_TIMEOUT_MS = 15_000;
+const MEASURE_TIMEOUT_MS = 10_000;
+/** Process of all machines that gangs may use, because the tasks of a gang only find each other within one process. */
+const GANG_PROCESS_INDEX = 0;
 
-interface Hollow {
+/** A child process that hosts hollow workers. */
+interface WorkerProcess {
   readonly child: ChildProcess;
-  ended: boolean;
+  exited: boolean;
 }
 
-export interface FleetOptions {
+/** What the hollow workers of a run need in order to start and to report events. */
+export interface HollowFleetOptions {
   readonly day: Day;
   readonly seed: number;
+  /** Number of processes that share the workers. */
   readonly processes: number;
-  readonly launch: Launch;
+  readonly launch: ProcessLaunch;
   readonly runtime: Runtime;
   readonly controllers: readonly { readonly name: string; readonly at: Endpoint }[];
+  /** Called with every task event that a worker reports. */
   readonly task: (event: TaskEvent) => void;
-  /** A process of workers ended although nobody asked it to. */
+  /** Called when a worker process cannot be started or exits unexpectedly. */
   readonly failed: (error: ScaleError) => void;
 }
 
-/** Machines that a gang of this day may run on. */
-function gangTypes(day: Day): ReadonlySet<string> {
+/** Names of the machine types that gangs of this day may run on. */
+function gangMachineTypes(day: Day): ReadonlySet<string> {
   const gangs = day.classes.filter(({ shape }) => shape === 'gang');
   const types = day.machine_types.filter((type) =>
     gangs.some((c) => (c.types?.includes(type.name) ?? true) && type.gpus >= c.gpus && type.cpus >= c.cpus),
@@ -45,22 +53,25 @@
   return new Set(types.map(({ name }) => name));
 }
 
-/** The workers of a scale run, hollow, in a few processes that are started and ended here. */
+/**
+ * Hosts the hollow workers of a scale run in a few child processes, and starts and ends those. A hollow worker speaks the
+ * whole worker protocol, but its tasks only let time pass.
+ */
 export class HollowFleet implements WorkerHosts {
-  private readonly hollows: Hollow[] = [];
-  private readonly hostOf = new Map<string, Hollow>();
+  private readonly workerProcesses: WorkerProcess[] = [];
+  private readonly processByMachine = new Map<string, WorkerProcess>();
   private readonly machines = new Map<string, Machine>();
-  private readonly waiting = new Map<number, (measure: HollowMeasure) => void>();
-  private readonly gangTypes: ReadonlySet<string>;
-  private nextMeasure = 1;
-  private placed = 0;
+  private readonly pendingMeasurements = new Map<number, (measure: HollowMeasurement) => void>();
+  private readonly gangTypeNames: ReadonlySet<string>;
+  private nextMeasurementId = 1;
+  private assignedMachineCount = 0;
   private ending = false;
 
-  constructor(private readonly options: FleetOptions) {
-    this.gangTypes = gangTypes(options.day);
+  constructor(private readonly options: HollowFleetOptions) {
+    this.gangTypeNames = gangMachineTypes(options.day);
   }
 
-  /** Starts the processes; resolves once each is ready for machines. */
+  /** Starts the processes. Resolves when each accepts machines; rejects if one is not ready in time. */
   async start(): Promise<void> {
     const { processes, launch, day, seed, controllers } = this.options;
     const facts = workerFacts(day);
@@ -72,25 +83,25 @@
         execArgv: [],
         stdio: ['ignore', 'inherit', 'inherit', 'ipc'],
       });
-      const hollow: Hollow = { child, ended: false };
-      this.hollows.push(hollow);
-      child.on('exit', (code, signal) => this.exited(hollow, i, code, signal));
+      const workerProcess: WorkerProcess = { child, exited: false };
+      this.workerProcesses.push(workerProcess);
+      child.on('exit', (code, signal) => this.handleExit(workerProcess, i, code, signal));
       child.on('error', (error) =>
-        this.options.failed(new ScaleError(`workers ${i} could not be started: ${error.message}`)),
+        this.options.failed(new ScaleError(`worker process ${i} could not be started: ${error.message}`)),
       );
-      ready.push(this.ready(hollow, i));
-      this.send(hollow, { kind: 'configure', seed, facts, gangs, controllers });
+      ready.push(this.waitUntilReady(workerProcess, i));
+      this.send(workerProcess, { kind: 'configure', seed, facts, gangs, controllers });
     }
     await Promise.all(ready);
   }
 
-  private ready(hollow: Hollow, index: number): Promise<void> {
+  private waitUntilReady(workerProcess: WorkerProcess, index: number): Promise<void> {
     return new Promise((resolve, reject) => {
-      const timer = this.options.runtime.after(READY_WITHIN_MS, () =>
-        reject(new ScaleError(`workers ${index} were not ready within ${READY_WITHIN_MS / 1000} s`)),
+      const timer = this.options.runtime.after(READY_TIMEOUT_MS, () =>
+        reject(new ScaleError(`worker process ${index} was not ready within ${READY_TIMEOUT_MS / 1000} s`)),
       );
-      hollow.child.on('message', (event) => {
-        this.take(event as HollowEvent, () => {
+      workerProcess.child.on('message', (event) => {
+        this.handleEvent(event as HollowEvent, () => {
           timer.cancel();
           resolve();
         });
@@ -98,10 +109,10 @@
     });
   }
 
-  private take(event: HollowEvent, ready: () => void): void {
+  private handleEvent(event: HollowEvent, onReady: () => void): void {
     switch (event.kind) {
       case 'ready':
-        ready();
+        onReady();
         break;
       case 'listening': {
         const machine = this.machines.get(event.machine);
@@ -112,64 +123,76 @@
         this.options.task(event.event);
         break;
       case 'measured':
-        this.waiting.get(event.id)?.(event.measure);
+        this.pendingMeasurements.get(event.id)?.(event.measure);
         break;
     }
   }
 
-  private exited(hollow: Hollow, index: number, code: number | null, signal: string | null): void {
-    hollow.ended = true;
-    if (!this.ending) this.options.failed(new ScaleError(`workers ${index} ended: ${signal ?? `exit code ${code}`}`));
+  private handleExit(workerProcess: WorkerProcess, index: number, code: number | null, signal: string | null): void {
+    workerProcess.exited = true;
+    if (!this.ending)
+      this.options.failed(
+        new ScaleError(`worker process ${index} exited unexpectedly: ${signal ?? `exit code ${code}`}`),
+      );
   }
 
-  private send(hollow: Hollow, command: HollowCommand): void {
-    if (!hollow.ended && hollow.child.connected) hollow.child.send(command);
+  private send(workerProcess: WorkerProcess, command: HollowCommand): void {
+    if (!workerProcess.exited && workerProcess.child.connected) workerProcess.child.send(command);
   }
 
+  /** Ids of the processes that run. */
   get pids(): number[] {
-    return this.hollows.flatMap(({ child, ended }) => (ended || child.pid === undefined ? [] : [child.pid]));
+    return this.workerProcesses.flatMap(({ child, exited }) => (exited || child.pid === undefined ? [] : [child.pid]));
   }
 
+  /** Returns a machine by its id, also after it is gone. */
   machine(id: string): Machine | undefined {
     return this.machines.get(id);
   }
 
+  /** Starts a worker for a machine that has come up, in one of the processes. */
   up(machine: Machine): void {
-    const hollow = this.hollows[this.processFor(machine)];
-    if (!hollow) return;
+    const workerProcess = this.workerProcesses[this.processIndexFor(machine)];
+    if (!workerProcess) return;
     this.machines.set(machine.id, machine);
-    this.hostOf.set(machine.id, hollow);
+    this.processByMachine.set(machine.id, workerProcess);
     const { id, type, zone } = machine;
-    this.send(hollow, { kind: 'up', machine: { id, type, zone } });
+    this.send(workerProcess, { kind: 'up', machine: { id, type, zone } });
   }
 
-  private processFor({ type }: Machine): number {
-    const others = this.hollows.length - 1;
-    if (others === 0 || this.gangTypes.has(type.name)) return GANG_PROCESS;
-    this.placed += 1;
-    return 1 + (this.placed % others);
+  /** Returns the gang process for machines that gangs may use, and the other processes in turn for the rest. */
+  private processIndexFor({ type }: Machine): number {
+    const others = this.workerProcesses.length - 1;
+    if (others === 0 || this.gangTypeNames.has(type.name)) return GANG_PROCESS_INDEX;
+    this.assignedMachineCount += 1;
+    return 1 + (this.assignedMachineCount % others);
   }
 
+  /** Removes the worker of a machine that is gone. */
   gone(machine: Machine): void {
-    const hollow = this.hostOf.get(machine.id);
-    this.hostOf.delete(machine.id);
-    if (hollow) this.send(hollow, { kind: 'gone', machine: machine.id });
+    const workerProcess = this.processByMachine.get(machine.id);
+    this.processByMachine.delete(machine.id);
+    if (workerProcess) this.send(workerProcess, { kind: 'gone', machine: machine.id });
   }
 
-  /** Every process may be told to start tasks of it. */
-  job({ spec, runS, mistaken }: JobTruth): void {
+  /** Sends a job to every process, because any of them may receive start commands for its tasks. */
+  addJob({ spec, runS, mistaken }: JobTruth): void {
     const runs = spec.shape === 'sweep' ? Array.from({ length: spec.pieces }, (_, i) => runS(i)) : [runS(0)];
-    for (const hollow of this.hollows) this.send(hollow, { kind: 'job', job: { spec, runS: runs, mistaken } });
+    for (const workerProcess of this.workerProcesses)
+      this.send(workerProcess, { kind: 'job', job: { spec, runS: runs, mistaken } });
   }
 
-  fault(machine: string, fault: WorkerFault, downS = 0): void {
-    const hollow = this.hostOf.get(machine);
-    if (hollow) this.send(hollow, { kind: 'fault', fault, machine, downS });
+  /** Injects a fault into the worker of a machine; `downS` is the downtime of a restart in seconds. */
+  applyFault(machine: string, fault: WorkerFault, downS = 0): void {
+    const workerProcess = this.processByMachine.get(machine);
+    if (workerProcess) this.send(workerProcess, { kind: 'fault', fault, machine, downS });
   }
 
-  /** What all workers have sent and received so far. */
-  async measure(): Promise<HollowMeasure> {
-    const measures = await Promise.all(this.hollows.map((hollow, i) => this.measureOne(hollow, i)));
+  /** Returns the totals of what all workers have sent and received so far. */
+  async measure(): Promise<HollowMeasurement> {
+    const measures = await Promise.all(
+      this.workerProcesses.map((workerProcess, i) => this.measureProcess(workerProcess, i)),
+    );
     return measures.reduce((a, b) => ({
       workers: a.workers + b.workers,
       reports: a.reports + b.reports,
@@ -179,30 +202,30 @@
     }));
   }
 
-  private measureOne(hollow: Hollow, index: number): Promise<HollowMeasure> {
-    const id = this.nextMeasure++;
+  private measureProcess(workerProcess: WorkerProcess, index: number): Promise<HollowMeasurement> {
+    const id = this.nextMeasurementId++;
     return new Promise((resolve, reject) => {
-      const timer = this.options.runtime.after(MEASURED_WITHIN_MS, () => {
-        this.waiting.delete(id);
-        reject(new ScaleError(`workers ${index} gave no figures within ${MEASURED_WITHIN_MS / 1000} s`));
+      const timer = this.options.runtime.after(MEASURE_TIMEOUT_MS, () => {
+        this.pendingMeasurements.delete(id);
+        reject(new ScaleError(`worker process ${index} returned no measurement within ${MEASURE_TIMEOUT_MS / 1000} s`));
       });
-      this.waiting.set(id, (measure) => {
+      this.pendingMeasurements.set(id, (measure) => {
         timer.cancel();
-        this.waiting.delete(id);
+        this.pendingMeasurements.delete(id);
         resolve(measure);
       });
-      this.send(hollow, { kind: 'measure', id });
+      this.send(workerProcess, { kind: 'measure', id });
     });
   }
 
-  /** Ends every process, by its id. */
+  /** Kills every process by its id. */
   end(): void {
     this.ending = true;
-    for (const { child, ended } of this.hollows) if (!ended) child.kill('SIGKILL');
+    for (const { child, exited } of this.workerProcesses) if (!exited) child.kill('SIGKILL');
   }
 }
 
-type Traffic = HollowMeasure['reportTraffic'];
+type Traffic = HollowMeasurement['reportTraffic'];
 
 const addTraffic = (a: Traffic, b: Traffic): Traffic => ({
   connections: a.connections + b.connections,
--- a/packages/region/src/scale/hollow.ts
+++ b/packages/region/src/scale/hollow.ts
@@ -1,65 +1,71 @@
+/** The process side of hollow workers: executes commands of a scale run and reports task events to it. */
+
 import type { Endpoint, Logger } from '../../../../src/kernel/index.js';
 import { EndingRuntime } from '../ending.js';
 import { GangBook, JobBook, JobTruth, WorkerModel, type Machine, type TaskWatch } from '../models/index.js';
 import { LOOPBACK } from '../real.js';
 import { Luck } from '../sim/index.js';
-import type { HollowCommand, HollowEvent, HollowMachine, HollowMeasure, TaskEventKind } from './messages.js';
+import type { HollowCommand, HollowEvent, HollowMachine, HollowMeasurement, TaskEventKind } from './messages.js';
 
-/** The end of a channel to the scale run. */
-export interface HollowPort {
+/** Sends events to the scale run. */
+export interface HollowChannel {
   send(event: HollowEvent): void;
 }
 
-const HERE: Endpoint = { host: LOOPBACK, port: 0 };
+const ANY_LOOPBACK_PORT: Endpoint = { host: LOOPBACK, port: 0 };
 
-const machineOf = ({ id, type, zone }: HollowMachine): Machine => ({
+/** Builds the model of a machine that runs and has not failed. */
+const toMachine = ({ id, type, zone }: HollowMachine): Machine => ({
   ...{ id, type, zone, spot: false, rentedAt: 0, address: '', fate: 'running', runningAt: 0 },
   ...{ failedAt: null, goneAt: null, takenAt: null, listed: true, chargedTo: 0, script: null },
 });
 
-const jobOf = ({ job }: Extract<HollowCommand, { kind: 'job' }>): JobTruth =>
+/** Builds the model of a job; a job with one run time uses it for all of its tasks. */
+const toJobTruth = ({ job }: Extract<HollowCommand, { kind: 'job' }>): JobTruth =>
   new JobTruth(job.spec, (index) => job.runS[Math.min(index, job.runS.length - 1)] ?? 0, job.mistaken);
 
 /**
- * The workers of many machines in one process: each reports, leases and answers commands by the whole protocol on sockets of
- * its own, and its tasks only pass the time. What happens to tasks is told to the run, which judges it.
+ * Hosts the hollow workers of many machines in one process. Each worker reports, holds leases and answers commands with the
+ * whole protocol on its own sockets, but its tasks only let time pass. Task events are sent to the run, which checks them.
  */
 export class HollowWorkers {
   private readonly runtime = new EndingRuntime();
   private readonly workers = new Map<string, WorkerModel>();
   private readonly jobs = new JobBook();
-  private configured: (Extract<HollowCommand, { kind: 'configure' }> & { readonly gangBook: GangBook }) | undefined;
-  /** Of workers that are gone. */
-  private readonly past = { reports: 0, commands: 0 };
+  private configuration: (Extract<HollowCommand, { kind: 'configure' }> & { readonly gangBook: GangBook }) | undefined;
+  /** Totals of the workers that have been removed. */
+  private readonly removedWorkerCounts = { reports: 0, commands: 0 };
 
   constructor(
-    private readonly port: HollowPort,
+    private readonly channel: HollowChannel,
     private readonly log: Logger,
   ) {}
 
-  take(command: HollowCommand): void {
+  /** Executes a command of the scale run. */
+  handleCommand(command: HollowCommand): void {
     switch (command.kind) {
       case 'configure':
         this.configure(command);
         break;
       case 'job':
-        this.jobs.add(jobOf(command));
+        this.jobs.add(toJobTruth(command));
         break;
       case 'up':
-        this.up(command.machine);
+        this.addMachine(command.machine);
         break;
       case 'gone':
-        this.gone(command.machine);
+        this.removeMachine(command.machine);
         break;
       case 'fault':
-        this.fault(command);
+        this.applyFault(command);
         break;
       case 'measure':
-        this.port.send({ kind: 'measured', id: command.id, measure: this.measure() });
+        this.channel.send({ kind: 'measured', id: command.id, measure: this.measure() });
         break;
     }
   }
 
+  /** Ends all workers and closes their sockets. */
   end(): void {
     for (const worker of this.workers.values()) worker.end();
     this.runtime.end();
@@ -67,55 +73,55 @@
 
   private configure(command: Extract<HollowCommand, { kind: 'configure' }>): void {
     const luck = new Luck(command.seed, 'hollow gangs');
-    this.configured = { ...command, gangBook: new GangBook(this.runtime, luck, command.gangs) };
-    this.port.send({ kind: 'ready' });
+    this.configuration = { ...command, gangBook: new GangBook(this.runtime, luck, command.gangs) };
+    this.channel.send({ kind: 'ready' });
   }
 
-  private up(given: HollowMachine): void {
-    const { configured, runtime, log, jobs } = this;
-    if (!configured) throw new Error('a machine before the configuration');
-    const { facts, controllers, gangBook: gangs, seed } = configured;
-    const machine = machineOf(given);
-    const luck = new Luck(seed, `hollow ${given.id}`);
+  private addMachine(hollowMachine: HollowMachine): void {
+    const { configuration, runtime, log, jobs } = this;
+    if (!configuration) throw new Error('received a machine before the configuration');
+    const { facts, controllers, gangBook: gangs, seed } = configuration;
+    const machine = toMachine(hollowMachine);
+    const luck = new Luck(seed, `hollow ${hollowMachine.id}`);
     const model = new WorkerModel(machine, {
       ...{ runtime, watchdog: runtime, luck, log, facts, controllers, jobs, gangs },
-      watch: this.watch,
+      watch: this.taskWatch,
       noticeS: () => null,
     });
-    this.workers.set(given.id, model);
-    void model.listen(HERE).ready.then((port) => {
+    this.workers.set(hollowMachine.id, model);
+    void model.listen(ANY_LOOPBACK_PORT).ready.then((port) => {
       const address = `${LOOPBACK}:${port}`;
       model.start(address);
-      this.port.send({ kind: 'listening', machine: given.id, address });
+      this.channel.send({ kind: 'listening', machine: hollowMachine.id, address });
     });
   }
 
-  private gone(id: string): void {
+  private removeMachine(id: string): void {
     const worker = this.workers.get(id);
     if (!worker) return;
     this.workers.delete(id);
-    this.past.reports += worker.counts.reports;
-    this.past.commands += worker.counts.commands;
+    this.removedWorkerCounts.reports += worker.counts.reports;
+    this.removedWorkerCounts.commands += worker.counts.commands;
     worker.tasks.killAll();
     worker.end();
     worker.shut();
   }
 
-  private fault({ machine, fault, downS }: Extract<HollowCommand, { kind: 'fault' }>): void {
+  private applyFault({ machine, fault, downS }: Extract<HollowCommand, { kind: 'fault' }>): void {
     const worker = this.workers.get(machine);
     if (!worker) return;
     if (fault === 'restart') worker.restart(downS * 1000 > 0 ? downS : 1);
     else worker.mute = worker.deaf = fault === 'cut';
   }
 
-  private readonly watch: TaskWatch = {
-    ordered: (machine, job, index, attempt) => this.tell('ordered', machine, job, index, attempt),
-    entered: (machine, job, index, attempt) => this.tell('entered', machine, job, index, attempt),
-    running: (machine, job, index, attempt) => this.tell('running', machine, job, index, attempt),
-    left: (machine, job, index, attempt, cause) => this.tell('left', machine, job, index, attempt, cause),
+  private readonly taskWatch: TaskWatch = {
+    ordered: (machine, job, index, attempt) => this.sendTaskEvent('ordered', machine, job, index, attempt),
+    entered: (machine, job, index, attempt) => this.sendTaskEvent('entered', machine, job, index, attempt),
+    running: (machine, job, index, attempt) => this.sendTaskEvent('running', machine, job, index, attempt),
+    left: (machine, job, index, attempt, cause) => this.sendTaskEvent('left', machine, job, index, attempt, cause),
   };
 
-  private tell(
+  private sendTaskEvent(
     kind: TaskEventKind,
     machine: Machine,
     job: JobTruth,
@@ -125,11 +131,12 @@
   ): void {
     const atMs = this.runtime.wall();
     const event = { kind, atMs, machine: machine.id, job: job.spec.ref, index, attempt, cause };
-    this.port.send({ kind: 'task', event });
+    this.channel.send({ kind: 'task', event });
   }
 
-  private measure(): HollowMeasure {
-    let { reports, commands } = this.past;
+  /** Returns the totals of all workers since the process began, removed ones included. */
+  private measure(): HollowMeasurement {
+    let { reports, commands } = this.removedWorkerCounts;
     for (const { counts } of this.workers.values()) {
       reports += counts.reports;
       commands += counts.commands;
--- a/packages/region/src/scale/index.ts
+++ b/packages/region/src/scale/index.ts
@@ -1,20 +1,21 @@
+/** Scale runs: real controller processes under the load of a modelled region. */
 export { ScaleError } from './errors.js';
 export { HollowWorkers } from './hollow.js';
-export type { Launch } from './fleet.js';
+export type { ProcessLaunch } from './fleet.js';
 export type { HollowCommand, HollowEvent } from './messages.js';
 export { OrderedEvents } from './ordered.js';
-export { checkSize, MAX_PROCESSES, memoryFor } from './resources.js';
+export { checkRunSize, MAX_PROCESSES, estimateMemoryBytes } from './resources.js';
 export { ScaleRun, type ScaleOptions, type ScaleResult } from './run.js';
-export { scaleTable } from './table.js';
+export { renderScaleTable } from './table.js';
 export { UsageMeter } from './usage.js';
 export {
   amountOf,
   capacityRun,
-  DIMENSIONS,
+  CAPACITY_DIMENSIONS,
   figuresOf,
-  FITTED,
-  FULL,
-  slopes,
-  type Dimension,
-  type Sample,
+  FITTED_PARTS,
+  FULL_PART,
+  fitSlopes,
+  type CapacityDimension,
+  type CapacitySample,
 } from './capacity.js';
--- a/packages/region/src/scale/messages.ts
+++ b/packages/region/src/scale/messages.ts
@@ -1,26 +1,29 @@
+/** Messages between a scale run and its processes of hollow workers, over the IPC channel of the child process. */
+
 import type { Endpoint } from '../../../../src/kernel/index.js';
 import type { Traffic } from '../ending.js';
 import type { Cause, GangFacts, Submission, TypeFacts, WorkerFacts } from '../models/index.js';
 
-/** Messages between a scale run and its processes of hollow workers, over the channel of the child process. */
-
+/** A machine for which a hollow worker is to run. */
 export interface HollowMachine {
   readonly id: string;
   readonly type: TypeFacts;
   readonly zone: string;
 }
 
-/** What is true of a job, so that a hollow worker can run its tasks. */
+/** A job with its true run times, which a hollow worker needs to run the tasks. */
 export interface HollowJob {
   readonly spec: Submission;
-  /** True run time in seconds: of each task, or one for all. */
+  /** True run times in seconds: one for each task, or a single one for all. */
   readonly runS: readonly number[];
+  /** True if the user made a mistake in the job, so that all of its tasks fail. */
   readonly mistaken: boolean;
 }
 
+/** Faults of a worker: it restarts, or it loses its network and gets it back. */
 export type WorkerFault = 'restart' | 'cut' | 'heal';
 
-/** From the run to a process of hollow workers. */
+/** Command from the run to a process of hollow workers. */
 export type HollowCommand =
   | {
       readonly kind: 'configure';
@@ -35,9 +38,10 @@
   | { readonly kind: 'fault'; readonly fault: WorkerFault; readonly machine: string; readonly downS: number }
   | { readonly kind: 'measure'; readonly id: number };
 
+/** Kind of a task event; the meanings are those of `TaskWatch`. */
 export type TaskEventKind = 'ordered' | 'entered' | 'running' | 'left';
 
-/** What truly happened to a task; `atMs` is the time of day. */
+/** A change of a task's true state. `atMs` is the wall-clock time. */
 export interface TaskEvent {
   readonly kind: TaskEventKind;
   readonly atMs: number;
@@ -45,24 +49,24 @@
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
-  /** Of `left`. */
+  /** Why the task left its machine; only of `left`. */
   readonly cause: Cause | 'killed' | null;
 }
 
-/** What the workers of one process have sent and received since it began. */
-export interface HollowMeasure {
+/** Totals of what the workers of one process have sent and received since it began. */
+export interface HollowMeasurement {
   readonly workers: number;
   readonly reports: number;
   readonly commands: number;
-  /** On connections that workers opened to controllers. */
+  /** Traffic on connections that workers opened to controllers. */
   readonly reportTraffic: Traffic;
-  /** On connections that controllers opened to workers. */
+  /** Traffic on connections that controllers opened to workers. */
   readonly commandTraffic: Traffic;
 }
 
-/** From a process of hollow workers to the run. */
+/** Event from a process of hollow workers to the run. */
 export type HollowEvent =
   | { readonly kind: 'ready' }
   | { readonly kind: 'listening'; readonly machine: string; readonly address: string }
   | { readonly kind: 'task'; readonly event: TaskEvent }
-  | { readonly kind: 'measured'; readonly id: number; readonly measure: HollowMeasure };
+  | { readonly kind: 'measured'; readonly id: number; readonly measure: HollowMeasurement };
--- a/packages/region/src/scale/meter.ts
+++ b/packages/region/src/scale/meter.ts
@@ -1,14 +1,19 @@
+/** Measures how long tasks take from submission to their first start. */
+
 import { build, type Histogram } from 'hdr-histogram-js';
 import type { JobTruth, Machine, TaskWatch, UserView } from '../models/index.js';
 
-const MOST_MS = 3_600_000;
+const MAX_RECORDED_MS = 3_600_000;
 
-/** Milliseconds up to an hour, three digits. */
-export const histogram = (): Histogram =>
-  build({ lowestDiscernibleValue: 1, highestTrackableValue: MOST_MS, numberOfSignificantValueDigits: 3 });
+/** Creates a histogram of durations in milliseconds, up to one hour, with three significant digits. */
+export const createHistogram = (): Histogram =>
+  build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_RECORDED_MS, numberOfSignificantValueDigits: 3 });
 
-export const record = (h: Histogram, ms: number): void => h.recordValue(Math.min(MOST_MS, Math.max(0, Math.round(ms))));
+/** Records a duration in milliseconds; values outside the range of the histogram are clamped to it. */
+export const recordDuration = (target: Histogram, ms: number): void =>
+  target.recordValue(Math.min(MAX_RECORDED_MS, Math.max(0, Math.round(ms))));
 
+/** Summary of recorded durations in milliseconds. */
 export interface Percentiles {
   readonly count: number;
   readonly p50: number;
@@ -16,127 +21,145 @@
   readonly max: number;
 }
 
-/** In milliseconds; null: nothing was recorded. */
-export function percentilesOf(h: Histogram): Percentiles | null {
-  if (h.totalCount === 0) return null;
-  const [p50, p99] = [h.getValueAtPercentile(50), h.getValueAtPercentile(99)];
-  return { count: h.totalCount, p50, p99, max: h.maxValue };
+/** Summarizes a histogram; null if it is empty. */
+export function percentilesOf(source: Histogram): Percentiles | null {
+  if (source.totalCount === 0) return null;
+  const [p50, p99] = [source.getValueAtPercentile(50), source.getValueAtPercentile(99)];
+  return { count: source.totalCount, p50, p99, max: source.maxValue };
 }
 
 /**
- * Parts of the time from a job's submission to a task's first start. accept: until the job is accepted; place: from there
- * until its worker has the start command, which is queue, placement and command together; image: until the image is there;
- * gather: until the rest of its gang is there.
+ * Phases between the submission of a job and the first start of a task. `accept` lasts until the job is accepted; `place`
+ * until the worker has the start command, so it covers the queue, the placement and the command; `image` until the worker has
+ * the image; `gather` until the rest of the gang is there.
  */
-export const PHASES = ['accept', 'place', 'image', 'gather'] as const;
-export type Phase = (typeof PHASES)[number];
+export const START_PHASES = ['accept', 'place', 'image', 'gather'] as const;
+/** One of the phases before a first start. */
+export type StartPhase = (typeof START_PHASES)[number];
 
+/** Delays of the first starts of a class. */
 export interface StartWaits {
   readonly jobClass: string;
-  /** From submission to each task's first start, in milliseconds. */
+  /** Time from submission to the first start of each task, in milliseconds. */
   readonly total: Percentiles | null;
-  readonly phases: Readonly<Record<Phase, Percentiles | null>>;
-  /** Of all tasks of the jobs that count, those that had started within the class's aim; null: it has none. */
+  readonly phases: Readonly<Record<StartPhase, Percentiles | null>>;
+  /** Share of the tasks that started within the aim of the class; null if the class has no aim or no job has counted yet. */
   readonly withinAim: number | null;
 }
 
-interface ClassMeter {
+/** Histograms of the first starts of a class. */
+interface ClassHistograms {
   readonly aimMs: number | null;
   readonly total: Histogram;
-  readonly phases: Readonly<Record<Phase, Histogram>>;
+  readonly phases: Readonly<Record<StartPhase, Histogram>>;
 }
 
-interface Progress {
+/** True times of a start that is under way. */
+interface PendingStart {
+  /** When the worker accepted the start command. */
   orderedAt: number;
+  /** When the worker had the image. */
   enteredAt: number;
 }
 
-/** Counts starts and running tasks, and measures by class how long first starts take. All times are true times. */
+/** Counts starts and running tasks, and measures the delays of first starts by class. All times are true times. */
 export class StartMeter implements TaskWatch {
-  private readonly views = new Map<string, UserView>();
-  private readonly progress = new Map<string, Progress>();
-  private readonly started = new Set<string>();
-  private readonly runs = new Set<string>();
-  private readonly meters = new Map<string, ClassMeter>();
-  /** Of each job, how many tasks began within its class's aim. */
-  private readonly inTime = new Map<string, number>();
-  /** Jobs that are submitted from here on are measured, in milliseconds of true time. */
+  private readonly userViews = new Map<string, UserView>();
+  private readonly pendingStarts = new Map<string, PendingStart>();
+  private readonly startedTasks = new Set<string>();
+  private readonly runningTasks = new Set<string>();
+  private readonly histogramsByClass = new Map<string, ClassHistograms>();
+  /** Number of tasks of each job that started within the aim of its class. */
+  private readonly startsWithinAim = new Map<string, number>();
+  /** Only jobs that are submitted at this true time in milliseconds or later are measured. */
   measuredFrom = Number.POSITIVE_INFINITY;
+  /** Task starts so far, repeated ones included. */
   starts = 0;
+  /** Jobs that users have uploaded so far. */
   jobs = 0;
+  /** Most tasks that ran at the same time. */
   runningPeak = 0;
 
   constructor(
     private readonly now: () => number,
-    /** Aims for waits by class, in milliseconds. */
-    private readonly aims: ReadonlyMap<string, number>,
+    /** Aims for the time to the first start in milliseconds, by class. */
+    private readonly aimsMs: ReadonlyMap<string, number>,
   ) {}
 
+  /** Number of tasks that run now. */
   get runningNow(): number {
-    return this.runs.size;
+    return this.runningTasks.size;
   }
 
+  /** A user has uploaded a job. */
   arrived(view: UserView): void {
-    this.views.set(view.job.spec.ref, view);
+    this.userViews.set(view.job.spec.ref, view);
     this.jobs += 1;
   }
 
   ordered(_machine: Machine, { spec }: JobTruth, index: number): void {
     const now = this.now();
-    this.progress.set(`${spec.ref}/${index}`, { orderedAt: now, enteredAt: now });
+    this.pendingStarts.set(`${spec.ref}/${index}`, { orderedAt: now, enteredAt: now });
   }
 
   entered(_machine: Machine, { spec }: JobTruth, index: number): void {
-    const progress = this.progress.get(`${spec.ref}/${index}`);
+    const progress = this.pendingStarts.get(`${spec.ref}/${index}`);
     if (progress) progress.enteredAt = this.now();
   }
 
   running(_machine: Machine, { spec }: JobTruth, index: number): void {
     const key = `${spec.ref}/${index}`;
     this.starts += 1;
-    this.runs.add(key);
-    this.runningPeak = Math.max(this.runningPeak, this.runs.size);
-    const progress = this.progress.get(key);
-    this.progress.delete(key);
-    const view = this.views.get(spec.ref);
-    if (this.started.has(key) || !view) return;
-    this.started.add(key);
-    if (view.submittedAt >= this.measuredFrom) this.measure(view, progress);
+    this.runningTasks.add(key);
+    this.runningPeak = Math.max(this.runningPeak, this.runningTasks.size);
+    const progress = this.pendingStarts.get(key);
+    this.pendingStarts.delete(key);
+    const view = this.userViews.get(spec.ref);
+    if (this.startedTasks.has(key) || !view) return;
+    this.startedTasks.add(key);
+    if (view.submittedAt >= this.measuredFrom) this.recordFirstStart(view, progress);
   }
 
   left(_machine: Machine, { spec }: JobTruth, index: number): void {
-    this.runs.delete(`${spec.ref}/${index}`);
-    this.progress.delete(`${spec.ref}/${index}`);
+    this.runningTasks.delete(`${spec.ref}/${index}`);
+    this.pendingStarts.delete(`${spec.ref}/${index}`);
   }
 
-  private meterOf(jobClass: string): ClassMeter {
-    let meter = this.meters.get(jobClass);
-    if (!meter) {
-      const phases = { accept: histogram(), place: histogram(), image: histogram(), gather: histogram() };
-      meter = { aimMs: this.aims.get(jobClass) ?? null, total: histogram(), phases };
-      this.meters.set(jobClass, meter);
+  private histogramsFor(jobClass: string): ClassHistograms {
+    let classHistograms = this.histogramsByClass.get(jobClass);
+    if (!classHistograms) {
+      const phases = {
+        accept: createHistogram(),
+        place: createHistogram(),
+        image: createHistogram(),
+        gather: createHistogram(),
+      };
+      classHistograms = { aimMs: this.aimsMs.get(jobClass) ?? null, total: createHistogram(), phases };
+      this.histogramsByClass.set(jobClass, classHistograms);
     }
-    return meter;
+    return classHistograms;
   }
 
-  private measure({ job, submittedAt, acceptedAt }: UserView, progress: Progress | undefined): void {
+  /** Records the phases of a first start; without a pending start only the total. */
+  private recordFirstStart({ job, submittedAt, acceptedAt }: UserView, progress: PendingStart | undefined): void {
     const now = this.now();
     const { ref, jobclass } = job.spec;
-    const { aimMs, total, phases } = this.meterOf(jobclass);
-    record(total, now - submittedAt);
-    if (aimMs !== null && now - submittedAt <= aimMs) this.inTime.set(ref, (this.inTime.get(ref) ?? 0) + 1);
+    const { aimMs, total, phases } = this.histogramsFor(jobclass);
+    recordDuration(total, now - submittedAt);
+    if (aimMs !== null && now - submittedAt <= aimMs)
+      this.startsWithinAim.set(ref, (this.startsWithinAim.get(ref) ?? 0) + 1);
     if (!progress) return;
-    // The user may hear of the acceptance only after the first start.
+    // The user may receive the acceptance after the first start.
     const accepted = Math.min(acceptedAt ?? progress.orderedAt, progress.orderedAt);
-    record(phases.accept, accepted - submittedAt);
-    record(phases.place, progress.orderedAt - accepted);
-    record(phases.image, progress.enteredAt - progress.orderedAt);
-    record(phases.gather, now - progress.enteredAt);
+    recordDuration(phases.accept, accepted - submittedAt);
+    recordDuration(phases.place, progress.orderedAt - accepted);
+    recordDuration(phases.image, progress.enteredAt - progress.orderedAt);
+    recordDuration(phases.gather, now - progress.enteredAt);
   }
 
-  /** Waits by class. Jobs whose aim was not up before now are left out of the share within it. */
+  /** Returns the start delays by class. Jobs whose aim has not passed yet are left out of the share within the aim. */
   waits(): StartWaits[] {
-    return [...this.meters].map(([jobClass, { aimMs, total, phases }]) => ({
+    return [...this.histogramsByClass].map(([jobClass, { aimMs, total, phases }]) => ({
       jobClass,
       total: percentilesOf(total),
       phases: {
@@ -145,19 +168,20 @@
         image: percentilesOf(phases.image),
         gather: percentilesOf(phases.gather),
       },
-      withinAim: aimMs === null ? null : this.shareWithin(jobClass, aimMs),
+      withinAim: aimMs === null ? null : this.shareWithinAim(jobClass, aimMs),
     }));
   }
 
-  private shareWithin(jobClass: string, aimMs: number): number | null {
+  /** Share of due tasks that started within the aim. Refused jobs, and jobs cancelled before the aim passed, do not count. */
+  private shareWithinAim(jobClass: string, aimMs: number): number | null {
     const end = this.now();
     let [due, met] = [0, 0];
-    for (const { job, submittedAt, refused, cancelAskedAt } of this.views.values()) {
+    for (const { job, submittedAt, refused, cancelAskedAt } of this.userViews.values()) {
       const dueAt = submittedAt + aimMs;
       if (job.spec.jobclass !== jobClass || submittedAt < this.measuredFrom || refused || dueAt > end) continue;
       if (cancelAskedAt !== null && cancelAskedAt < dueAt) continue;
       due += job.spec.pieces;
-      met += this.inTime.get(job.spec.ref) ?? 0;
+      met += this.startsWithinAim.get(job.spec.ref) ?? 0;
     }
     return due === 0 ? null : met / due;
   }
--- a/packages/region/src/scale/resources.ts
+++ b/packages/region/src/scale/resources.ts
@@ -1,46 +1,55 @@
+/** Limits the processes and the memory of scale runs. */
+
 import { ScaleError } from './errors.js';
 
+/** Most processes of a scale run, the run itself included. */
 export const MAX_PROCESSES = 300;
+/** Most controllers of a scale run. */
 export const MAX_CONTROLLERS = 50;
-/** Of the machine's memory, the part that a run may take. */
-const MEMORY_SHARE = 0.5;
+/** Fraction of the host machine's memory that a run may use. */
+const MAX_MEMORY_FRACTION = 0.5;
 
-const MB = 1e6;
-/** Upper estimates of resident memory, from runs (docs/CAPACITY.md). */
-const CONTROLLER_BYTES = 180 * MB;
-const HOLLOW_PROCESS_BYTES = 90 * MB;
-const WORKER_BYTES = 0.25 * MB;
-const MODELS_BYTES = 250 * MB;
-const TASK_BYTES = 0.01 * MB;
+const BYTES_PER_MB = 1e6;
+/** Upper estimates of resident memory, taken from runs (docs/CAPACITY.md). */
+const BYTES_PER_CONTROLLER = 180 * BYTES_PER_MB;
+const BYTES_PER_HOLLOW_PROCESS = 90 * BYTES_PER_MB;
+const BYTES_PER_WORKER = 0.25 * BYTES_PER_MB;
+const MODEL_PROCESS_BYTES = 250 * BYTES_PER_MB;
+const BYTES_PER_TASK = 0.01 * BYTES_PER_MB;
 
+/** Size of a scale run, from which its memory is estimated. */
 export interface ScaleSize {
   readonly controllers: number;
   readonly hollowProcesses: number;
   readonly workers: number;
-  /** That may run at once. */
+  /** Tasks that may run at the same time. */
   readonly tasks: number;
 }
 
-/** What a run of that size takes at the most, in bytes. */
-export const memoryFor = ({ controllers, hollowProcesses, workers, tasks }: ScaleSize): number =>
-  controllers * CONTROLLER_BYTES +
-  hollowProcesses * HOLLOW_PROCESS_BYTES +
-  workers * WORKER_BYTES +
-  tasks * TASK_BYTES +
-  MODELS_BYTES;
+/** Returns an upper estimate of the memory of a run in bytes. */
+export const estimateMemoryBytes = ({ controllers, hollowProcesses, workers, tasks }: ScaleSize): number =>
+  controllers * BYTES_PER_CONTROLLER +
+  hollowProcesses * BYTES_PER_HOLLOW_PROCESS +
+  workers * BYTES_PER_WORKER +
+  tasks * BYTES_PER_TASK +
+  MODEL_PROCESS_BYTES;
 
-/** Refuses a run that would take too many processes or too much of the machine's memory, naming the figure. */
-export function checkSize(size: ScaleSize, machineBytes: number): void {
+/**
+ * Checks that a run does not need too many processes or too much of the host machine's memory.
+ *
+ * @throws ScaleError that names the exceeded limit.
+ */
+export function checkRunSize(size: ScaleSize, machineBytes: number): void {
   const { controllers, hollowProcesses } = size;
   if (controllers < 1 || controllers > MAX_CONTROLLERS)
-    throw new ScaleError(`${controllers} controllers: 1 to ${MAX_CONTROLLERS} can be run`);
+    throw new ScaleError(`a scale run can have 1 to ${MAX_CONTROLLERS} controllers, not ${controllers}`);
   const processes = 1 + controllers + hollowProcesses;
   if (processes > MAX_PROCESSES)
-    throw new ScaleError(`${processes} processes: more than the ${MAX_PROCESSES} that a run may have`);
-  const needed = memoryFor(size);
-  const allowed = machineBytes * MEMORY_SHARE;
-  if (needed > allowed)
+    throw new ScaleError(`the scale run needs ${processes} processes, more than the limit of ${MAX_PROCESSES}`);
+  const neededBytes = estimateMemoryBytes(size);
+  const allowedBytes = machineBytes * MAX_MEMORY_FRACTION;
+  if (neededBytes > allowedBytes)
     throw new ScaleError(
-      `about ${Math.round(needed / MB)} MB of memory: more than half (${Math.round(allowed / MB)} MB) of this machine's`,
+      `the scale run needs about ${Math.round(neededBytes / BYTES_PER_MB)} MB of memory, more than half (${Math.round(allowedBytes / BYTES_PER_MB)} MB) of this machine's memory`,
     );
 }
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -1,3 +1,5 @@
+/** Measures whole controllers, as separate processes, under the load of a modelled region. */
+
 import type { Logger, Runtime } from '../../../../src/kernel/index.js';
 import { isObject, HttpClient } from '../../../../src/kernel/index.js';
 import type { Breach } from '../checker/index.js';
@@ -8,44 +10,53 @@
 import { LOOPBACK } from '../real.js';
 import { Luck } from '../sim/index.js';
 import { ConfigurationLoad, type ConfigurationResult } from './configuration.js';
-import { ControllerProcesses, freePorts } from './controllers.js';
+import { ControllerProcesses, findFreePorts } from './controllers.js';
 import { ScaleError } from './errors.js';
-import { checkDay, playFault } from './faults.js';
-import { HollowFleet, type Launch } from './fleet.js';
-import type { HollowMeasure, TaskEvent } from './messages.js';
+import { checkScaleDay, injectFault } from './faults.js';
+import { HollowFleet, type ProcessLaunch } from './fleet.js';
+import type { HollowMeasurement, TaskEvent } from './messages.js';
 import { StartMeter, type StartWaits } from './meter.js';
 import { OrderedEvents } from './ordered.js';
-import { checkSize } from './resources.js';
-import { UsageMeter, type ProcessResult, type Watched } from './usage.js';
+import { checkRunSize } from './resources.js';
+import { UsageMeter, type ProcessResult, type WatchedProcess } from './usage.js';
 
-const HERE = { host: LOOPBACK, port: 0 };
-/** Events of the workers' processes are judged in the order of their times, so long after they happened. */
-const EVENT_LAG_MS = 400;
-const EVENTS_EVERY_MS = 20;
-const SAMPLE_EVERY_MS = 1000;
+/** Listens on loopback, on a port that the operating system assigns. */
+const ANY_LOOPBACK_PORT = { host: LOOPBACK, port: 0 };
+/** Events of worker processes are delivered to the checker this long after they happened, so that they can be ordered by time. */
+const EVENT_REORDER_DELAY_MS = 400;
+const EVENT_RELEASE_INTERVAL_MS = 20;
+const USAGE_SAMPLE_INTERVAL_MS = 1000;
 const STATUS_TIMEOUT_MS = 5000;
-/** A job's tasks may fill the machines twice over in the estimate of a run's memory. */
-const TASKS_PER_WORKER = 24;
+/** Upper estimate of tasks per worker for the memory check: the tasks may fill every machine twice. */
+const ESTIMATED_TASKS_PER_WORKER = 24;
 
+/** Options of a scale run. */
 export interface ScaleOptions {
-  /** At the size at which it is run. */
+  /** The day, already scaled to the size of the run. */
   readonly day: Day;
+  /** Number of processes that share the hollow workers. */
   readonly hollowProcesses: number;
-  /** Seconds that pass before anything is measured, and that are measured. */
+  /** Seconds before the measurement begins. */
   readonly warmupS: number;
+  /** Seconds of the measurement. */
   readonly seconds: number;
-  /** Changes of the operators' settings while it is measured, and so many at once at its middle. */
+  /** Rate of changes to the operators' settings during the measurement. */
   readonly changesPerMinute: number;
+  /** Number of further changes that are sent at once in the middle of the measurement. */
   readonly changesAtOnce: number;
-  readonly launch: Launch;
+  readonly launch: ProcessLaunch;
   readonly log: Logger;
+  /** Process id of the run itself, for its resource usage. */
   readonly ownPid: number;
+  /** Memory of the host machine in bytes. */
   readonly machineBytes: number;
+  /** Polled during the run; true ends the run with an error. */
   readonly stop?: () => boolean;
+  /** Receives progress lines for the user. */
   readonly progress?: (line: string) => void;
 }
 
-/** Messages and bytes a second, seen from the side that is named first. */
+/** Message and byte rates of an interface, as seen from the side that its name begins with. */
 export interface InterfaceResult {
   readonly name: string;
   readonly messagesPerS: number;
@@ -53,6 +64,7 @@
   readonly bytesInPerS: number;
 }
 
+/** Measurements of a scale run. Rates are averages over the measurement. */
 export interface ScaleResult {
   readonly day: string;
   readonly controllers: number;
@@ -61,7 +73,7 @@
   readonly seconds: number;
   readonly processes: readonly ProcessResult[];
   readonly interfaces: readonly InterfaceResult[];
-  /** Frames and bytes a second between controllers, all together, by kind. */
+  /** Rates of frames and bytes that all controllers together sent to their peers, by kind of frame. */
   readonly peerFrames: Readonly<Record<string, { readonly framesPerS: number; readonly bytesPerS: number }>>;
   readonly state: {
     readonly requestsPerS: number;
@@ -77,19 +89,20 @@
     readonly running: number;
     readonly runningPeak: number;
   };
-  /** Of jobs that were submitted while it was measured. */
+  /** Start delays of jobs that were submitted during the measurement. */
   readonly waits: readonly StartWaits[];
   readonly configuration: ConfigurationResult;
-  /** Rules that were broken; jobs left waiting are not judged here. */
+  /** Violations of protocol rules. Jobs that are left waiting are not checked here. */
   readonly breaches: readonly Breach[];
-  /** Events of workers that came too late to be put into order. */
+  /** Worker events that arrived too late to be ordered by time. */
   readonly lateEvents: number;
   readonly warnings: { readonly count: number; readonly first: readonly string[] };
 }
 
+/** Counters at one moment; rates are differences of two snapshots. */
 interface Snapshot {
   readonly atMs: number;
-  readonly hollow: HollowMeasure;
+  readonly hollow: HollowMeasurement;
   readonly state: Traffic;
   readonly cloud: Traffic;
   readonly users: Traffic;
@@ -103,19 +116,19 @@
   readonly peers: ReadonlyMap<string, { readonly frames: number; readonly bytes: number }>;
 }
 
-/** A part of the region that this process plays, on sockets of its own so that its traffic is counted apart. */
-interface CountedSeat extends Seat {
+/** A part of the region that runs in this process, with its own runtime so that its traffic is counted separately. */
+interface MeteredSeat extends Seat {
   readonly runtime: EndingRuntime;
 }
 
 /**
- * Whole controllers as processes of their own against models of everything else, in real time on loopback. Workers are hollow
- * and share a few processes; state service, cloud, users and the checker are this process. Everything that is started is ended,
- * however the run ends.
+ * Runs whole controllers as separate processes against models of everything else, in real time on loopback. Workers are hollow
+ * and share a few processes; the state service, the cloud, the users and the checker run in this process. Every process that
+ * is started is also ended, whether the run succeeds or fails.
  */
 export class ScaleRun {
   private readonly runtime: Runtime;
-  private readonly seats = new Map<string, CountedSeat>();
+  private readonly meteredSeats = new Map<string, MeteredSeat>();
   private readonly events: OrderedEvents<TaskEvent>;
   private readonly meter: StartMeter;
   private readonly usage: UsageMeter;
@@ -124,108 +137,122 @@
   private controllers: ControllerProcesses | undefined;
   private configuration: ConfigurationLoad | undefined;
   private parts: RegionParts | undefined;
-  /** The time of the event that is being judged; null: now. */
-  private judgedAt: number | null = null;
-  private readonly beganWall: number;
+  /** Time of the worker event that is being delivered, in milliseconds since the start; null: the current time applies. */
+  private eventTimeMs: number | null = null;
+  /** Wall-clock time of the start. */
+  private readonly startedAtWallMs: number;
 
   constructor(private readonly options: ScaleOptions) {
     const { day, hollowProcesses, machineBytes } = options;
-    checkDay(day);
+    checkScaleDay(day);
     const workers = day.machines.reduce((sum, { count }) => sum + count, 0);
-    const size = { controllers: day.controllers.count, hollowProcesses, workers, tasks: workers * TASKS_PER_WORKER };
-    checkSize(size, machineBytes);
+    const size = {
+      controllers: day.controllers.count,
+      hollowProcesses,
+      workers,
+      tasks: workers * ESTIMATED_TASKS_PER_WORKER,
+    };
+    checkRunSize(size, machineBytes);
     this.runtime = new EndingRuntime();
-    this.beganWall = this.runtime.wall();
-    this.events = new OrderedEvents(EVENT_LAG_MS, (event, atMs) => this.judge(event, atMs));
+    this.startedAtWallMs = this.runtime.wall();
+    this.events = new OrderedEvents(EVENT_REORDER_DELAY_MS, (event, atMs) => this.deliverEvent(event, atMs));
     const aims = day.classes.flatMap(({ name, aims: all }) =>
       all.flatMap((aim) => (aim.kind === 'wait' ? [[name, aim.within_s * 1000] as const] : [])),
     );
     this.meter = new StartMeter(() => this.now(), new Map(aims));
     this.usage = new UsageMeter(
       () => this.runtime.now(),
-      () => this.watched(),
+      () => this.watchedProcesses(),
     );
   }
 
-  /** Runs it from start to end. Resolves to the figures, or rejects with what went wrong; nothing is left running. */
+  /** Runs from start to end. Resolves to the measurements, or rejects with a ScaleError; no process is left running. */
   async run(): Promise<ScaleResult> {
     try {
-      await this.begin();
-      await this.pass(this.options.warmupS, 'warming up');
+      await this.startAll();
+      await this.waitWhileSampling(this.options.warmupS, 'warming up');
       return await this.measure();
     } finally {
       this.end();
     }
   }
 
-  /** Ends everything that was started, by process id. */
+  /** Ends everything that was started, child processes by their process ids. */
   end(): void {
     this.parts?.users.stop();
     this.configuration?.close();
     this.controllers?.end();
     this.fleet?.end();
-    for (const { runtime } of this.seats.values()) runtime.end();
+    for (const { runtime } of this.meteredSeats.values()) runtime.end();
     (this.runtime as EndingRuntime).end();
   }
 
+  /** Milliseconds since the start: the time of the event that is being delivered, or else the current time. */
   private now(): number {
-    return this.judgedAt ?? this.runtime.wall() - this.beganWall;
+    return this.eventTimeMs ?? this.runtime.wall() - this.startedAtWallMs;
   }
 
-  private watched(): Watched[] {
-    const controllers = [...(this.controllers?.pids ?? [])].map(([name, pid]): Watched => ({
+  /** Processes whose resource usage is measured. */
+  private watchedProcesses(): WatchedProcess[] {
+    const controllers = [...(this.controllers?.pids ?? [])].map(([name, pid]): WatchedProcess => ({
       role: 'controller',
       name,
       pid,
     }));
-    const workers = (this.fleet?.pids ?? []).map((pid, i): Watched => ({ role: 'workers', name: `workers ${i}`, pid }));
+    const workers = (this.fleet?.pids ?? []).map((pid, i): WatchedProcess => ({
+      role: 'workers',
+      name: `workers ${i}`,
+      pid,
+    }));
     return [...controllers, ...workers, { role: 'models', name: 'models', pid: this.options.ownPid }];
   }
 
-  private seat(name: string): CountedSeat {
+  private createSeat(name: string): MeteredSeat {
     const runtime = new EndingRuntime();
-    const seat: CountedSeat = { runtime, watchdog: runtime, at: HERE, close: () => runtime.end() };
-    this.seats.set(name, seat);
+    const seat: MeteredSeat = { runtime, watchdog: runtime, at: ANY_LOOPBACK_PORT, close: () => runtime.end() };
+    this.meteredSeats.set(name, seat);
     return seat;
   }
 
-  private readonly failed = (error: ScaleError): void => {
+  /** Keeps the first failure, with which the run rejects. */
+  private readonly recordFailure = (error: ScaleError): void => {
     this.failure ??= error;
   };
 
-  private async begin(): Promise<void> {
+  /** Starts the workers, the models and the controllers, then lets users come and schedules the faults of the day. */
+  private async startAll(): Promise<void> {
     const { day, hollowProcesses, launch, log, progress } = this.options;
-    const ports = await freePorts(2 * day.controllers.count);
+    const ports = await findFreePorts(2 * day.controllers.count);
     const seats = Array.from({ length: day.controllers.count }, (_, i): ControllerSeat => ({
       name: `node-${i}`,
       zone: day.zones[i % day.zones.length] ?? '',
       serveOn: { host: LOOPBACK, port: ports[2 * i] ?? 0 },
       peerOn: { host: LOOPBACK, port: ports[2 * i + 1] ?? 0 },
     }));
-    const luck = new Luck(day.seed, day.name);
+    const rng = new Luck(day.seed, day.name);
     const fleet = new HollowFleet({
-      ...{ day, seed: day.seed, processes: hollowProcesses, launch, runtime: this.runtime, failed: this.failed },
+      ...{ day, seed: day.seed, processes: hollowProcesses, launch, runtime: this.runtime, failed: this.recordFailure },
       controllers: seats.map(({ name, serveOn }) => ({ name, at: serveOn })),
-      task: (event) => this.heard(event),
+      task: (event) => this.receiveEvent(event),
     });
     this.fleet = fleet;
-    progress?.(`starting ${hollowProcesses} processes of workers`);
+    progress?.(`starting ${hollowProcesses} worker processes`);
     await fleet.start();
-    const place: Place = { seat: (name) => this.seat(name), now: () => this.now() };
+    const place: Place = { seat: (name) => this.createSeat(name), now: () => this.now() };
     const parts = new RegionParts({
-      ...{ day, luck, place, log, controllers: seats, note: () => undefined, hosts: fleet },
-      observer: this.observer(fleet),
+      ...{ day, luck: rng, place, log, controllers: seats, note: () => undefined, hosts: fleet },
+      observer: this.createObserver(fleet),
     });
     this.parts = parts;
     const [state = 0, cloud = 0] = await parts.start();
     const controllers = new ControllerProcesses({
-      ...{ day, seats, launch, runtime: this.runtime, failed: this.failed },
+      ...{ day, seats, launch, runtime: this.runtime, failed: this.recordFailure },
       services: { state: { host: LOOPBACK, port: state }, cloud: { host: LOOPBACK, port: cloud } },
     });
     this.controllers = controllers;
     progress?.(`starting ${seats.length} controllers`);
     await controllers.start();
-    this.runtime.every(EVENTS_EVERY_MS, () => this.events.advance(this.runtime.wall()));
+    this.runtime.every(EVENT_RELEASE_INTERVAL_MS, () => this.events.advance(this.runtime.wall()));
     this.configuration = new ConfigurationLoad(
       seats.map(({ serveOn }) => serveOn),
       this.runtime,
@@ -233,17 +260,17 @@
     );
     parts.open();
     for (const trouble of day.troubles) {
-      const targets = { day, parts, fleet, controllers, runtime: this.runtime, luck: luck.fork('faults') };
-      this.runtime.after(trouble.at_s * 1000, () => playFault(trouble, targets));
+      const targets = { day, parts, fleet, controllers, runtime: this.runtime, rng: rng.fork('faults') };
+      this.runtime.after(trouble.at_s * 1000, () => injectFault(trouble, targets));
     }
   }
 
-  /** Jobs are told to the workers as their users upload them. */
-  private observer(fleet: HollowFleet): RegionObserver {
+  /** Sends jobs to the workers when users upload them, and passes task events to the meter. */
+  private createObserver(fleet: HollowFleet): RegionObserver {
     const { meter } = this;
     return {
       arrived: (view) => {
-        fleet.job(view.job);
+        fleet.addJob(view.job);
         meter.arrived(view);
       },
       ordered: (machine, job, index) => meter.ordered(machine, job, index),
@@ -253,48 +280,49 @@
     };
   }
 
-  /** Tells the checker and the meter what truly happened, as of when it did. */
-  private judge({ kind, machine: id, job: ref, index, attempt, cause }: TaskEvent, atMs: number): void {
+  /** Delivers a worker event to the checker and the meter, with the time at which it happened. */
+  private deliverEvent({ kind, machine: id, job: ref, index, attempt, cause }: TaskEvent, atMs: number): void {
     const machine = this.fleet?.machine(id);
     const job = this.parts?.jobs.get(ref);
     if (!machine || !job || !this.parts) return;
-    this.judgedAt = atMs - this.beganWall;
+    this.eventTimeMs = atMs - this.startedAtWallMs;
     try {
       if (kind === 'left') this.parts.left(machine, job, index, attempt, cause ?? 'killed');
       else this.parts[kind](machine, job, index, attempt);
     } finally {
-      this.judgedAt = null;
+      this.eventTimeMs = null;
     }
   }
 
   /**
-   * Results count at once, for users are answered and judged at once, too; everything else waits until it can be put into
-   * order. Seen as jobs that seemed to be called done before their tasks were.
+   * Queues a worker event for delivery in time order. Completed tasks are recorded at once, because the answers that users
+   * get are also checked at once: otherwise jobs appear to be reported as done before their tasks are.
    */
-  private heard(event: TaskEvent): void {
+  private receiveEvent(event: TaskEvent): void {
     if (event.kind === 'left' && event.cause === 'done') this.parts?.jobs.get(event.job)?.finished.add(event.index);
     this.events.add(event, event.atMs);
   }
 
-  /** Lets time pass; rejects as soon as something that was started has failed. */
-  private async pass(seconds: number, what: string): Promise<void> {
-    const until = this.runtime.now() + seconds * 1000;
-    let told = Number.NEGATIVE_INFINITY;
-    while (this.runtime.now() < until) {
+  /** Waits and samples resource usage meanwhile. Rejects as soon as a process has failed or the run is to stop. */
+  private async waitWhileSampling(seconds: number, what: string): Promise<void> {
+    const deadlineMs = this.runtime.now() + seconds * 1000;
+    let lastProgressAtMs = Number.NEGATIVE_INFINITY;
+    while (this.runtime.now() < deadlineMs) {
       if (this.failure) throw this.failure;
-      if (this.options.stop?.() === true) throw new ScaleError('stopped');
-      const leftMs = until - this.runtime.now();
-      if (this.runtime.now() - told > 5000) {
-        told = this.runtime.now();
+      if (this.options.stop?.() === true) throw new ScaleError('the scale run was stopped');
+      const leftMs = deadlineMs - this.runtime.now();
+      if (this.runtime.now() - lastProgressAtMs > 5000) {
+        lastProgressAtMs = this.runtime.now();
         this.options.progress?.(
           `${what}: ${Math.ceil(leftMs / 1000)} s left, ${this.meter.runningNow} tasks running, ${this.meter.jobs} jobs`,
         );
       }
-      await this.runtime.sleep(Math.min(SAMPLE_EVERY_MS, Math.max(1, leftMs)));
+      await this.runtime.sleep(Math.min(USAGE_SAMPLE_INTERVAL_MS, Math.max(1, leftMs)));
       this.usage.sample();
     }
   }
 
+  /** Measures for the configured time, while changes of the settings are sent. */
   private async measure(): Promise<ScaleResult> {
     const { seconds, changesPerMinute, changesAtOnce } = this.options;
     const before = await this.snapshot();
@@ -302,13 +330,13 @@
     this.meter.runningPeak = this.meter.runningNow;
     this.usage.begin();
     const changes: Promise<void>[] = [];
-    const change = (): void => {
-      if (this.configuration) changes.push(this.configuration.change());
+    const sendChange = (): void => {
+      if (this.configuration) changes.push(this.configuration.sendNextChange());
     };
-    const timer = changesPerMinute > 0 ? this.runtime.every(60_000 / changesPerMinute, change) : undefined;
-    await this.pass(seconds / 2, 'measuring');
-    if (changesAtOnce > 0 && this.configuration) changes.push(this.configuration.burst(changesAtOnce));
-    await this.pass(seconds / 2, 'measuring');
+    const timer = changesPerMinute > 0 ? this.runtime.every(60_000 / changesPerMinute, sendChange) : undefined;
+    await this.waitWhileSampling(seconds / 2, 'measuring');
+    if (changesAtOnce > 0 && this.configuration) changes.push(this.configuration.sendBurst(changesAtOnce));
+    await this.waitWhileSampling(seconds / 2, 'measuring');
     timer?.cancel();
     const processes = this.usage.results();
     const running = this.meter.runningNow;
@@ -319,9 +347,9 @@
 
   private async snapshot(): Promise<Snapshot> {
     const { fleet, parts } = this;
-    if (!fleet || !parts) throw new ScaleError('the run has not begun');
+    if (!fleet || !parts) throw new ScaleError('the scale run has not been started');
     const traffic = (name: string): Traffic => {
-      const { opened, accepted } = this.seats.get(name)?.runtime.traffic ?? NO_TRAFFIC;
+      const { opened, accepted } = this.meteredSeats.get(name)?.runtime.traffic ?? ZERO_DIRECTED_TRAFFIC;
       return name === 'users' ? opened : accepted;
     };
     return {
@@ -334,7 +362,7 @@
     };
   }
 
-  /** What all controllers together have sent to their peers, by kind of frame; one that gives no answer is left out. */
+  /** Totals that all controllers have sent to their peers, by kind of frame. Controllers that do not answer are left out. */
   private async peerTraffic(): Promise<Snapshot['peers']> {
     const total = new Map<string, { frames: number; bytes: number }>();
     for (const { serveOn } of this.controllers?.seats ?? []) {
@@ -355,52 +383,56 @@
     return total;
   }
 
+  /** Computes the result from the snapshots before and after the measurement. */
   private result(before: Snapshot, after: Snapshot, processes: readonly ProcessResult[], running: number): ScaleResult {
     const { day } = this.options;
     const { parts, controllers, configuration } = this;
-    if (!parts || !controllers || !configuration) throw new ScaleError('the run has not begun');
+    if (!parts || !controllers || !configuration) throw new ScaleError('the scale run has not been started');
     const seconds = (after.atMs - before.atMs) / 1000;
-    const rate = (of: (snapshot: Snapshot) => number): number => (of(after) - of(before)) / seconds;
-    const face = (
+    const ratePerS = (of: (snapshot: Snapshot) => number): number => (of(after) - of(before)) / seconds;
+    const interfaceResult = (
       name: string,
       messages: (snapshot: Snapshot) => number,
       traffic: (snapshot: Snapshot) => Traffic,
     ): InterfaceResult => ({
       name,
-      messagesPerS: rate(messages),
-      bytesOutPerS: rate((s) => traffic(s).bytesOut),
-      bytesInPerS: rate((s) => traffic(s).bytesIn),
+      messagesPerS: ratePerS(messages),
+      bytesOutPerS: ratePerS((s) => traffic(s).bytesOut),
+      bytesInPerS: ratePerS((s) => traffic(s).bytesIn),
     });
     const operations = Object.keys(after.operations) as StateOperation[];
     const peerFrames = [...after.peers].map(([kind, { frames, bytes }]) => {
-      const was = before.peers.get(kind) ?? { frames: 0, bytes: 0 };
-      return [kind, { framesPerS: (frames - was.frames) / seconds, bytesPerS: (bytes - was.bytes) / seconds }] as const;
+      const previous = before.peers.get(kind) ?? { frames: 0, bytes: 0 };
+      return [
+        kind,
+        { framesPerS: (frames - previous.frames) / seconds, bytesPerS: (bytes - previous.bytes) / seconds },
+      ] as const;
     });
     return {
       ...{ day: day.name, controllers: day.controllers.count, workers: after.hollow.workers, teams: day.teams.length },
       ...{ seconds, processes },
       interfaces: [
-        face(
+        interfaceResult(
           'workers: reports',
           (s) => s.hollow.reports,
           (s) => s.hollow.reportTraffic,
         ),
-        face(
+        interfaceResult(
           'workers: commands',
           (s) => s.hollow.commands,
           (s) => s.hollow.commandTraffic,
         ),
-        face(
+        interfaceResult(
           'state service',
           (s) => s.requests,
           (s) => s.state,
         ),
-        face(
+        interfaceResult(
           'cloud',
           (s) => s.cloudCalls,
           (s) => s.cloud,
         ),
-        face(
+        interfaceResult(
           'users, health checks (connections)',
           (s) => s.users.connections,
           (s) => s.users,
@@ -408,16 +440,16 @@
       ],
       peerFrames: Object.fromEntries(peerFrames),
       state: {
-        requestsPerS: rate((s) => s.requests),
+        requestsPerS: ratePerS((s) => s.requests),
         byOperation: Object.fromEntries(
-          operations.map((operation) => [operation, rate((s) => s.operations[operation])]),
+          operations.map((operation) => [operation, ratePerS((s) => s.operations[operation])]),
         ) as Record<StateOperation, number>,
-        changesPerS: rate((s) => s.changes),
+        changesPerS: ratePerS((s) => s.changes),
         refused: after.refused - before.refused,
         ...parts.state.stored,
       },
       tasks: {
-        ...{ startsPerS: rate((s) => s.starts), jobsPerS: rate((s) => s.jobs) },
+        ...{ startsPerS: ratePerS((s) => s.starts), jobsPerS: ratePerS((s) => s.jobs) },
         ...{ running, runningPeak: this.meter.runningPeak },
       },
       waits: this.meter.waits(),
@@ -429,5 +461,5 @@
   }
 }
 
-const NONE: Traffic = { connections: 0, bytesIn: 0, bytesOut: 0 };
-const NO_TRAFFIC = { opened: NONE, accepted: NONE };
+const ZERO_TRAFFIC: Traffic = { connections: 0, bytesIn: 0, bytesOut: 0 };
+const ZERO_DIRECTED_TRAFFIC = { opened: ZERO_TRAFFIC, accepted: ZERO_TRAFFIC };
--- a/packages/region/src/scale/usage.ts
+++ b/packages/region/src/scale/usage.ts
@@ -1,56 +1,65 @@
-import { useOf, type ProcessUse } from './accounting.js';
+/** Measures the CPU time and memory of the processes of a scale run. */
 
-export type Role = 'controller' | 'workers' | 'models';
+import { readProcessUse, type ProcessUse } from './accounting.js';
 
+/** Role of a process in a scale run; `models` is the process of the run itself. */
+export type ProcessRole = 'controller' | 'workers' | 'models';
+
+/** Measured resource usage of a process. */
 export interface ProcessResult {
-  readonly role: Role;
+  readonly role: ProcessRole;
   readonly name: string;
-  /** Cores, on average and in the busiest second. */
+  /** Average number of busy cores. */
   readonly cores: number;
+  /** Number of busy cores in the busiest sampling interval. */
   readonly coresPeak: number;
-  /** Megabytes (1e6 bytes) of resident memory at the end, and at the process's peak. */
+  /** Resident memory at the end, in megabytes (1e6 bytes). */
   readonly residentMb: number;
+  /** Peak of the resident memory over the life of the process, in megabytes. */
   readonly peakMb: number;
 }
 
-export interface Watched {
-  readonly role: Role;
+/** A process whose resource usage is sampled. */
+export interface WatchedProcess {
+  readonly role: ProcessRole;
   readonly name: string;
   readonly pid: number;
 }
 
-interface Line {
-  readonly role: Role;
+/** Usage of a process by name; `pid` changes when the process is restarted. */
+interface ProcessUsage {
+  readonly role: ProcessRole;
   readonly name: string;
   pid: number;
   last: ProcessUse;
-  lastAt: number;
+  lastSampledAtMs: number;
   cpuS: number;
   coresPeak: number;
   peakBytes: number;
 }
 
-const SHORTEST_SAMPLE_S = 0.5;
+/** Shorter sampling intervals do not count for the peak. */
+const MIN_PEAK_SAMPLE_S = 0.5;
 
-/** Adds up the system's accounting of processes between two moments, over their lives. */
+/** Adds up the resource usage of processes over a measurement, across restarts. */
 export class UsageMeter {
-  private readonly lines = new Map<string, Line>();
-  private beganAt = 0;
+  private readonly usages = new Map<string, ProcessUsage>();
+  private startedAtMs = 0;
 
   constructor(
     private readonly nowMs: () => number,
-    private readonly watched: () => readonly Watched[],
-    private readonly read: (pid: number) => ProcessUse = useOf,
+    private readonly watched: () => readonly WatchedProcess[],
+    private readonly read: (pid: number) => ProcessUse = readProcessUse,
   ) {}
 
-  /** What is used from here on counts. */
+  /** Starts the measurement, and forgets earlier usage. */
   begin(): void {
-    this.lines.clear();
-    this.beganAt = this.nowMs();
+    this.usages.clear();
+    this.startedAtMs = this.nowMs();
     this.sample();
   }
 
-  /** Looks at every process; a life that ended in between is counted up to the last look. */
+  /** Samples every process. The usage of a process that has ended counts up to its last sample. */
   sample(): void {
     const now = this.nowMs();
     for (const { role, name, pid } of this.watched()) {
@@ -58,31 +67,32 @@
       try {
         use = this.read(pid);
       } catch {
-        // It has just ended: its successor is found by the next look.
+        // The process has just ended; its successor is sampled next time.
         continue;
       }
-      const line = this.lines.get(name);
-      if (!line) {
-        this.lines.set(name, {
-          ...{ role, name, pid, last: use, lastAt: now, cpuS: 0, coresPeak: 0, peakBytes: use.peakBytes },
+      const usage = this.usages.get(name);
+      if (!usage) {
+        this.usages.set(name, {
+          ...{ role, name, pid, last: use, lastSampledAtMs: now, cpuS: 0, coresPeak: 0, peakBytes: use.peakBytes },
         });
         continue;
       }
-      const usedS = line.pid === pid ? use.cpuS - line.last.cpuS : use.cpuS;
-      const passedS = (now - line.lastAt) / 1000;
-      line.cpuS += usedS;
-      if (passedS >= SHORTEST_SAMPLE_S) line.coresPeak = Math.max(line.coresPeak, usedS / passedS);
-      line.peakBytes = Math.max(line.peakBytes, use.peakBytes);
-      [line.pid, line.last, line.lastAt] = [pid, use, now];
+      const usedS = usage.pid === pid ? use.cpuS - usage.last.cpuS : use.cpuS;
+      const passedS = (now - usage.lastSampledAtMs) / 1000;
+      usage.cpuS += usedS;
+      if (passedS >= MIN_PEAK_SAMPLE_S) usage.coresPeak = Math.max(usage.coresPeak, usedS / passedS);
+      usage.peakBytes = Math.max(usage.peakBytes, use.peakBytes);
+      [usage.pid, usage.last, usage.lastSampledAtMs] = [pid, use, now];
     }
   }
 
+  /** Returns the usage since the measurement was started. */
   results(): ProcessResult[] {
-    const spanS = Math.max(0.001, (this.nowMs() - this.beganAt) / 1000);
-    const mb = (bytes: number): number => Math.round(bytes / 1e5) / 10;
-    return [...this.lines.values()].map(({ role, name, cpuS, coresPeak, last, peakBytes }) => ({
+    const spanS = Math.max(0.001, (this.nowMs() - this.startedAtMs) / 1000);
+    const toMegabytes = (bytes: number): number => Math.round(bytes / 1e5) / 10;
+    return [...this.usages.values()].map(({ role, name, cpuS, coresPeak, last, peakBytes }) => ({
       ...{ role, name, cores: cpuS / spanS, coresPeak },
-      ...{ residentMb: mb(last.residentBytes), peakMb: mb(peakBytes) },
+      ...{ residentMb: toMegabytes(last.residentBytes), peakMb: toMegabytes(peakBytes) },
     }));
   }
 }
--- a/packages/region/test/report.test.ts
+++ b/packages/region/test/report.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { dayPage, dayTable } from '../src/report/index.js';
+import { renderDayPage, renderDayTable } from '../src/report/index.js';
 import { played, shortDay } from './days.js';
 
 test('a played day as a page: charts inside, nothing from outside, and whatever was said is escaped', async () => {
@@ -10,7 +10,7 @@
   const last = result.timeline.at(-1);
   assert.ok(last && (last.running['counter'] ?? 0) > 0 && last.controllersUp === 3 && last.machinesUp > 0);
   const breaches = [{ rule: 'quota', at: 1500, what: '<script>alert(1)</script>' }] as const;
-  const page = await dayPage({ ...result, breaches }, day);
+  const page = await renderDayPage({ ...result, breaches }, day);
   assert.equal(page.match(/<svg/g)?.length, 5);
   assert.ok(page.includes('&lt;script&gt;') && !page.includes('<script'));
   const links = [...page.matchAll(/(?:src|href|url)\s*[=(]\s*["']?([^"')\s]+)/g)].map(([, to]) => to ?? '');
@@ -20,7 +20,7 @@
   );
   for (const { name } of result.classes) assert.ok(page.includes(`<b>${name}</b>`), name);
   assert.ok(page.includes('state_outage at 30 s for 5 s'));
-  const table = dayTable({ ...result, breaches });
+  const table = renderDayTable({ ...result, breaches });
   assert.match(table, /rules: 1 broken\n {2}1\.5 s quota: /);
-  assert.match(dayTable(result), /rules: all kept/);
+  assert.match(renderDayTable(result), /rules: all kept/);
 });
--- a/packages/region/test/scale.test.ts
+++ b/packages/region/test/scale.test.ts
@@ -6,12 +6,12 @@
 import { scaledDay, type Day } from '../src/index.js';
 import {
   capacityRun,
-  checkSize,
-  DIMENSIONS,
-  memoryFor,
+  checkRunSize,
+  CAPACITY_DIMENSIONS,
+  estimateMemoryBytes,
   OrderedEvents,
   ScaleRun,
-  slopes,
+  fitSlopes,
   UsageMeter,
   type ScaleOptions,
   type ScaleResult,
@@ -21,7 +21,7 @@
 const GB = 1e9;
 const machinesOf = (day: Day): number => day.machines.reduce((sum, { count }) => sum + count, 0);
 
-test('the shipped day of the planned size has what the plan names, and a part of it has that part', () => {
+test('the shipped day `scale` has the planned size, and scaling it by a share scales its parts', () => {
   const day = shippedDay('scale');
   assert.equal(machinesOf(day), 1400);
   assert.equal(day.zones.length, 9);
@@ -38,39 +38,45 @@
       const room = part.capacity.find((entry) => entry.zone === zone && entry.type === type);
       assert.ok(room && count <= (spot ? room.spot : room.ordinary), `${type} in ${zone}`);
     }
-    // Its largest jobs are not beyond a team's limit: they would be refused.
+    // The limits of the teams admit the largest jobs, which would be refused otherwise.
     for (const team of part.teams) assert.ok(team.gpus_max >= 64 && team.cpus_max >= 256);
     for (const trouble of part.troubles)
       if ('zone' in trouble && trouble.zone !== undefined) assert.ok(part.zones.includes(trouble.zone));
   }
-  for (const dimension of DIMENSIONS) assert.equal(capacityRun(day, dimension, 1).day.troubles.length, 0);
+  for (const dimension of CAPACITY_DIMENSIONS) assert.equal(capacityRun(day, dimension, 1).day.troubles.length, 0);
 });
 
-test('a run that would take too many processes or more than half of the memory is refused, with the figure', () => {
+test('a run that needs too many processes or more than half of the memory is refused with the exceeded limit', () => {
   const size = { controllers: 7, hollowProcesses: 4, workers: 1400, tasks: 16_000 };
-  checkSize(size, 24 * GB);
-  assert.throws(() => checkSize(size, 2 * GB), /about \d+ MB of memory: more than half \(1000 MB\)/);
-  assert.throws(() => checkSize({ ...size, hollowProcesses: 300 }, 1000 * GB), /308 processes: more than the 300/);
-  assert.throws(() => checkSize({ ...size, controllers: 0 }, 24 * GB), /0 controllers/);
-  assert.ok(memoryFor({ ...size, workers: 2800 }) > memoryFor(size));
+  checkRunSize(size, 24 * GB);
+  assert.throws(
+    () => checkRunSize(size, 2 * GB),
+    /the scale run needs about \d+ MB of memory, more than half \(1000 MB\)/,
+  );
+  assert.throws(
+    () => checkRunSize({ ...size, hollowProcesses: 300 }, 1000 * GB),
+    /needs 308 processes, more than the limit of 300/,
+  );
+  assert.throws(() => checkRunSize({ ...size, controllers: 0 }, 24 * GB), /1 to 50 controllers, not 0/);
+  assert.ok(estimateMemoryBytes({ ...size, workers: 2800 }) > estimateMemoryBytes(size));
 });
 
-test('model: events of several processes are released in the order of their times, each once it is old enough', () => {
-  const LAG = 50;
+test('model: events of several processes are released in time order, each after the delay', () => {
+  const DELAY_MS = 50;
   const process = fc.array(fc.nat(400), { maxLength: 30 }).map((times) => times.sort((a, b) => a - b));
   fc.assert(
-    fc.property(fc.array(process, { minLength: 1, maxLength: 4 }), fc.nat(LAG - 1), (processes, delay) => {
+    fc.property(fc.array(process, { minLength: 1, maxLength: 4 }), fc.nat(DELAY_MS - 1), (processes, delay) => {
       const all = processes.flat().sort((a, b) => a - b);
       const released: number[] = [];
       let now = 0;
-      const events = new OrderedEvents<number>(LAG, (event, atMs) => {
+      const events = new OrderedEvents<number>(DELAY_MS, (event, atMs) => {
         assert.equal(event, atMs);
-        assert.ok(now - atMs >= LAG);
+        assert.ok(now - atMs >= DELAY_MS);
         released.push(event);
       });
       for (; now <= 600; now++) {
         processes.forEach((times, i) => {
-          // The first arrives at once, the others late, but within the lag.
+          // Events of the first process arrive at once, those of the others late but within the delay.
           for (const at of times) if (at + (i === 0 ? 0 : delay) === now) events.add(at, at);
         });
         events.advance(now);
@@ -82,7 +88,7 @@
   );
 });
 
-test("processor time is added up over a process's lives, and a life that ends in between costs no error", () => {
+test('CPU time is added up across restarts of a process, and an exit between two samples is no error', () => {
   let now = 0;
   let pid = 1;
   const cpu = new Map<number, number>([[1, 100]]);
@@ -112,10 +118,10 @@
   assert.ok(Math.abs(line.coresPeak - 0.5) < 1e-9);
 });
 
-test('slopes: a line is found, its prediction meets the full size, and what leaves the line shows in the residual', () => {
+test('fitSlopes finds a line and predicts the full size, and values off the line show in the residual', () => {
   const sample = (amount: number, bent = 0) => ({ amount, figures: { cores: 0.01 + 0.002 * amount, odd: bent } });
   const fitted = [sample(10, 1), sample(20, 5), sample(30, 1), sample(40, 5)];
-  const [cores, odd] = slopes(fitted, sample(80, 3));
+  const [cores, odd] = fitSlopes(fitted, sample(80, 3));
   assert.ok(cores && odd);
   assert.ok(Math.abs(cores.slope - 0.002) < 1e-12 && Math.abs(cores.predicted - cores.measured) < 1e-9);
   assert.ok(cores.residual < 1e-9 && cores.rSquared > 0.999);
@@ -126,7 +132,7 @@
   day: {
     ...day,
     ...{ duration_s: 1000, quiet_end_s: 0, troubles: [] },
-    // Something is started in every second of so short a measurement.
+    // Starts a task in every second of the short measurement.
     classes: day.classes.map((c) => (c.name === 'urgent' ? { ...c, per_minute: 120 } : c)),
     controllers: { ...day.controllers, count: 2 },
   },
@@ -139,11 +145,11 @@
 
 const alive = (pid: number): boolean => existsSync(`/proc/${pid}`);
 
-/** The processes that a run has, looked at while it runs. */
-class SeenProcesses {
+/** Collects the child processes of a run while it runs. */
+class ChildProcessRecorder {
   readonly pids = new Set<number>();
 
-  look(): void {
+  sample(): void {
     for (const pid of childrenOf(process.pid)) this.pids.add(pid);
   }
 }
@@ -154,8 +160,8 @@
 }
 
 test('a scale run with thirty hollow workers in two processes: figures of every role, and nothing is left running', async () => {
-  const seen = new SeenProcesses();
-  const run = new ScaleRun(options(scaledDay(shippedDay('scale'), 0.02), { progress: () => seen.look() }));
+  const seen = new ChildProcessRecorder();
+  const run = new ScaleRun(options(scaledDay(shippedDay('scale'), 0.02), { progress: () => seen.sample() }));
   const result: ScaleResult = await run.run();
   assert.deepEqual(result.breaches, []);
   assert.equal(result.workers, 28);
@@ -172,17 +178,17 @@
   await ended([...seen.pids]);
 });
 
-test('a scale run whose controllers do not come up says so in one line, and leaves nothing running', async () => {
-  const seen = new SeenProcesses();
+test('a scale run whose controllers do not start rejects with a one-line error and leaves no process running', async () => {
+  const seen = new ChildProcessRecorder();
   const wrong = { node: process.execPath, controllerFlags: ['--no-such-flag'], script: 'target/main.cjs' };
   const run = new ScaleRun(
-    options(scaledDay(shippedDay('scale'), 0.02), { launch: wrong, progress: () => seen.look() }),
+    options(scaledDay(shippedDay('scale'), 0.02), { launch: wrong, progress: () => seen.sample() }),
   );
-  await assert.rejects(run.run(), /^ScaleError: node-\d ended at once; .*no-such-flag/);
+  await assert.rejects(run.run(), /^ScaleError: node-\d exited before it was healthy; .*no-such-flag/);
   await ended([...seen.pids]);
 });
 
-test('a day that real processes cannot be given is refused before anything is started, naming the field', () => {
+test('a day that a scale run does not support is refused before any process is started, naming the field', () => {
   const day = scaledDay(shippedDay('scale'), 0.02);
   const refuses = (changed: Day, what: RegExp): void => {
     assert.throws(() => new ScaleRun({ ...options(day), day: changed }), what);
