--- a/packages/region/src/cli/capacity.ts
+++ b/packages/region/src/cli/capacity.ts
@@ -1,3 +1,5 @@
+/** Command that measures how the resource usage of controllers grows with the load. */
+
 import { InvalidArgumentError, type Command } from 'commander';
 import {
   amountOf,
@@ -14,12 +16,14 @@
 import { parsePositiveNumber } from './options.js';
 import { hostOptions, runScale } from './scale.js';
 
+/** Parses one value of a repeatable option. */
 const parseDimension = (text: string, previous: readonly CapacityDimension[] = []): readonly CapacityDimension[] => {
   const match = CAPACITY_DIMENSIONS.find((name) => name === text);
-  if (!match) throw new InvalidArgumentError(`one of ${CAPACITY_DIMENSIONS.join(', ')}`);
+  if (!match) throw new InvalidArgumentError(`it must be one of ${CAPACITY_DIMENSIONS.join(', ')}`);
   return [...previous, match];
 };
 
+/** Options of `measure capacity`. */
 interface CapacityFlags {
   readonly dimension?: readonly CapacityDimension[];
   readonly workerProcesses: number;
@@ -29,7 +33,7 @@
 
 const printJsonLine = (line: unknown): void => void process.stdout.write(`${JSON.stringify(line)}\n`);
 
-/** The slopes of each dimension, as JSON lines: a line for each run, and one with what they fit. */
+/** Measures the slopes of each dimension, and prints one JSON line per run and one with the fit. */
 async function measureCapacity(nameOrPath: string, flags: CapacityFlags): Promise<void> {
   const fullDay = loadDay(nameOrPath);
   const { workerProcesses: hollowProcesses, warmup: warmupS, seconds } = flags;
@@ -38,7 +42,7 @@
     for (const part of [...FITTED_PARTS, FULL_PART]) {
       const run = capacityRun(fullDay, varied, part);
       const { day, changesPerMinute } = run;
-      process.stderr.write(`${varied} at ${part}\n`);
+      process.stderr.write(`measuring ${varied} at ${part} of the full size\n`);
       const result = await runScale({
         ...hostOptions(),
         ...{ day, hollowProcesses, warmupS, seconds, changesPerMinute, changesAtOnce: 0 },
@@ -53,14 +57,21 @@
   }
 }
 
+/** Adds the command `measure capacity`. */
 export function addCapacityCommand(measure: Command): void {
   measure
     .command('capacity')
-    .description('slopes of what controllers take: one thing varied at a time, and what they predict for the whole')
+    .description(
+      'fit the resource usage of controllers to one dimension of the load at a time, and check the prediction for the full size',
+    )
     .argument(...dayArgument)
-    .option('--dimension <name>', `only this one, repeatable: ${CAPACITY_DIMENSIONS.join(', ')}`, parseDimension)
-    .option('--worker-processes <n>', 'processes that the hollow workers share', parsePositiveNumber, 3)
-    .option('--warmup <seconds>', 'before anything is measured', parsePositiveNumber, 35)
-    .option('--seconds <n>', 'that are measured', parsePositiveNumber, 20)
+    .option(
+      '--dimension <name>',
+      `measure only this dimension; repeatable: ${CAPACITY_DIMENSIONS.join(', ')}`,
+      parseDimension,
+    )
+    .option('--worker-processes <n>', 'processes that host the hollow workers', parsePositiveNumber, 3)
+    .option('--warmup <seconds>', 'time before the measurement', parsePositiveNumber, 35)
+    .option('--seconds <n>', 'duration of the measurement', parsePositiveNumber, 20)
     .action((day: string, flags: CapacityFlags) => measureCapacity(day, flags));
 }
--- a/packages/region/src/cli/command.ts
+++ b/packages/region/src/cli/command.ts
@@ -1,3 +1,5 @@
+/** The command `region` with its subcommands. */
+
 import { mkdirSync, readFileSync, realpathSync, writeFileSync } from 'node:fs';
 import { basename, dirname, join } from 'node:path';
 import { SingleBar, Presets } from 'cli-progress';
@@ -25,17 +27,20 @@
 import { parsePositiveNumber, parseFraction, UsageError, parseWholeNumber } from './options.js';
 import { addScaleCommands } from './scale.js';
 
-/** Controllers of earlier releases, kept in the repository beside the bundle. */
+/** Controllers of earlier releases, which the repository keeps beside the bundle. */
 const frozenReleases = (): Releases =>
   new Releases(join(dirname(realpathSync(process.argv[1] ?? '.')), '..', 'packages', 'region', 'frozen'));
 
+/** Parses a speed factor; null means as fast as possible. */
 const parseSpeed = (text: string): number | null => (text === 'max' ? null : parsePositiveNumber(text));
+/** Log levels that the command line accepts. */
 const LOG_LEVELS = ['error', 'warn', 'info', 'debug'];
 const parseLogLevel = (text: string): string => {
-  if (!LOG_LEVELS.includes(text)) throw new InvalidArgumentError(`one of ${LOG_LEVELS.join(', ')}`);
+  if (!LOG_LEVELS.includes(text)) throw new InvalidArgumentError(`it must be one of ${LOG_LEVELS.join(', ')}`);
   return text;
 };
 
+/** Options of `region play`. */
 interface PlayFlags {
   readonly seed?: number;
   readonly share: number;
@@ -46,7 +51,7 @@
   readonly report?: string;
 }
 
-/** Waits so that simulated time doesn't run ahead of `times` real time. */
+/** Returns a function that waits while simulated time is ahead of real time multiplied by `speedFactor`. */
 function createPacer(speedFactor: number): (nowMs: number) => Promise<void> | undefined {
   const startedAtMs = performance.now();
   return (nowMs) => {
@@ -55,11 +60,13 @@
   };
 }
 
+/** Writes files of the given lines into a directory, which is created if necessary. */
 function writeFiles(dir: string, files: Readonly<Record<string, readonly string[]>>): void {
   mkdirSync(dir, { recursive: true });
   for (const [name, lines] of Object.entries(files)) writeFileSync(join(dir, name), lines.join(''));
 }
 
+/** Plays a day in simulated time, and prints and stores its result. */
 async function playDay(nameOrPath: string, flags: PlayFlags): Promise<void> {
   const day = scaledDay(loadDay(nameOrPath), flags.share);
   const eventLines: string[] = [];
@@ -86,7 +93,7 @@
     process.stderr.isTTY && flags.json !== true && (flags.log === undefined || flags.out !== undefined);
   if (showProgress) progressBar.start(day.duration_s, 0);
   let stopped = false;
-  // What has been played so far is still told.
+  // The result of the simulated time until the interrupt is still reported.
   process.once('SIGINT', () => {
     stopped = true;
   });
@@ -113,10 +120,11 @@
   process.exitCode = exitCodeOf(result);
 }
 
-/** 1: a rule was broken, something failed that never may, or a class, a team or the largest jobs were not served. */
+/** Exit code of a day: 1 if a rule was violated, a defect was found, or a class, a team or the largest jobs were not served. */
 const exitCodeOf = ({ breaches, defects, failures }: DayResult): number =>
   breaches.length + defects.length + failures.length > 0 ? 1 : 0;
 
+/** Serves the models of a day on loopback, and writes a settings file for each controller. */
 async function serveDay(
   nameOrPath: string,
   flags: { seed?: number; basePort: number; out: string; users?: true },
@@ -129,23 +137,24 @@
   const settingsFiles: Record<string, readonly string[]> = {};
   for (const seat of seats) settingsFiles[`${seat.name}.toml`] = [settingsFor(day, seat, seats, region)];
   writeFiles(flags.out, settingsFiles);
-  process.stdout.write('The models are up. Start each controller in a shell of its own:\n\n');
+  process.stdout.write('The models are running. Start each controller in its own shell:\n\n');
   for (const name of Object.keys(settingsFiles))
     process.stdout.write(`  node target/main.cjs serve --config ${join(flags.out, name)}\n`);
   const [file] = Object.keys(settingsFiles);
   const [, earlier] = frozenReleases().names;
   if (file !== undefined && earlier !== undefined)
     process.stdout.write(
-      `\nor, as an earlier release:\n\n  node target/main.cjs region controller ${earlier} --config ${join(flags.out, file)}\n`,
+      `\nor, to run an earlier release:\n\n  node target/main.cjs region controller ${earlier} --config ${join(flags.out, file)}\n`,
     );
   const [first] = seats;
   if (first)
-    process.stdout.write(`\nthen, for example: export WOODDRIFT_NODE=${first.serveOn.host}:${first.serveOn.port}\n`);
+    process.stdout.write(`\nThen, for example: export WOODDRIFT_NODE=${first.serveOn.host}:${first.serveOn.port}\n`);
   if (flags.users) region.parts.open();
-  else process.stdout.write('No users come; --users plays those of the day.\n');
-  process.stdout.write('Ctrl-C ends the models.\n');
+  else process.stdout.write('No users are simulated; use --users to simulate those of the day.\n');
+  process.stdout.write('Press Ctrl-C to stop the models.\n');
 }
 
+/** Options of `region hunt`. */
 interface HuntFlags {
   readonly minutes: number;
   readonly seed: number;
@@ -154,6 +163,7 @@
   readonly mixed?: string;
 }
 
+/** Searches for a schedule of troubles that violates a rule, and writes the shortened day to a file. */
 async function huntDay(nameOrPath: string, flags: HuntFlags): Promise<void> {
   const day = loadDay(nameOrPath);
   const frozen = frozenReleases();
@@ -168,7 +178,7 @@
     ...(flags.mixed === undefined ? {} : { mixed: flags.mixed }),
   });
   if (!failingDay) {
-    process.stdout.write('no rule was broken\n');
+    process.stdout.write('no rule was violated\n');
     return;
   }
   mkdirSync(flags.out, { recursive: true });
@@ -176,85 +186,93 @@
   writeFileSync(file, writeDay(failingDay.day));
   const replayed = await playOnce(failingDay.day, frozen);
   process.stdout.write(
-    `${renderDayTable(replayed)}\n\nshrunk to ${failingDay.day.troubles.length} troubles: ${file}\n`,
+    `${renderDayTable(replayed)}\n\nreduced to ${failingDay.day.troubles.length} troubles: ${file}\n`,
   );
   process.exitCode = 1;
 }
 
+/** The command `region` with all of its subcommands. */
 export const regionCommand = new Command('region').description(
-  'whole days in simulated time: wooddrift among models of all else',
+  'simulate whole days of a region: wooddrift controllers with models of everything else',
 );
 
 regionCommand
   .command('play')
-  .description('play a day in simulated time and say how it went')
+  .description('play a day in simulated time and report the result')
   .argument(...dayArgument)
-  .option('--seed <n>', "instead of the day's own", parseWholeNumber)
-  .option(
-    '--share <part>',
-    'machines, arrivals, limits and counted troubles at this part of their size',
-    parseFraction,
-    1,
-  )
+  .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
+  .option('--share <part>', 'scale machines, arrivals, limits and counted troubles by this factor', parseFraction, 1)
   .addOption(
-    new Option('--speed <times>', 'simulated seconds a second; max: as fast as it goes')
+    new Option('--speed <times>', 'simulated seconds per second; max: as fast as possible')
       .argParser(parseSpeed)
       .default(null, 'max'),
   )
-  .option('--out <dir>', 'write the event log and the result there')
-  .option('--log <level>', 'logs of the controllers, to standard error or to --out', parseLogLevel)
-  .option('--report <file>', 'write a page (HTML) with charts over time; it needs no network')
-  .option('--json', 'the result as JSON')
+  .option('--out <dir>', 'write the event log and the result to this directory')
+  .option('--log <level>', 'level of the controller logs, which go to standard error or to --out', parseLogLevel)
+  .option('--report <file>', 'write an HTML page with charts over time that needs no network')
+  .option('--json', 'print the result as JSON')
   .action((day: string, flags: PlayFlags) => playDay(day, flags));
 
 regionCommand
   .command('serve')
-  .description("serve a day's models on loopback in real time, for controllers that you start yourself; no troubles")
+  .description(
+    'serve the models of a day on loopback in real time, without troubles, for controllers that you start yourself',
+  )
   .argument(...dayArgument)
-  .option('--seed <n>', "instead of the day's own", parseWholeNumber)
+  .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
   .option('--base-port <n>', 'first port of the controllers', parseWholeNumber, 18_080)
-  .option('--out <dir>', 'where the settings files go', 'region-settings')
-  .option('--users', "the day's users come, too")
+  .option('--out <dir>', 'directory for the settings files', 'region-settings')
+  .option('--users', 'simulate the users of the day, too')
   .action((day: string, flags: { seed?: number; basePort: number; out: string; users?: true }) => serveDay(day, flags));
 
 regionCommand
   .command('hunt')
-  .description('play drawn schedules of troubles until a rule breaks, and shrink what breaks it to a short day')
+  .description(
+    'play random schedules of troubles until a rule is violated, and reduce the failing schedule to a short day',
+  )
   .argument(...dayArgument)
-  .option('--minutes <n>', 'for how long', parsePositiveNumber, 5)
-  .option('--seed <n>', 'of the first schedule', parseWholeNumber, 1)
-  .option('--out <dir>', 'where the shrunk day goes', 'region-found')
-  .option('--keep', "the day's own troubles stay, beside those that are drawn")
-  .option('--mixed <release>', 'controllers of that earlier release and of this one, replaced by one another')
+  .option('--minutes <n>', 'how long to search', parsePositiveNumber, 5)
+  .option('--seed <n>', 'seed of the first schedule', parseWholeNumber, 1)
+  .option('--out <dir>', 'directory for the reduced day', 'region-found')
+  .option('--keep', 'keep the troubles of the day in addition to the random ones')
+  .option(
+    '--mixed <release>',
+    'mix controllers of this earlier release with current ones, and replace each by the other',
+  )
   .action((day: string, flags: HuntFlags) => huntDay(day, flags));
 
 regionCommand
   .command('meetings')
-  .description('play drawn pairs of meetings of troubles, and go on where an earlier run stopped')
+  .description('play random pairs of overlapping troubles, and continue where an earlier run stopped')
   .argument(...dayArgument)
   .option('--from <n>', 'the first seed', parseWholeNumber, 1)
-  .option('--count <n>', 'how many seeds from there on', parseWholeNumber, 100)
-  .option('--as <release>', 'all controllers are of that release', 'this')
-  .option('--list <file>', 'what was played, a line each; those in it are not played again', 'meetings.jsonl')
-  .addHelpText('after', `\nThey meet two at a time:\n${Object.keys(MEETINGS).join('\n')}`)
-  .action(async (given: string, flags: MeetingFlags) => {
-    const known = frozenReleases();
-    known.of(flags.as);
-    const told = (line: string): void => void process.stderr.write(`${line}\n`);
-    if (!(await playMeetings(loadDay(given), flags, known, told))) process.exitCode = 1;
+  .option('--count <n>', 'number of seeds', parseWholeNumber, 100)
+  .option('--as <release>', 'release of all controllers', 'this')
+  .option(
+    '--list <file>',
+    'file with one line for each seed that was played; those seeds are skipped',
+    'meetings.jsonl',
+  )
+  .addHelpText('after', `\nOverlapping troubles, played two at a time:\n${Object.keys(MEETINGS).join('\n')}`)
+  .action(async (nameOrPath: string, flags: MeetingFlags) => {
+    const frozen = frozenReleases();
+    frozen.of(flags.as);
+    const printLine = (line: string): void => void process.stderr.write(`${line}\n`);
+    if (!(await playMeetings(loadDay(nameOrPath), flags, frozen, printLine))) process.exitCode = 1;
   });
 
 regionCommand
   .command('check')
-  .description('read a day and say what is wrong with it')
+  .description('check the file of a day and report errors')
   .argument(...dayArgument)
-  .action((given: string) => {
-    const day = loadDay(given);
+  .action((nameOrPath: string) => {
+    const day = loadDay(nameOrPath);
     process.stdout.write(
       `${day.name}: ${day.duration_s} s, ${day.controllers.count} controllers, ${day.classes.length} classes, ${day.troubles.length} troubles\n`,
     );
   });
 
+/** Options that the measure commands share. */
 interface MeasureFlags {
   readonly old: string;
   readonly machines: number;
@@ -266,12 +284,12 @@
 
 const measure = regionCommand
   .command('measure')
-  .description('measurements on fleets of any size, one JSON object a line');
+  .description('run measurements on fleets of any size, and print one JSON object per line');
 measure
   .command('speed')
-  .description('how fast a fleet plays, and in how much memory')
-  .option('--machines <n>', 'how many', parseWholeNumber, 900)
-  .option('--seconds <n>', 'of simulated time', parseWholeNumber, 120)
+  .description('measure the speed and memory of a simulated fleet')
+  .option('--machines <n>', 'number of machines', parseWholeNumber, 900)
+  .option('--seconds <n>', 'seconds of simulated time', parseWholeNumber, 120)
   .action(async ({ machines, seconds }: MeasureFlags) => {
     const speed = await measureSpeed(
       machines,
@@ -283,42 +301,46 @@
   });
 measure
   .command('recovery')
-  .description('how long it takes from the end of controllers to the last report answered and the first start')
-  .option('--machines <n>', 'how many', parseWholeNumber, 900)
-  .option('--seed <n>', 'of the day', parseWholeNumber, 1)
-  .option('--rps <n>', "the state service's requests a second", parsePositiveNumber, 200)
-  .option('--write-rps <n>', 'and changes a second', parsePositiveNumber, 40)
+  .description('measure the time from a crash of controllers to the last answered report and the first task start')
+  .option('--machines <n>', 'number of machines', parseWholeNumber, 900)
+  .option('--seed <n>', 'seed of the day', parseWholeNumber, 1)
+  .option('--rps <n>', 'limit of the state service in requests per second', parsePositiveNumber, 200)
+  .option('--write-rps <n>', 'limit of the state service in changes per second', parsePositiveNumber, 40)
   .action(async ({ machines, seed, rps, writeRps }: MeasureFlags) => {
     for (const ended of CRASH_TARGETS)
       process.stdout.write(`${JSON.stringify(await measureRecovery({ machines, ended, seed, rps, writeRps }))}\n`);
   });
 measure
   .command('rollout')
-  .description('what it costs to replace the controllers of a loaded fleet one after the other, by kill and by leave')
-  .option('--machines <n>', 'how many', parseWholeNumber, 900)
-  .option('--seed <n>', 'of the day', parseWholeNumber, 1)
-  .option('--old <release>', 'the earlier release that this one is mixed with', 'before-rollout')
+  .description(
+    'measure the cost of replacing the controllers of a loaded fleet one after the other, by kill and by leave',
+  )
+  .option('--machines <n>', 'number of machines', parseWholeNumber, 900)
+  .option('--seed <n>', 'seed of the day', parseWholeNumber, 1)
+  .option('--old <release>', 'earlier release that is mixed with the current one', 'before-rollout')
   .action(async ({ machines, seed, old }: MeasureFlags) => {
-    const known = frozenReleases();
-    known.of(old);
-    for (const roll of rolloutVariants(old))
-      process.stdout.write(`${JSON.stringify(await measureRollout({ machines, seed, ...roll, releases: known }))}\n`);
+    const frozen = frozenReleases();
+    frozen.of(old);
+    for (const variant of rolloutVariants(old))
+      process.stdout.write(
+        `${JSON.stringify(await measureRollout({ machines, seed, ...variant, releases: frozen }))}\n`,
+      );
   });
 measure
   .command('changes')
-  .description('changes a second that storing progress takes, in one record for each shard and in one for each job')
-  .option('--machines <n>', 'how many', parseWholeNumber, 900)
-  .option('--seed <n>', 'of the day', parseWholeNumber, 1)
+  .description('measure the changes per second for storing progress, with one record per job and with one per shard')
+  .option('--machines <n>', 'number of machines', parseWholeNumber, 900)
+  .option('--seed <n>', 'seed of the day', parseWholeNumber, 1)
   .action(async ({ machines, seed }: MeasureFlags) => {
     for (const grouped of [false, true])
       process.stdout.write(`${JSON.stringify(await measureStateChanges(machines, seed, grouped))}\n`);
   });
 measure
   .command('cancels')
-  .description('how long users wait until they are told that a job is cancelled, without troubles')
-  .option('--machines <n>', 'in the fleet', parseWholeNumber, 900)
-  .option('--seeds <n>', 'so many seeds, from 1', parseWholeNumber, 2)
-  .option('--as <release>', 'all controllers are of that release', 'this')
+  .description('measure how long users wait for the confirmation of a cancellation, without troubles')
+  .option('--machines <n>', 'number of machines', parseWholeNumber, 900)
+  .option('--seeds <n>', 'number of seeds, from 1', parseWholeNumber, 2)
+  .option('--as <release>', 'release of all controllers', 'this')
   .action(async (flags: { machines: number; seeds: number; as: string }) => {
     for (let seed = 1; seed <= flags.seeds; seed++)
       process.stdout.write(
@@ -327,18 +349,20 @@
   });
 measure
   .command('chains')
-  .description('how soon the steps of chains follow each other, and what storing a day takes, by kind of record')
+  .description(
+    'measure how soon the jobs of a chain follow each other, and the stored changes of a day by kind of record',
+  )
   .argument(...dayArgument)
-  .option('--seeds <n>', 'so many seeds, from 1', parseWholeNumber, 3)
-  .action(async (given: string, { seeds }: { seeds: number }) => {
-    const day = loadDay(given);
+  .option('--seeds <n>', 'number of seeds, from 1', parseWholeNumber, 3)
+  .action(async (nameOrPath: string, { seeds }: { seeds: number }) => {
+    const day = loadDay(nameOrPath);
     for (let seed = 1; seed <= seeds; seed++)
       process.stdout.write(`${JSON.stringify(await measureChains(day, seed, frozenReleases()))}\n`);
   });
 regionCommand
   .command('controller')
-  .description('run a controller of one of these releases, as `serve` runs the one of this program')
-  .argument('<release>', 'its name')
+  .description('run a controller of a given release, as `serve` runs one of the current release')
+  .argument('<release>', 'name of the release')
   .requiredOption('--config <file>', 'settings file (TOML)')
   .action((name: string, { config }: { config: string }) => {
     const release = frozenReleases().of(name);
@@ -346,13 +370,13 @@
     try {
       toml = readFileSync(config, 'utf8');
     } catch {
-      throw new UsageError(`${config}: no such file`);
+      throw new UsageError(`${config}: cannot read the settings file`);
     }
     release.make(toml, createLogger(process.env['LOG_LEVEL'], name), systemRuntime, {}).start();
   });
 regionCommand
   .command('releases')
-  .description('the releases that a day can play')
+  .description('list the releases that a day can use')
   .action(() => {
     process.stdout.write(`${frozenReleases().names.join('\n')}\n`);
   });
--- a/packages/region/src/cli/days.ts
+++ b/packages/region/src/cli/days.ts
@@ -1,13 +1,20 @@
+/** Loads days for commands. */
+
 import { readFileSync } from 'node:fs';
 import { readDay, type Day } from '../day/index.js';
 import { UsageError } from './options.js';
 
-/** The days that ship with the package, as TOML by name; put in when the bundle is made. */
+/** TOML of the days that ship with the package, by name. The bundler defines this constant. */
 declare const SHIPPED_DAYS: Readonly<Record<string, string>>;
 
+/** Names of the shipped days, for messages. */
 export const shippedDayNames = (): string => Object.keys(SHIPPED_DAYS).join(', ');
 
-/** Reads a day that ships with the package, or a file. */
+/**
+ * Loads a shipped day by its name, or else a day from a file.
+ *
+ * @throws UsageError if there is neither.
+ */
 export function loadDay(nameOrPath: string): Day {
   const shippedToml = SHIPPED_DAYS[nameOrPath];
   if (shippedToml !== undefined) return readDay(shippedToml, `${nameOrPath}.toml`);
@@ -15,10 +22,10 @@
   try {
     toml = readFileSync(nameOrPath, 'utf8');
   } catch {
-    throw new UsageError(`${nameOrPath}: no such file, and no day of that name (${shippedDayNames()})`);
+    throw new UsageError(`${nameOrPath}: neither a readable file nor a shipped day (${shippedDayNames()})`);
   }
   return readDay(toml, nameOrPath);
 }
 
-/** The argument of commands that take a day: its name and what it means. */
-export const dayArgument = ['<day>', `a day's file (TOML), or one that ships: ${shippedDayNames()}`] as const;
+/** Name and description of the argument of commands that take a day. */
+export const dayArgument = ['<day>', `TOML file of a day, or the name of a shipped one: ${shippedDayNames()}`] as const;
--- a/packages/region/src/cli/scale.ts
+++ b/packages/region/src/cli/scale.ts
@@ -1,3 +1,5 @@
+/** Commands for scale runs. */
+
 import { readFileSync, realpathSync } from 'node:fs';
 import { totalmem } from 'node:os';
 import { dirname, join } from 'node:path';
@@ -16,9 +18,10 @@
 import { dayArgument, loadDay } from './days.js';
 import { parsePositiveNumber, parseFraction, parseWholeNumber } from './options.js';
 
-/** A scale run's day goes on for as long as the run does. */
+/** Duration of a scale run's day in seconds, longer than any run. */
 const UNBOUNDED_DURATION_S = 100_000;
 
+/** Options of `region scale`. */
 interface ScaleFlags {
   readonly share: number;
   readonly controllers?: number;
@@ -32,9 +35,10 @@
   readonly json?: true;
 }
 
+/** Path of this program's script, symbolic links resolved. */
 const scriptPath = (): string => realpathSync(process.argv[1] ?? '.');
 
-/** Flags of Node.js that the deploy file starts controllers with; none where there is no such file beside the bundle. */
+/** Reads the flags of Node.js for controllers from the deploy file beside the bundle; none if there is no such file. */
 function readControllerFlags(): readonly string[] {
   let toml: unknown;
   try {
@@ -46,14 +50,14 @@
   return typeof run === 'string' ? run.split(' ').filter((word) => word.startsWith('--') && word !== '--config') : [];
 }
 
-/** How this program starts its own further processes. */
+/** How to start further processes of this program. */
 export const ownProcessLaunch = (): ProcessLaunch => ({
   node: process.execPath,
   controllerFlags: readControllerFlags(),
   script: scriptPath(),
 });
 
-/** What a scale run takes from the machine and the terminal. */
+/** Options of a scale run that depend on the host machine and the environment. */
 export const hostOptions = (): Pick<ScaleOptions, 'launch' | 'log' | 'ownPid' | 'machineBytes'> => ({
   launch: ownProcessLaunch(),
   log: createLogger(process.env['LOG_LEVEL'] ?? 'warn', 'models'),
@@ -61,26 +65,27 @@
   machineBytes: totalmem(),
 });
 
-/** Makes a run end in order on Ctrl-C or a termination signal, and its processes with it whatever happens. */
+/** Runs a scale run that stops cleanly on SIGINT or SIGTERM, and whose processes end when this process exits. */
 export async function runScale(options: ScaleOptions): Promise<Awaited<ReturnType<ScaleRun['run']>>> {
   let stopped = false;
   const run = new ScaleRun({ ...options, stop: () => stopped });
-  const stop = (): void => {
+  const requestStop = (): void => {
     stopped = true;
   };
   const endProcesses = (): void => run.end();
-  process.on('SIGINT', stop);
-  process.on('SIGTERM', stop);
+  process.on('SIGINT', requestStop);
+  process.on('SIGTERM', requestStop);
   process.on('exit', endProcesses);
   try {
     return await run.run();
   } finally {
-    process.off('SIGINT', stop);
-    process.off('SIGTERM', stop);
+    process.off('SIGINT', requestStop);
+    process.off('SIGTERM', requestStop);
     process.off('exit', endProcesses);
   }
 }
 
+/** Loads the day of a scale run, and applies the options to it. */
 function scaleRunDay(nameOrPath: string, flags: ScaleFlags): Day {
   const day = scaledDay(loadDay(nameOrPath), flags.share);
   return {
@@ -92,6 +97,7 @@
   };
 }
 
+/** Performs a scale run and prints its result. The exit code is 1 if a protocol rule was violated. */
 async function runScaleCommand(nameOrPath: string, flags: ScaleFlags): Promise<void> {
   const result = await runScale({
     ...hostOptions(),
@@ -105,7 +111,7 @@
   if (result.breaches.length > 0) process.exitCode = 1;
 }
 
-/** A process of hollow workers: told what to do by the run that started it, and ends with it. */
+/** Hosts hollow workers in this process: executes the commands of the run that started it, and exits when that run ends. */
 function runHollowWorkers(): void {
   const workers = new HollowWorkers(
     { send: (event) => void process.send?.(event) },
@@ -113,25 +119,28 @@
   );
   process.on('message', (command) => workers.handleCommand(command as HollowCommand));
   process.on('disconnect', () => process.exit(0));
-  // The run ends its workers itself: Ctrl-C in a terminal reaches them, too.
+  // Ctrl-C in a terminal also reaches worker processes, but the run ends them itself.
   process.on('SIGINT', () => undefined);
 }
 
+/** Adds the command `region scale` and its hidden helper command. */
 export function addScaleCommands(region: Command): void {
   region
     .command('scale')
-    .description('run whole controllers as processes on loopback against hollow workers, and account for every role')
+    .description(
+      'run whole controllers as processes on loopback against hollow workers, and measure the resource usage of every role',
+    )
     .argument(...dayArgument)
-    .option('--share <part>', 'machines, arrivals and limits at this part of their size', parseFraction, 1)
-    .option('--controllers <n>', "instead of the day's own number", parseWholeNumber)
-    .option('--worker-processes <n>', 'processes that the hollow workers share', parsePositiveNumber, 4)
-    .option('--warmup <seconds>', 'before anything is measured', parsePositiveNumber, 60)
-    .option('--seconds <n>', 'that are measured', parsePositiveNumber, 60)
-    .option('--changes-per-minute <n>', "changes of the operators' settings", parseWholeNumber, 12)
-    .option('--changes-at-once <n>', 'so many more at the middle of the measurement', parseWholeNumber, 0)
-    .option('--seed <n>', "instead of the day's own", parseWholeNumber)
-    .option('--quiet', "without the day's troubles")
-    .option('--json', 'the result as one line of JSON')
+    .option('--share <part>', 'scale machines, arrivals and limits by this factor', parseFraction, 1)
+    .option('--controllers <n>', 'number of controllers instead of that of the day', parseWholeNumber)
+    .option('--worker-processes <n>', 'processes that host the hollow workers', parsePositiveNumber, 4)
+    .option('--warmup <seconds>', 'time before the measurement', parsePositiveNumber, 60)
+    .option('--seconds <n>', 'duration of the measurement', parsePositiveNumber, 60)
+    .option('--changes-per-minute <n>', "rate of changes to the operators' settings", parseWholeNumber, 12)
+    .option('--changes-at-once <n>', 'further changes at once in the middle of the measurement', parseWholeNumber, 0)
+    .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
+    .option('--quiet', 'without the troubles of the day')
+    .option('--json', 'print the result as one line of JSON')
     .action((day: string, flags: ScaleFlags) => runScaleCommand(day, flags));
   region.command('hollow-workers', { hidden: true }).action(runHollowWorkers);
 }
--- a/packages/region/src/report/charts.ts
+++ b/packages/region/src/report/charts.ts
@@ -1,3 +1,5 @@
+/** Charts of a played day. */
+
 import { svg } from './svg.js';
 import type { Field } from 'vega-lite/build/src/channeldef.js';
 import type { UnitSpec } from 'vega-lite/build/src/spec/unit.js';
@@ -6,10 +8,12 @@
 
 const CHART_WIDTH_PX = 860;
 
+/** Settings that all charts share. */
 const chartDefaults = { $schema: 'https://vega.github.io/schema/vega-lite/v5.json', width: CHART_WIDTH_PX } as const;
-const timeAxis = { field: 'atS', type: 'quantitative', title: 'seconds since the day began' } as const;
+/** Horizontal axis of the charts over time. */
+const timeAxis = { field: 'atS', type: 'quantitative', title: 'seconds since the start of the day' } as const;
 
-/** Bands for troubles that last, lines for those that only happen. */
+/** Marks troubles in a chart: a line at the beginning of each, and a band for those with a duration. */
 const troubleMarks = (troubles: readonly Trouble[]): UnitSpec<Field>[] => {
   const values = troubles.map((t) => ({
     kind: t.kind,
@@ -30,14 +34,14 @@
   ];
 };
 
-/** Tasks of one kind over time, stacked by class. */
+/** Renders the number of running or waiting tasks over time, stacked by class. */
 export function renderTasksChart(
   { timeline }: DayResult,
   which: 'running' | 'waiting',
   troubles: readonly Trouble[],
 ): Promise<string> {
-  const values = timeline.flatMap((moment) =>
-    Object.entries(moment[which]).map(([name, tasks]) => ({ atS: moment.atS, class: name, tasks })),
+  const values = timeline.flatMap((sample) =>
+    Object.entries(sample[which]).map(([name, tasks]) => ({ atS: sample.atS, class: name, tasks })),
   );
   return svg({
     ...chartDefaults,
@@ -57,7 +61,7 @@
   });
 }
 
-/** How many machines, or controllers, were up over time. */
+/** Renders the number of machines or controllers that were up over time. */
 export function renderUpChart(
   { timeline }: DayResult,
   which: 'machinesUp' | 'controllersUp',
@@ -69,14 +73,14 @@
     height: machines ? 120 : 60,
     layer: [
       {
-        data: { values: timeline.map((moment) => ({ atS: moment.atS, up: moment[which] })) },
+        data: { values: timeline.map((sample) => ({ atS: sample.atS, up: sample[which] })) },
         mark: { type: 'line', interpolate: 'step-after' },
         encoding: {
           x: timeAxis,
           y: {
             field: 'up',
             type: 'quantitative',
-            title: machines ? 'machines up' : 'controllers',
+            title: machines ? 'machines up' : 'controllers up',
             axis: { tickMinStep: 1 },
           },
         },
@@ -86,7 +90,7 @@
   });
 }
 
-/** Waits and finishing times by class, at three percentiles. */
+/** Renders the times to first start and to completion by class, at three percentiles. */
 export function renderLatencyChart({ classes }: DayResult): Promise<string> {
   const values = classes.flatMap(({ name, waitS, finishS }) =>
     (
@@ -105,7 +109,7 @@
     mark: 'point',
     encoding: {
       column: { field: 'what', type: 'nominal', title: null },
-      x: { field: 'seconds', type: 'quantitative', scale: { type: 'log' }, title: 'seconds from submission' },
+      x: { field: 'seconds', type: 'quantitative', scale: { type: 'log' }, title: 'seconds since submission' },
       y: { field: 'class', type: 'nominal', title: null },
       color: { field: 'percentile', type: 'nominal' },
       shape: { field: 'percentile', type: 'nominal' },
--- a/packages/region/src/report/svg.ts
+++ b/packages/region/src/report/svg.ts
@@ -1,7 +1,9 @@
+/** Renders charts to SVG. */
+
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
 
-/** Drawn without a browser: the page holds the picture itself. */
+/** Renders a Vega-Lite chart as SVG text, without a browser, so that a page can contain the chart itself. */
 export async function svg(spec: TopLevelSpec): Promise<string> {
   const view = new View(parse(compile(spec).spec), { renderer: 'none' });
   try {
--- a/packages/region/src/report/table.ts
+++ b/packages/region/src/report/table.ts
@@ -1,27 +1,32 @@
+/** Text report of a played day. */
+
 import Table from 'cli-table3';
 import type { AimResult, Quantiles } from '../daybook.js';
 import type { DayResult } from '../region.js';
 
+/** Formats quantiles as `p50 / p95 / p99`. */
 export const formatQuantiles = (q: Quantiles | null): string => (q ? `${q.p50} / ${q.p95} / ${q.p99}` : '-');
 
+/** Formats an aim of a class, and whether it was met. */
 export function formatAim({ aim, share }: AimResult): string {
   const name =
     aim.kind === 'deadline' ? 'deadline' : `${aim.kind} ${aim.kind === 'up' ? 'from' : 'within'} ${aim.within_s} s`;
-  if (share === null) return `${name}: nothing to count`;
+  if (share === null) return `${name}: no samples`;
   const met = share >= aim.share;
-  return `${name}: ${(share * 100).toFixed(1)} % (${met ? 'met' : 'missed'}, asked ${(aim.share * 100).toFixed(1)} %)`;
+  return `${name}: ${(share * 100).toFixed(1)} % (${met ? 'met' : 'missed'}, target ${(aim.share * 100).toFixed(1)} %)`;
 }
 
+/** Formats a share as a percentage. */
 const formatShare = (fraction: number | null): string => (fraction === null ? '-' : `${(fraction * 100).toFixed(0)} %`);
 
-/** Of each class, who was served: all, and the largest. */
+/** Formats the served share of each class: of all jobs and of the largest jobs. */
 const formatServedShares = ({ classes }: DayResult): string =>
-  `served, all and the largest: ${classes.map((c) => `${c.name} ${formatShare(c.served)}, ${formatShare(c.largestServed)}`).join('; ')}`;
+  `served (all, largest): ${classes.map((c) => `${c.name} ${formatShare(c.served)}, ${formatShare(c.largestServed)}`).join('; ')}`;
 
-/** The day's table, class by class, then money, rules and what is still open. */
+/** Renders the result of a day as text: a table of the classes, then cost, machines, rules, failures and defects. */
 export function renderDayTable(result: DayResult): string {
   const table = new Table({
-    head: ['class', 'submitted', 'done', 'cancelled', 'open', 'aims', 'wait s', 'finished s', 'restarts'],
+    head: ['class', 'submitted', 'done', 'cancelled', 'open', 'aims', 'wait s', 'finish s', 'restarts'],
     style: { head: [], border: [] },
     colAligns: ['left', 'right', 'right', 'right', 'right', 'left', 'right', 'right', 'right'],
   });
@@ -43,11 +48,11 @@
   const lines = [
     `${result.day}, seed ${result.seed}: ${result.simulatedS.toFixed(0)} s of simulated time`,
     table.toString(),
-    'waits and finishing times at the 50th / 95th / 99th percentile, in seconds from submission',
-    `money: ${money.spent.toFixed(2)} spent, ${money.price === null ? 'no useful work' : `${money.price.toFixed(2)} times what the useful work costs at the least`}`,
-    `machines: ${m.rented} rented, ${m.neverUp} never came up, ${m.takenBack} taken back, ${m.died} died`,
-    `state service: ${state.requests} requests, ${state.changes} changes, ${state.refused} refused for their rate`,
-    `controllers started ${result.controllerStarts} times`,
+    'times to the first start and to completion at the 50th / 95th / 99th percentile, in seconds since submission',
+    `cost: ${money.spent.toFixed(2)} spent, ${money.price === null ? 'no useful work' : `${money.price.toFixed(2)} times the lowest possible cost of the useful work`}`,
+    `machines: ${m.rented} rented, ${m.neverUp} never came up, ${m.takenBack} reclaimed, ${m.died} failed`,
+    `state service: ${state.requests} requests, ${state.changes} changes, ${state.refused} refused by the rate limit`,
+    `controller starts: ${result.controllerStarts}`,
     breaches.length === 0 ? 'rules: all kept' : `rules: ${breaches.length} broken`,
     ...breaches.slice(0, 20).map(({ rule, at, what }) => `  ${(at / 1000).toFixed(1)} s ${rule}: ${what}`),
     formatServedShares(result),
