--- a/packages/region/src/measure/chains.ts
+++ b/packages/region/src/measure/chains.ts
@@ -63,9 +63,9 @@
   for (const { spec } of region.parts.jobs.all) {
     const requiredFinals = (spec.awaits ?? []).flatMap((id) => finalsByJob.get(id) ?? []);
     const lastFinalMs = Math.max(...requiredFinals.map(({ at }) => at));
-    const start = firstStartedAtMs.get(spec.ref);
-    if (requiredFinals.length > 0 && start !== undefined)
-      finalToStartMs.recordValue(Math.max(1, Math.round(start - lastFinalMs)));
+    const startedAtMs = firstStartedAtMs.get(spec.ref);
+    if (requiredFinals.length > 0 && startedAtMs !== undefined)
+      finalToStartMs.recordValue(Math.max(1, Math.round(startedAtMs - lastFinalMs)));
     const cancelledFinal = requiredFinals.find(({ cancelled }) => cancelled);
     const ownFinal = finalsByJob.get(spec.ref);
     if (cancelledFinal && ownFinal?.cancelled === true)
--- a/packages/region/src/measure/fleet.ts
+++ b/packages/region/src/measure/fleet.ts
@@ -9,17 +9,17 @@
   const scaledCount = (countOf900: number): number => Math.max(1, Math.round(countOf900 * sizeFactor));
   const wideMachines = scaledCount(150);
   const smallMachines = Math.max(1, machines - wideMachines);
-  const countInZone = (total: number, zone: 0 | 1 | 2): number => Math.max(1, Math.floor((total + zone) / 3));
+  const countInZone = (total: number, zoneIndex: 0 | 1 | 2): number => Math.max(1, Math.floor((total + zoneIndex) / 3));
   const zones = ['a', 'b', 'c'] as const;
-  const lines = zones.flatMap((zoneIndex, i) =>
+  const lines = zones.flatMap((zone, zoneIndex) =>
     (
       [
-        ['small', countInZone(smallMachines, i as 0 | 1 | 2)],
-        ['wide', countInZone(wideMachines, i as 0 | 1 | 2)],
+        ['small', countInZone(smallMachines, zoneIndex as 0 | 1 | 2)],
+        ['wide', countInZone(wideMachines, zoneIndex as 0 | 1 | 2)],
       ] as const
     ).flatMap(([type, count]) => [
-      `[[capacity]]\ntype = "${type}"\nzone = "${zoneIndex}"\nordinary = ${count + 2}\nspot = ${scaledCount(20)}`,
-      `[[machines]]\ntype = "${type}"\nzone = "${zoneIndex}"\ncount = ${count}`,
+      `[[capacity]]\ntype = "${type}"\nzone = "${zone}"\nordinary = ${count + 2}\nspot = ${scaledCount(20)}`,
+      `[[machines]]\ntype = "${type}"\nzone = "${zone}"\ncount = ${count}`,
     ]),
   );
   const day = readDay(
--- a/packages/region/src/measure/recovery.ts
+++ b/packages/region/src/measure/recovery.ts
@@ -25,7 +25,7 @@
   readonly lastAnsweredS: number | null;
   /** Until a task that a new holder started was on a machine of one of those shards. */
   readonly firstStartS: number | null;
-  /** Until this was so in each of those shards. */
+  /** Until such a task was on a machine of each of those shards. */
   readonly lastFirstStartS: number | null;
   /** Tasks that a worker killed because its lease had expired. */
   readonly killed: number;
--- a/packages/region/src/scale/controllers.ts
+++ b/packages/region/src/scale/controllers.ts
@@ -28,14 +28,14 @@
 async function isFree(port: number): Promise<boolean> {
   const at = { host: LOOPBACK, port };
   const accept = (socket: Connection): void => void socket.destroy();
-  const isAvailable = await new Promise<boolean>((resolve) => {
+  const free = await new Promise<boolean>((resolve) => {
     const listening = systemRuntime.listen({ ...at, accept, failed: () => resolve(false) });
     void listening.ready.then(() => {
       listening.close();
       resolve(true);
     });
   });
-  return isAvailable;
+  return free;
 }
 
 /**
@@ -71,6 +71,7 @@
   exited: boolean;
   /** The process was killed on purpose and is restarted later, so its exit is no failure. */
   exitExpected: boolean;
+  /** Number of processes started so far. */
   launches: number;
 }
 
@@ -88,7 +89,7 @@
 
 /** Starts, faults and ends the controllers of a scale run. Each is a separate process of this program. */
 export class ControllerProcesses {
-  private readonly controller: readonly ControllerProcess[];
+  private readonly controllers: readonly ControllerProcess[];
   private readonly dir = mkdtempSync(join(tmpdir(), 'wooddrift-scale-'));
   private ending = false;
   /** Number of log lines at warning level or above, or without a level, and the text of the first of them. */
@@ -98,7 +99,7 @@
 
   constructor(private readonly options: ControllerProcessesOptions) {
     const { day, seats, services } = options;
-    this.controller = seats.map((seat) => {
+    this.controllers = seats.map((seat) => {
       const file = join(this.dir, `${seat.name}.toml`);
       writeFileSync(file, settingsFor(day, seat, seats, services));
       return { seat, file, child: undefined, exited: false, exitExpected: false, launches: 0 };
@@ -107,8 +108,8 @@
 
   /** Starts all controllers. Resolves when each answers its health check; rejects if one exits or times out. */
   async start(): Promise<void> {
-    for (const controller of this.controller) this.spawnController(controller);
-    await Promise.all(this.controller.map((running) => this.waitUntilHealthy(running)));
+    for (const controller of this.controllers) this.spawnController(controller);
+    await Promise.all(this.controllers.map((controller) => this.waitUntilHealthy(controller)));
   }
 
   private spawnController(controller: ControllerProcess): void {
@@ -179,19 +180,19 @@
 
   /** Names, zones and addresses of the controllers. */
   get seats(): readonly ControllerSeat[] {
-    return this.controller.map(({ seat }) => seat);
+    return this.controllers.map(({ seat }) => seat);
   }
 
   /** Process ids by controller name. Controllers that are down have no entry. */
   get pids(): ReadonlyMap<string, number> {
     const pids = new Map<string, number>();
-    for (const { seat, child, exited } of this.controller)
+    for (const { seat, child, exited } of this.controllers)
       if (child?.pid !== undefined && !exited) pids.set(seat.name, child.pid);
     return pids;
   }
 
   private findController(name: string): ControllerProcess | undefined {
-    return this.controller.find(({ seat }) => seat.name === name);
+    return this.controllers.find(({ seat }) => seat.name === name);
   }
 
   /** Kills a controller with SIGKILL, which it cannot handle, and restarts it after `downS` seconds. */
@@ -217,7 +218,7 @@
   /** Kills every controller by process id and removes the settings files. */
   end(): void {
     this.ending = true;
-    for (const { child, exited } of this.controller) if (child && !exited) child.kill('SIGKILL');
+    for (const { child, exited } of this.controllers) if (child && !exited) child.kill('SIGKILL');
     rmSync(this.dir, { recursive: true, force: true });
   }
 }
--- a/packages/region/src/scale/hollow.ts
+++ b/packages/region/src/scale/hollow.ts
@@ -72,8 +72,8 @@
   }
 
   private configure(command: Extract<HollowCommand, { kind: 'configure' }>): void {
-    const luck = new Luck(command.seed, 'hollow gangs');
-    this.configuration = { ...command, gangBook: new GangBook(this.runtime, luck, command.gangs) };
+    const rng = new Luck(command.seed, 'hollow gangs');
+    this.configuration = { ...command, gangBook: new GangBook(this.runtime, rng, command.gangs) };
     this.channel.send({ kind: 'ready' });
   }
 
@@ -82,9 +82,9 @@
     if (!configuration) throw new Error('received a machine before the configuration');
     const { facts, controllers, gangBook: gangs, seed } = configuration;
     const machine = toMachine(hollowMachine);
-    const luck = new Luck(seed, `hollow ${hollowMachine.id}`);
+    const rng = new Luck(seed, `hollow ${hollowMachine.id}`);
     const model = new WorkerModel(machine, {
-      ...{ runtime, watchdog: runtime, luck, log, facts, controllers, jobs, gangs },
+      ...{ runtime, watchdog: runtime, luck: rng, log, facts, controllers, jobs, gangs },
       watch: this.taskWatch,
       noticeS: () => null,
     });
--- a/packages/region/src/scale/messages.ts
+++ b/packages/region/src/scale/messages.ts
@@ -23,7 +23,7 @@
 /** Faults of a worker: it restarts, or it loses its network and gets it back. */
 export type WorkerFault = 'restart' | 'cut' | 'heal';
 
-/** Command from the run to a process of hollow workers. */
+/** Command from the run to a process of hollow workers. `configure` is sent first; `measure` asks for a `measured` event. */
 export type HollowCommand =
   | {
       readonly kind: 'configure';
@@ -47,6 +47,7 @@
   readonly atMs: number;
   readonly machine: string;
   readonly job: string;
+  /** Index of the task within its job. */
   readonly index: number;
   readonly attempt: number;
   /** Why the task left its machine; only of `left`. */
--- a/packages/region/src/scale/meter.ts
+++ b/packages/region/src/scale/meter.ts
@@ -77,7 +77,7 @@
   starts = 0;
   /** Jobs that users have uploaded so far. */
   jobs = 0;
-  /** Most tasks that ran at the same time. */
+  /** Most tasks that ran at the same time; the run resets it when the measurement starts. */
   runningPeak = 0;
 
   constructor(
@@ -98,13 +98,13 @@
   }
 
   ordered(_machine: Machine, { spec }: JobTruth, index: number): void {
-    const now = this.now();
-    this.pendingStarts.set(`${spec.ref}/${index}`, { orderedAt: now, enteredAt: now });
+    const nowMs = this.now();
+    this.pendingStarts.set(`${spec.ref}/${index}`, { orderedAt: nowMs, enteredAt: nowMs });
   }
 
   entered(_machine: Machine, { spec }: JobTruth, index: number): void {
-    const progress = this.pendingStarts.get(`${spec.ref}/${index}`);
-    if (progress) progress.enteredAt = this.now();
+    const pendingStart = this.pendingStarts.get(`${spec.ref}/${index}`);
+    if (pendingStart) pendingStart.enteredAt = this.now();
   }
 
   running(_machine: Machine, { spec }: JobTruth, index: number): void {
@@ -112,12 +112,12 @@
     this.starts += 1;
     this.runningTasks.add(key);
     this.runningPeak = Math.max(this.runningPeak, this.runningTasks.size);
-    const progress = this.pendingStarts.get(key);
+    const pendingStart = this.pendingStarts.get(key);
     this.pendingStarts.delete(key);
     const view = this.userViews.get(spec.ref);
     if (this.startedTasks.has(key) || !view) return;
     this.startedTasks.add(key);
-    if (view.submittedAt >= this.measuredFrom) this.recordFirstStart(view, progress);
+    if (view.submittedAt >= this.measuredFrom) this.recordFirstStart(view, pendingStart);
   }
 
   left(_machine: Machine, { spec }: JobTruth, index: number): void {
@@ -141,20 +141,20 @@
   }
 
   /** Records the phases of a first start; without a pending start only the total. */
-  private recordFirstStart({ job, submittedAt, acceptedAt }: UserView, progress: PendingStart | undefined): void {
-    const now = this.now();
+  private recordFirstStart({ job, submittedAt, acceptedAt }: UserView, pendingStart: PendingStart | undefined): void {
+    const nowMs = this.now();
     const { ref, jobclass } = job.spec;
     const { aimMs, total, phases } = this.histogramsFor(jobclass);
-    recordDuration(total, now - submittedAt);
-    if (aimMs !== null && now - submittedAt <= aimMs)
+    recordDuration(total, nowMs - submittedAt);
+    if (aimMs !== null && nowMs - submittedAt <= aimMs)
       this.startsWithinAim.set(ref, (this.startsWithinAim.get(ref) ?? 0) + 1);
-    if (!progress) return;
+    if (!pendingStart) return;
     // The user may receive the acceptance after the first start.
-    const accepted = Math.min(acceptedAt ?? progress.orderedAt, progress.orderedAt);
+    const accepted = Math.min(acceptedAt ?? pendingStart.orderedAt, pendingStart.orderedAt);
     recordDuration(phases.accept, accepted - submittedAt);
-    recordDuration(phases.place, progress.orderedAt - accepted);
-    recordDuration(phases.image, progress.enteredAt - progress.orderedAt);
-    recordDuration(phases.gather, now - progress.enteredAt);
+    recordDuration(phases.place, pendingStart.orderedAt - accepted);
+    recordDuration(phases.image, pendingStart.enteredAt - pendingStart.orderedAt);
+    recordDuration(phases.gather, nowMs - pendingStart.enteredAt);
   }
 
   /** Returns the start delays by class. Jobs whose aim has not passed yet are left out of the share within the aim. */
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -92,10 +92,11 @@
   /** Start delays of jobs that were submitted during the measurement. */
   readonly waits: readonly StartWaits[];
   readonly configuration: ConfigurationResult;
-  /** Violations of protocol rules. Jobs that are left waiting are not checked here. */
+  /** Violations of protocol rules. Whether jobs wait too long is not checked here. */
   readonly breaches: readonly Breach[];
   /** Worker events that arrived too late to be ordered by time. */
   readonly lateEvents: number;
+  /** Warnings in the logs of the controllers: their number and the first of them. */
   readonly warnings: { readonly count: number; readonly first: readonly string[] };
 }
 
@@ -166,7 +167,7 @@
     );
   }
 
-  /** Runs from start to end. Resolves to the measurements, or rejects with a ScaleError; no process is left running. */
+  /** Runs from start to end. Resolves to the measurements, or rejects with the failure; no process is left running. */
   async run(): Promise<ScaleResult> {
     try {
       await this.startAll();
@@ -207,6 +208,7 @@
     return [...controllers, ...workers, { role: 'models', name: 'models', pid: this.options.ownPid }];
   }
 
+  /** Creates a runtime of its own for a part of the region. */
   private createSeat(name: string): MeteredSeat {
     const runtime = new EndingRuntime();
     const seat: MeteredSeat = { runtime, watchdog: runtime, at: ANY_LOOPBACK_PORT, close: () => runtime.end() };
@@ -219,7 +221,7 @@
     this.failure ??= error;
   };
 
-  /** Starts the workers, the models and the controllers, then lets users come and schedules the faults of the day. */
+  /** Starts the workers, the models and the controllers, then starts the users and schedules the troubles of the day. */
   private async startAll(): Promise<void> {
     const { day, hollowProcesses, launch, log, progress } = this.options;
     const ports = await findFreePorts(2 * day.controllers.count);
@@ -304,7 +306,7 @@
   }
 
   /** Waits and samples resource usage meanwhile. Rejects as soon as a process has failed or the run is to stop. */
-  private async waitWhileSampling(seconds: number, what: string): Promise<void> {
+  private async waitWhileSampling(seconds: number, phase: string): Promise<void> {
     const deadlineMs = this.runtime.now() + seconds * 1000;
     let lastProgressAtMs = Number.NEGATIVE_INFINITY;
     while (this.runtime.now() < deadlineMs) {
@@ -314,7 +316,7 @@
       if (this.runtime.now() - lastProgressAtMs > 5000) {
         lastProgressAtMs = this.runtime.now();
         this.options.progress?.(
-          `${what}: ${Math.ceil(leftMs / 1000)} s left, ${this.meter.runningNow} tasks running, ${this.meter.jobs} jobs`,
+          `${phase}: ${Math.ceil(leftMs / 1000)} s left, ${this.meter.runningNow} tasks running, ${this.meter.jobs} jobs`,
         );
       }
       await this.runtime.sleep(Math.min(USAGE_SAMPLE_INTERVAL_MS, Math.max(1, leftMs)));
@@ -345,6 +347,7 @@
     return this.result(before, after, processes, running);
   }
 
+  /** Reads all counters. */
   private async snapshot(): Promise<Snapshot> {
     const { fleet, parts } = this;
     if (!fleet || !parts) throw new ScaleError('the scale run has not been started');
--- a/packages/region/src/scale/usage.ts
+++ b/packages/region/src/scale/usage.ts
@@ -31,8 +31,10 @@
   readonly role: ProcessRole;
   readonly name: string;
   pid: number;
+  /** The last sample. */
   last: ProcessUse;
   lastSampledAtMs: number;
+  /** CPU time in seconds since the measurement was started. */
   cpuS: number;
   coresPeak: number;
   peakBytes: number;
@@ -61,7 +63,7 @@
 
   /** Samples every process. The usage of a process that has ended counts up to its last sample. */
   sample(): void {
-    const now = this.nowMs();
+    const nowMs = this.nowMs();
     for (const { role, name, pid } of this.watched()) {
       let use: ProcessUse;
       try {
@@ -73,16 +75,16 @@
       const usage = this.usages.get(name);
       if (!usage) {
         this.usages.set(name, {
-          ...{ role, name, pid, last: use, lastSampledAtMs: now, cpuS: 0, coresPeak: 0, peakBytes: use.peakBytes },
+          ...{ role, name, pid, last: use, lastSampledAtMs: nowMs, cpuS: 0, coresPeak: 0, peakBytes: use.peakBytes },
         });
         continue;
       }
       const usedS = usage.pid === pid ? use.cpuS - usage.last.cpuS : use.cpuS;
-      const passedS = (now - usage.lastSampledAtMs) / 1000;
+      const elapsedS = (nowMs - usage.lastSampledAtMs) / 1000;
       usage.cpuS += usedS;
-      if (passedS >= MIN_PEAK_SAMPLE_S) usage.coresPeak = Math.max(usage.coresPeak, usedS / passedS);
+      if (elapsedS >= MIN_PEAK_SAMPLE_S) usage.coresPeak = Math.max(usage.coresPeak, usedS / elapsedS);
       usage.peakBytes = Math.max(usage.peakBytes, use.peakBytes);
-      [usage.pid, usage.last, usage.lastSampledAtMs] = [pid, use, now];
+      [usage.pid, usage.last, usage.lastSampledAtMs] = [pid, use, nowMs];
     }
   }
 
--- a/packages/region/test/scale.test.ts
+++ b/packages/region/test/scale.test.ts
@@ -19,24 +19,24 @@
 import { shippedDay } from './days.js';
 
 const GB = 1e9;
-const machinesOf = (day: Day): number => day.machines.reduce((sum, { count }) => sum + count, 0);
+const machineCount = (day: Day): number => day.machines.reduce((sum, { count }) => sum + count, 0);
 
 test('the shipped day `scale` has the planned size, and scaling it by a share scales its parts', () => {
   const day = shippedDay('scale');
-  assert.equal(machinesOf(day), 1400);
+  assert.equal(machineCount(day), 1400);
   assert.equal(day.zones.length, 9);
   assert.equal(day.teams.length, 52);
   const accelerators = day.machines.reduce((sum, { type, count }) => sum + (type === 'accelerated' ? 8 * count : 0), 0);
   assert.ok(accelerators >= 1900);
   for (const share of [0.02, 0.125, 0.25, 0.5]) {
     const part = scaledDay(day, share);
-    assert.ok(Math.abs(machinesOf(part) - 1400 * share) <= 2, `${machinesOf(part)} at ${share}`);
+    assert.ok(Math.abs(machineCount(part) - 1400 * share) <= 2, `${machineCount(part)} at ${share}`);
     assert.equal(part.teams.length, 52);
     const used = new Set(part.machines.map(({ zone }) => zone));
     assert.deepEqual([...used].sort(), [...part.zones].sort());
     for (const { zone, type, spot, count } of part.machines) {
-      const room = part.capacity.find((entry) => entry.zone === zone && entry.type === type);
-      assert.ok(room && count <= (spot ? room.spot : room.ordinary), `${type} in ${zone}`);
+      const capacity = part.capacity.find((entry) => entry.zone === zone && entry.type === type);
+      assert.ok(capacity && count <= (spot ? capacity.spot : capacity.ordinary), `${type} in ${zone}`);
     }
     // The limits of the teams admit the largest jobs, which would be refused otherwise.
     for (const team of part.teams) assert.ok(team.gpus_max >= 64 && team.cpus_max >= 256);
@@ -63,9 +63,9 @@
 
 test('model: events of several processes are released in time order, each after the delay', () => {
   const DELAY_MS = 50;
-  const process = fc.array(fc.nat(400), { maxLength: 30 }).map((times) => times.sort((a, b) => a - b));
+  const eventTimes = fc.array(fc.nat(400), { maxLength: 30 }).map((times) => times.sort((a, b) => a - b));
   fc.assert(
-    fc.property(fc.array(process, { minLength: 1, maxLength: 4 }), fc.nat(DELAY_MS - 1), (processes, delay) => {
+    fc.property(fc.array(eventTimes, { minLength: 1, maxLength: 4 }), fc.nat(DELAY_MS - 1), (processes, delay) => {
       const all = processes.flat().sort((a, b) => a - b);
       const released: number[] = [];
       let now = 0;
@@ -119,16 +119,19 @@
 });
 
 test('fitSlopes finds a line and predicts the full size, and values off the line show in the residual', () => {
-  const sample = (amount: number, bent = 0) => ({ amount, figures: { cores: 0.01 + 0.002 * amount, odd: bent } });
+  const sample = (amount: number, offLine = 0) => ({
+    amount,
+    figures: { cores: 0.01 + 0.002 * amount, scattered: offLine },
+  });
   const fitted = [sample(10, 1), sample(20, 5), sample(30, 1), sample(40, 5)];
-  const [cores, odd] = fitSlopes(fitted, sample(80, 3));
-  assert.ok(cores && odd);
+  const [cores, scattered] = fitSlopes(fitted, sample(80, 3));
+  assert.ok(cores && scattered);
   assert.ok(Math.abs(cores.slope - 0.002) < 1e-12 && Math.abs(cores.predicted - cores.measured) < 1e-9);
   assert.ok(cores.residual < 1e-9 && cores.rSquared > 0.999);
-  assert.ok(odd.residual > 1 && odd.rSquared < 0.5);
+  assert.ok(scattered.residual > 1 && scattered.rSquared < 0.5);
 });
 
-const options = (day: Day, more: Partial<ScaleOptions> = {}): ScaleOptions => ({
+const options = (day: Day, overrides: Partial<ScaleOptions> = {}): ScaleOptions => ({
   day: {
     ...day,
     ...{ duration_s: 1000, quiet_end_s: 0, troubles: [] },
@@ -140,10 +143,10 @@
   launch: { node: process.execPath, controllerFlags: [], script: 'target/main.cjs' },
   log: pino({ level: 'silent' }),
   ...{ ownPid: process.pid, machineBytes: 24 * GB },
-  ...more,
+  ...overrides,
 });
 
-const alive = (pid: number): boolean => existsSync(`/proc/${pid}`);
+const isAlive = (pid: number): boolean => existsSync(`/proc/${pid}`);
 
 /** Collects the child processes of a run while it runs. */
 class ChildProcessRecorder {
@@ -155,13 +158,13 @@
 }
 
 function childrenOf(pid: number): number[] {
-  const listed = readFileSync(`/proc/${pid}/task/${pid}/children`, 'utf8').trim();
-  return listed === '' ? [] : listed.split(' ').map(Number);
+  const listedPids = readFileSync(`/proc/${pid}/task/${pid}/children`, 'utf8').trim();
+  return listedPids === '' ? [] : listedPids.split(' ').map(Number);
 }
 
-test('a scale run with thirty hollow workers in two processes: figures of every role, and nothing is left running', async () => {
-  const seen = new ChildProcessRecorder();
-  const run = new ScaleRun(options(scaledDay(shippedDay('scale'), 0.02), { progress: () => seen.sample() }));
+test('a scale run with 28 hollow workers in two processes measures every role and leaves no process running', async () => {
+  const children = new ChildProcessRecorder();
+  const run = new ScaleRun(options(scaledDay(shippedDay('scale'), 0.02), { progress: () => children.sample() }));
   const result: ScaleResult = await run.run();
   assert.deepEqual(result.breaches, []);
   assert.equal(result.workers, 28);
@@ -174,31 +177,31 @@
   assert.ok((result.peerFrames['hello']?.framesPerS ?? 0) > 0);
   assert.ok(result.configuration.stored >= 10 && result.configuration.stored === result.configuration.sent);
   assert.ok(result.configuration.inForceMs && result.configuration.inForceMs.p99 < 4000);
-  assert.equal(seen.pids.size, 4);
-  await ended([...seen.pids]);
+  assert.equal(children.pids.size, 4);
+  await assertAllExited([...children.pids]);
 });
 
 test('a scale run whose controllers do not start rejects with a one-line error and leaves no process running', async () => {
-  const seen = new ChildProcessRecorder();
-  const wrong = { node: process.execPath, controllerFlags: ['--no-such-flag'], script: 'target/main.cjs' };
+  const children = new ChildProcessRecorder();
+  const invalidLaunch = { node: process.execPath, controllerFlags: ['--no-such-flag'], script: 'target/main.cjs' };
   const run = new ScaleRun(
-    options(scaledDay(shippedDay('scale'), 0.02), { launch: wrong, progress: () => seen.sample() }),
+    options(scaledDay(shippedDay('scale'), 0.02), { launch: invalidLaunch, progress: () => children.sample() }),
   );
   await assert.rejects(run.run(), /^ScaleError: node-\d exited before it was healthy; .*no-such-flag/);
-  await ended([...seen.pids]);
+  await assertAllExited([...children.pids]);
 });
 
 test('a day that a scale run does not support is refused before any process is started, naming the field', () => {
   const day = scaledDay(shippedDay('scale'), 0.02);
-  const refuses = (changed: Day, what: RegExp): void => {
+  const assertRefused = (changed: Day, what: RegExp): void => {
     assert.throws(() => new ScaleRun({ ...options(day), day: changed }), what);
   };
-  refuses({ ...day, machines: day.machines.map((m, i) => ({ ...m, spot: i === 1 })) }, /machines\.1\.spot/);
-  refuses({ ...day, troubles: [{ kind: 'watch_forgets', at_s: 5 }] }, /troubles\.0\.kind: .*watch_forgets/);
+  assertRefused({ ...day, machines: day.machines.map((m, i) => ({ ...m, spot: i === 1 })) }, /machines\.1\.spot/);
+  assertRefused({ ...day, troubles: [{ kind: 'watch_forgets', at_s: 5 }] }, /troubles\.0\.kind: .*watch_forgets/);
 });
 
-async function ended(pids: readonly number[]): Promise<void> {
-  const until = Date.now() + 5000;
-  while (pids.some(alive) && Date.now() < until) await new Promise((resolve) => setTimeout(resolve, 50));
-  assert.deepEqual(pids.filter(alive), []);
+async function assertAllExited(pids: readonly number[]): Promise<void> {
+  const deadlineMs = Date.now() + 5000;
+  while (pids.some(isAlive) && Date.now() < deadlineMs) await new Promise((resolve) => setTimeout(resolve, 50));
+  assert.deepEqual(pids.filter(isAlive), []);
 }
