--- a/packages/tools/src/cli/main.ts
+++ b/packages/tools/src/cli/main.ts
@@ -8,18 +8,20 @@
 import { PlanError } from '../../../whatif/src/index.js';
 import { whatifCommand } from '../../../whatif/src/cli/index.js';
 
-/** Mistakes of whoever asks: told in one line. Everything else is a defect, with its stack. */
-const KNOWN = [DayError, ListError, PlanError, ReleaseError, ScaleError, TraceError, UsageError];
+// Entry point of the tools bundle: the commands region, record, trace and whatif.
+
+/** Errors of the user's input: reported in one line. Any other error is a defect and reported with its stack. */
+const USER_ERRORS = [DayError, ListError, PlanError, ReleaseError, ScaleError, TraceError, UsageError];
 
 quietWhenUnread(process.stdout);
 const tools = new Command('wooddrift');
 for (const command of [regionCommand, recordCommand, traceCommand, whatifCommand]) tools.addCommand(command);
-// A thread of a search loads this file, too, and waits for its replays.
+// The worker threads of `whatif search` load this file, too, and wait for replays to run.
 if (isMainThread)
   tools.parseAsync(process.argv.slice(2), { from: 'user' }).catch((error: unknown) => {
-    const known = KNOWN.some((kind) => error instanceof kind);
+    const isUserError = USER_ERRORS.some((type) => error instanceof type);
     process.stderr.write(
-      `wooddrift: ${error instanceof Error ? (known ? error.message : (error.stack ?? '')) : String(error)}\n`,
+      `wooddrift: ${error instanceof Error ? (isUserError ? error.message : (error.stack ?? '')) : String(error)}\n`,
     );
-    process.exitCode = known ? 2 : 1;
+    process.exitCode = isUserError ? 2 : 1;
   });
--- a/packages/trace/src/cli/command.ts
+++ b/packages/trace/src/cli/command.ts
@@ -9,26 +9,28 @@
   type Logger,
 } from '../../../../src/kernel/index.js';
 import { readTraceIn, verifyTrace } from '../read.js';
-import { Recorder, type Source } from '../record/index.js';
+import { Recorder, type TrailSource } from '../record/index.js';
 import { diskFiles, TraceStore } from '../store/index.js';
 import { lockDirectory } from './lock.js';
 
-const addresses = (text: string, before: readonly Address[] = []): readonly Address[] => {
-  const at = parseAddress(text);
-  if (!at) throw new InvalidArgumentError('an IPv4 address and a port, such as 127.0.0.1:8080');
-  return [...before, at];
+/** Parses an address and appends it to those of earlier options. */
+const parseAddresses = (text: string, previous: readonly Address[] = []): readonly Address[] => {
+  const address = parseAddress(text);
+  if (!address) throw new InvalidArgumentError('must be an IPv4 address and a port, such as 127.0.0.1:8080');
+  return [...previous, address];
 };
-const positive = (text: string): number => {
+const parsePositive = (text: string): number => {
   const n = Number(text);
-  if (!(n > 0 && Number.isFinite(n))) throw new InvalidArgumentError('a number above 0');
+  if (!(n > 0 && Number.isFinite(n))) throw new InvalidArgumentError('must be a number greater than 0');
   return n;
 };
-const whole = (text: string): number => {
-  const n = positive(text);
-  if (!Number.isInteger(n)) throw new InvalidArgumentError('a whole number from 1');
+const parsePositiveInteger = (text: string): number => {
+  const n = parsePositive(text);
+  if (!Number.isInteger(n)) throw new InvalidArgumentError('must be an integer of at least 1');
   return n;
 };
 
+/** Options of the `record` command as commander passes them. */
 interface RecordFlags {
   readonly node: readonly Address[];
   readonly out: string;
@@ -40,15 +42,18 @@
   readonly forS?: number;
 }
 
-const ASK_AGAIN_MS = 1000;
-const ASK_TIMEOUT_MS = 3000;
+const RETRY_INTERVAL_MS = 1000;
+const REQUEST_TIMEOUT_MS = 3000;
 
-/** Which controller is at an address: asked until it says so, since a night may begin before it is up. */
-async function nameOf(at: Address, log: Logger, ended: () => boolean): Promise<Source | null> {
+/**
+ * Asks the controller at an address for its name. Retries until it answers, since recording may start before the
+ * controller does; returns null if recording is stopped first.
+ */
+async function identifyController(at: Address, log: Logger, stopped: () => boolean): Promise<TrailSource | null> {
   const client = new HttpClient(at, 1);
-  for (let told = false; !ended();) {
+  for (let warned = false; !stopped();) {
     const path = '/admin/v1/trail?limit=1';
-    const answer = await client.call({ method: 'GET', path, timeoutMs: ASK_TIMEOUT_MS });
+    const answer = await client.call({ method: 'GET', path, timeoutMs: REQUEST_TIMEOUT_MS });
     const node = answer.kind === 'answered' && isObject(answer.body) ? answer.body['node'] : undefined;
     if (typeof node === 'string') {
       client.close();
@@ -58,22 +63,23 @@
       answer.kind === 'failed'
         ? answer.reason
         : answer.status === 404
-          ? 'it keeps no trail: serve --trail EVENTS'
-          : `status ${answer.status}`;
-    if (!told) log.warn({ ...at, why }, 'a controller cannot be read yet: it is asked again');
-    told = true;
-    await systemRuntime.sleep(ASK_AGAIN_MS);
+          ? 'controller keeps no trail: start it with serve --trail EVENTS'
+          : `HTTP status ${answer.status}`;
+    if (!warned) log.warn({ ...at, why }, 'cannot read controller trail yet: retrying');
+    warned = true;
+    await systemRuntime.sleep(RETRY_INTERVAL_MS);
   }
   client.close();
   return null;
 }
 
-async function record(flags: RecordFlags): Promise<void> {
+/** Records until a signal arrives or the given duration is over, then prints a summary and exits. */
+async function runRecorder(flags: RecordFlags): Promise<void> {
   const log = createLogger(process.env['LOG_LEVEL'], 'record');
-  let ended = false;
-  const end = new Promise<void>((resolve) => {
+  let stopped = false;
+  const stopRequested = new Promise<void>((resolve) => {
     const stop = (): void => {
-      ended = true;
+      stopped = true;
       resolve();
     };
     process.once('SIGINT', stop);
@@ -93,58 +99,62 @@
   };
   const recorder = new Recorder(store, ids, [], options, systemRuntime, log);
   recorder.start();
-  // Each is followed as soon as it is known: one that is down keeps nobody waiting.
+  // Each controller is followed as soon as its name is known, so one that is down does not delay the others.
   for (const at of flags.node)
-    void nameOf(at, log, () => ended).then((source) => {
+    void identifyController(at, log, () => stopped).then((source) => {
       if (source) recorder.follow(source);
     });
-  await end;
+  await stopRequested;
   await recorder.close();
   unlock();
-  const { taken, repeated, segments } = recorder.counts;
-  process.stdout.write(`${flags.out}: ${taken} events in ${segments} segments, ${repeated} told twice\n`);
+  const { added, duplicates, segments } = recorder.counts;
+  process.stdout.write(`${flags.out}: ${added} events in ${segments} segments, ${duplicates} duplicates\n`);
   const { manifest } = store;
   for (const gap of manifest.gaps) process.stdout.write(`missing: ${JSON.stringify(gap)}\n`);
   process.exit(0);
 }
 
+/** The `record` command. */
 export const recordCommand = new Command('record')
-  .description('record what controllers tell of a night, with every gap; Ctrl-C ends it, and it goes on where it was')
-  .requiredOption('--node <address>', 'a controller; once for each of them', addresses)
-  .requiredOption('--out <dir>', 'where the trace goes; one that is there is gone on with')
-  .option('--poll-s <seconds>', 'how often each is asked', positive, 1)
-  .option('--segment-rows <n>', 'events in a segment at most', whole, 20_000)
+  .description('record the event trails of controllers, with every gap; Ctrl-C stops it, a later run resumes')
+  .requiredOption('--node <address>', 'address of a controller; repeat the option for each one', parseAddresses)
+  .requiredOption('--out <dir>', 'directory of the trace; an existing trace is continued')
+  .option('--poll-s <seconds>', 'interval between polls of each controller', parsePositive, 1)
+  .option('--segment-rows <n>', 'maximum number of events in a segment', parsePositiveInteger, 20_000)
   .option(
     '--segment-s <seconds>',
-    'how old a segment gets at most: so much is asked for again after a kill',
-    positive,
+    'maximum age of an unwritten segment, which is requested again after a kill',
+    parsePositive,
     30,
   )
-  .option('--keep-hours <n>', 'drop segments older than this', positive)
-  .option('--keep-mb <n>', 'drop the oldest segments beyond this size', positive)
-  .option('--for-s <seconds>', 'end by itself after so long', positive)
-  .action((flags: RecordFlags) => record(flags));
+  .option('--keep-hours <n>', 'drop segments older than this', parsePositive)
+  .option('--keep-mb <n>', 'drop the oldest segments beyond this total size', parsePositive)
+  .option('--for-s <seconds>', 'stop after this duration', parsePositive)
+  .action((flags: RecordFlags) => runRecorder(flags));
 
-export const traceCommand = new Command('trace').description('look into what was recorded');
+/** The `trace` command with its subcommands. */
+export const traceCommand = new Command('trace').description('inspect a recorded trace');
 
 traceCommand
   .command('show')
-  .description('what a trace holds, and what it lacks')
+  .description('show the events of a trace by kind, and its gaps')
   .argument('<dir>')
   .action(async (dir: string) => {
     const trace = await readTraceIn(dir);
     const kinds = new Map<string, number>();
     for (const { kind } of trace.rows) kinds.set(kind, (kinds.get(kind) ?? 0) + 1);
-    const time = (ms: number | null): string => (ms === null ? 'open' : new Date(ms).toISOString());
-    process.stdout.write(`${time(trace.fromMs)} to ${time(trace.toMs)}, controllers ${trace.nodes.join(', ')}\n`);
+    const formatTime = (ms: number | null): string => (ms === null ? 'open' : new Date(ms).toISOString());
+    process.stdout.write(
+      `${formatTime(trace.fromMs)} to ${formatTime(trace.toMs)}, controllers ${trace.nodes.join(', ')}\n`,
+    );
     for (const [kind, count] of [...kinds].sort(([a], [b]) => (a < b ? -1 : 1)))
       process.stdout.write(`${String(count).padStart(9)} ${kind}\n`);
-    process.stdout.write(`${String(trace.repeated).padStart(9)} told again\n`);
+    process.stdout.write(`${String(trace.repeated).padStart(9)} duplicates\n`);
     for (const gap of trace.gaps)
       process.stdout.write(
-        `missing: ${gap.node} ${gap.why}, events ${gap.fromN ?? '?'} to ${gap.toN ?? '?'}, ${time(gap.sinceMs)} to ${time(gap.untilMs)}\n`,
+        `missing: ${gap.node} ${gap.why}, events ${gap.fromN ?? '?'} to ${gap.toN ?? '?'}, ${formatTime(gap.sinceMs)} to ${formatTime(gap.untilMs)}\n`,
       );
-    if (trace.gaps.length === 0) process.stdout.write('nothing is missing that anybody knows of\n');
+    if (trace.gaps.length === 0) process.stdout.write('no known gaps\n');
   });
 
 traceCommand
@@ -152,8 +162,8 @@
   .description('check every file against the manifest')
   .argument('<dir>')
   .action(async (dir: string) => {
-    const { manifest, wrong } = await verifyTrace(diskFiles(dir));
-    for (const what of wrong.values()) process.stdout.write(`${what}\n`);
-    if (wrong.size === 0) process.stdout.write(`${manifest?.segments.length ?? 0} segments, all as claimed\n`);
+    const { manifest, errors } = await verifyTrace(diskFiles(dir));
+    for (const message of errors.values()) process.stdout.write(`${message}\n`);
+    if (errors.size === 0) process.stdout.write(`${manifest?.segments.length ?? 0} segments, all intact\n`);
     else process.exitCode = 1;
   });
--- a/packages/trace/src/index.ts
+++ b/packages/trace/src/index.ts
@@ -1,22 +1,24 @@
+// Records the event trails of all controllers into a trace on disk, and reads such traces.
+
 export { mergeRows, readTrace, readTraceIn, verifyTrace, type Trace } from './read.js';
 export {
   Recorder,
-  advance,
-  begin,
-  readPage,
-  unread,
-  type Page,
+  applyResponse,
+  initialCursor,
+  parseTrailResponse,
+  unreadGaps,
   type RecorderOptions,
-  type Source,
+  type TrailResponse,
+  type TrailSource,
 } from './record/index.js';
 export {
   detailOf,
   digest,
   diskFiles,
   encodeManifest,
-  Killed,
+  KilledError,
   MemoryFiles,
-  readEvent,
+  parseEvent,
   TraceError,
   TraceStore,
   type Cursor,
--- a/packages/trace/src/read.ts
+++ b/packages/trace/src/read.ts
@@ -1,7 +1,7 @@
-import { unread } from './record/index.js';
+import { unreadGaps } from './record/index.js';
 import {
-  better,
   diskFiles,
+  preferredRow,
   readManifest,
   readSegment,
   TraceError,
@@ -11,37 +11,39 @@
   type TraceRow,
 } from './store/index.js';
 
-/** A recorded night: each event once, by time, and everything that is missing. Times of day in milliseconds. */
+/** A recorded trace: each event once, ordered by time, and the known gaps. Times of day are in milliseconds. */
 export interface Trace {
   readonly fromMs: number;
   readonly toMs: number;
+  /** Machine types, teams and limits as a controller reported them. */
   readonly facts: Readonly<Record<string, unknown>>;
   readonly rows: readonly TraceRow[];
   readonly gaps: readonly Gap[];
+  /** Names of the recorded controllers. */
   readonly nodes: readonly string[];
-  /** Events that more than one controller told, or one told in several lives. */
+  /** Number of duplicate reports: by several controllers, or by several incarnations of one. */
   readonly repeated: number;
 }
 
-/** A controller that was read this long before the end counts as read to the end. */
-const READ_ALLOWANCE_MS = 15_000;
+/** A controller that was last read at most this long before the end of the recording counts as read to the end. */
+const READ_TOLERANCE_MS = 15_000;
 
-/** Events of several controllers as one night, whatever order they came in. */
-export function mergeRows(rows: Iterable<TraceRow>): { rows: TraceRow[]; repeated: number } {
+/** Merges the rows of several controllers: each event once, ordered by time, independent of the input order. */
+export function mergeRows(rows: Iterable<TraceRow>): { rows: TraceRow[]; duplicates: number } {
   const byId = new Map<string, TraceRow>();
-  let repeated = 0;
+  let duplicates = 0;
   for (const row of rows) {
     const known = byId.get(row.id);
-    if (known) repeated += 1;
-    byId.set(row.id, known ? better(known, row) : row);
+    if (known) duplicates += 1;
+    byId.set(row.id, known ? preferredRow(known, row) : row);
   }
   const merged = [...byId.values()].sort(
     (a, b) => a.at - b.at || (a.node < b.node ? -1 : a.node > b.node ? 1 : a.n - b.n),
   );
-  return { rows: merged, repeated };
+  return { rows: merged, duplicates };
 }
 
-/** Reads the trace in a directory; a TraceError names the directory too. */
+/** Reads the trace in a directory; a TraceError also names the directory. */
 export async function readTraceIn(dir: string): Promise<Trace> {
   try {
     return await readTrace(diskFiles(dir));
@@ -53,43 +55,43 @@
 /** Reads a whole trace; a TraceError names the file and what is wrong with it. */
 export async function readTrace(files: Files): Promise<Trace> {
   const manifest = await readManifest(files);
-  if (!manifest) throw new TraceError('manifest.json: missing, this is no recorded trace');
-  const all: TraceRow[] = [];
-  for (const segment of manifest.segments) for (const row of await readSegment(files, segment)) all.push(row);
-  if (all.length === 0) throw new TraceError('the trace holds no event');
+  if (!manifest) throw new TraceError('manifest.json: missing, the directory holds no trace');
+  const allRows: TraceRow[] = [];
+  for (const segment of manifest.segments) for (const row of await readSegment(files, segment)) allRows.push(row);
+  if (allRows.length === 0) throw new TraceError('the trace holds no events');
   if (!manifest.facts)
-    throw new TraceError('the trace has no facts: no controller that knows the machine types was read');
-  const { rows, repeated } = mergeRows(all);
+    throw new TraceError('the trace has no facts: no controller that knows the machine types has been read');
+  const { rows, duplicates } = mergeRows(allRows);
   return {
     fromMs: rows[0]?.at ?? manifest.startedMs,
     toMs: manifest.recordedToMs,
     facts: manifest.facts,
     rows,
-    gaps: [...manifest.gaps, ...unread(manifest.cursors, manifest.recordedToMs, READ_ALLOWANCE_MS)],
+    gaps: [...manifest.gaps, ...unreadGaps(manifest.cursors, manifest.recordedToMs, READ_TOLERANCE_MS)],
     nodes: manifest.cursors.map(({ node }) => node),
-    repeated,
+    repeated: duplicates,
   };
 }
 
-/** Looks at every file: what is wrong, by file; empty: all as claimed. */
-export async function verifyTrace(files: Files): Promise<{ manifest: Manifest | null; wrong: Map<string, string> }> {
-  const wrong = new Map<string, string>();
-  const note = (name: string, error: unknown): void => {
-    wrong.set(name, error instanceof Error ? error.message : String(error));
+/** Checks every file against the manifest; returns the errors by file name, none if the trace is intact. */
+export async function verifyTrace(files: Files): Promise<{ manifest: Manifest | null; errors: Map<string, string> }> {
+  const errors = new Map<string, string>();
+  const addError = (name: string, error: unknown): void => {
+    errors.set(name, error instanceof Error ? error.message : String(error));
   };
   let manifest: Manifest | null = null;
   try {
     manifest = await readManifest(files);
-    if (!manifest) wrong.set('manifest.json', 'manifest.json: missing, this is no recorded trace');
+    if (!manifest) errors.set('manifest.json', 'manifest.json: missing, the directory holds no trace');
   } catch (error) {
-    note('manifest.json', error);
+    addError('manifest.json', error);
   }
   for (const segment of manifest?.segments ?? []) {
     try {
       await readSegment(files, segment);
     } catch (error) {
-      note(segment.file, error);
+      addError(segment.file, error);
     }
   }
-  return { manifest, wrong };
+  return { manifest, errors };
 }
--- a/packages/trace/src/record/follow.ts
+++ b/packages/trace/src/record/follow.ts
@@ -1,60 +1,68 @@
 import * as v from 'valibot';
-import { readEvent, type Cursor, type Gap, type TraceRow } from '../store/index.js';
+import { parseEvent, type Cursor, type Gap, type TraceRow } from '../store/index.js';
 
-const page = v.object({
+const responseSchema = v.object({
   node: v.string(),
   incarnation: v.pipe(v.string(), v.nonEmpty()),
+  /** Number of the oldest event that the controller still keeps. */
   first: v.pipe(v.number(), v.safeInteger(), v.minValue(1)),
+  /** Number that its next event will have. */
   next: v.pipe(v.number(), v.safeInteger(), v.minValue(1)),
   events: v.array(v.unknown()),
 });
 
-/** What one controller answered to the question for its trail. */
-export type Page = Omit<v.InferOutput<typeof page>, 'events'> & { readonly events: readonly unknown[] };
+/** One page of a controller's event trail, as its administration API returns it. */
+export type TrailResponse = Omit<v.InferOutput<typeof responseSchema>, 'events'> & {
+  readonly events: readonly unknown[];
+};
 
-export function readPage(body: unknown): Page | null {
-  const result = v.safeParse(page, body);
+/** Parses a response body; null if it is no trail page. */
+export function parseTrailResponse(body: unknown): TrailResponse | null {
+  const result = v.safeParse(responseSchema, body);
   return result.success ? result.output : null;
 }
 
-export interface Step {
+/** What one trail page contributes to a trace. */
+export interface ApplyResult {
   readonly rows: readonly TraceRow[];
   readonly gaps: readonly Gap[];
   readonly cursor: Cursor;
-  /** There is more to be read at once. */
+  /** Further events are available now. */
   readonly more: boolean;
 }
 
-export const begin = (node: string): Cursor => ({ node, life: null, after: 0, lastAt: null, readToMs: null });
+/** The cursor of a controller that has not been read yet. */
+export const initialCursor = (node: string): Cursor => ({ node, life: null, after: 0, lastAt: null, readToMs: null });
 
 /**
- * Takes in one page: what is new, how far the reading has come, and what can't be had any more. `nowMs` is the
- * recorder's time of day when it asked.
+ * Applies one page to a cursor: returns the new rows, the gaps of events that are lost, and the new cursor. `nowMs` is
+ * the recorder's time of day when it sent the request.
  */
-export function advance(cursor: Cursor, page: Page, nowMs: number): Step {
+export function applyResponse(cursor: Cursor, page: TrailResponse, nowMs: number): ApplyResult {
   const gaps: Gap[] = [];
   const { node } = cursor;
   const life = page.incarnation;
   let { after, lastAt } = cursor;
   if (cursor.life !== life) {
-    // Numbers start anew with each life: asked after an old number, a new life may have nothing to say yet.
-    const stale = cursor.life !== null && after > 0;
+    // Event numbers restart at 1 in each incarnation. A page that was requested after a number of the old incarnation
+    // may be empty although the new one has events, so its events are ignored and requested again from the start.
+    const staleRequest = cursor.life !== null && after > 0;
     if (cursor.life !== null) {
-      // The first event of the new life is not later than the end of the old one's silence.
-      const untilMs = stale ? null : firstTime(page);
+      // The gap of the old incarnation ends no later than the first event of the new one.
+      const untilMs = staleRequest ? null : firstEventMs(page);
       gaps.push({ node, life: cursor.life, why: 'ended', fromN: after + 1, toN: null, sinceMs: lastAt, untilMs });
     }
     [after, lastAt] = [0, null];
-    if (stale) {
-      const fresh: Cursor = { node, life, after: 0, lastAt: null, readToMs: cursor.readToMs };
-      return { rows: [], gaps, cursor: fresh, more: true };
+    if (staleRequest) {
+      const resetCursor: Cursor = { node, life, after: 0, lastAt: null, readToMs: cursor.readToMs };
+      return { rows: [], gaps, cursor: resetCursor, more: true };
     }
   }
   const rows: TraceRow[] = [];
   for (const raw of page.events) {
-    const row = readEvent(raw, node, life);
+    const row = parseEvent(raw, node, life);
     if (!row) continue;
-    // Asked twice, told twice.
+    // Already read by an earlier request.
     if (row.n <= after) continue;
     if (row.n > after + 1) {
       const why = page.first > after + 1 ? 'overrun' : 'malformed';
@@ -63,26 +71,27 @@
     [after, lastAt] = [row.n, row.at];
     rows.push(row);
   }
-  // Nothing of the page could be read, and asking again won't change that.
+  // No event of the page can be parsed, and requesting it again would not change that: skip it and record a gap.
   if (rows.length === 0 && page.events.length > 0 && after + 1 < page.next) {
-    const skipped = Math.min(page.next - 1, Math.max(after, page.first - 1) + page.events.length);
-    gaps.push({ node, life, why: 'malformed', fromN: after + 1, toN: skipped, sinceMs: lastAt, untilMs: null });
-    after = skipped;
+    const lastSkipped = Math.min(page.next - 1, Math.max(after, page.first - 1) + page.events.length);
+    gaps.push({ node, life, why: 'malformed', fromN: after + 1, toN: lastSkipped, sinceMs: lastAt, untilMs: null });
+    after = lastSkipped;
   }
   const more = after + 1 < page.next;
   const readToMs = more ? cursor.readToMs : nowMs;
   return { rows, gaps, cursor: { node, life, after, lastAt, readToMs }, more };
 }
 
-function firstTime(page: Page): number | null {
+/** Time of the first event of a page; null if it has none. */
+function firstEventMs(page: TrailResponse): number | null {
   const first = page.events[0] as { readonly at?: unknown } | undefined;
   return typeof first?.at === 'number' ? first.at : null;
 }
 
-/** Gaps of the end: controllers that were not read up to it. */
-export function unread(cursors: readonly Cursor[], recordedToMs: number, allowMs: number): Gap[] {
+/** One gap for each controller that was last read more than the tolerance before the end of the recording. */
+export function unreadGaps(cursors: readonly Cursor[], recordedToMs: number, toleranceMs: number): Gap[] {
   return cursors
-    .filter(({ readToMs }) => readToMs === null || recordedToMs - readToMs > allowMs)
+    .filter(({ readToMs }) => readToMs === null || recordedToMs - readToMs > toleranceMs)
     .map(({ node, life, after, lastAt }) => ({
       ...{ node, life, why: 'unread' as const, fromN: after + 1, toN: null, sinceMs: lastAt, untilMs: null },
     }));
--- a/packages/trace/src/record/index.ts
+++ b/packages/trace/src/record/index.ts
@@ -1,2 +1,9 @@
-export { advance, begin, readPage, unread, type Page, type Step } from './follow.js';
-export { Recorder, type RecorderOptions, type Source } from './recorder.js';
+export {
+  applyResponse,
+  initialCursor,
+  parseTrailResponse,
+  unreadGaps,
+  type ApplyResult,
+  type TrailResponse,
+} from './follow.js';
+export { Recorder, type RecorderOptions, type TrailSource } from './recorder.js';
--- a/packages/trace/src/store/files.ts
+++ b/packages/trace/src/store/files.ts
@@ -1,19 +1,22 @@
 import { mkdir, open, readdir, readFile, rename, rm } from 'node:fs/promises';
 import { join } from 'node:path';
 
-/** The files of one directory. Whatever `write` and `rename` have resolved for survives the end of the machine. */
+/** The files of one directory. Data for which `write` or `rename` has resolved survives a crash of the machine. */
 export interface Files {
   list(): Promise<readonly string[]>;
-  /** null: no such file. */
+  /** Null if there is no such file. */
   read(name: string): Promise<Uint8Array | null>;
+  /** Creates or overwrites a file. */
   write(name: string, bytes: Uint8Array): Promise<void>;
   rename(from: string, to: string): Promise<void>;
+  /** Deletes a file; does nothing if there is no such file. */
   remove(name: string): Promise<void>;
 }
 
-const missing = (error: unknown): boolean => (error as { code?: unknown }).code === 'ENOENT';
+const isNotFound = (error: unknown): boolean => (error as { code?: unknown }).code === 'ENOENT';
 
-async function sync(path: string): Promise<void> {
+/** Flushes a file or directory to disk. */
+async function fsyncPath(path: string): Promise<void> {
   const handle = await open(path, 'r');
   try {
     await handle.sync();
@@ -22,6 +25,7 @@
   }
 }
 
+/** The files of a directory on disk; listing them creates the directory if it does not exist. */
 export function diskFiles(dir: string): Files {
   return {
     async list() {
@@ -32,7 +36,7 @@
       try {
         return await readFile(join(dir, name));
       } catch (error) {
-        if (missing(error)) return null;
+        if (isNotFound(error)) return null;
         throw error;
       }
     },
@@ -47,7 +51,7 @@
     },
     async rename(from, to) {
       await rename(join(dir, from), join(dir, to));
-      await sync(dir);
+      await fsyncPath(dir);
     },
     async remove(name) {
       await rm(join(dir, name), { force: true });
--- a/packages/trace/src/store/memory.ts
+++ b/packages/trace/src/store/memory.ts
@@ -1,31 +1,35 @@
 import type { Files } from './files.js';
 
-/** The process was killed at this step. */
-export class Killed extends Error {}
+/** Thrown by MemoryFiles from the operation at which the writing process is killed, and from all later ones. */
+export class KilledError extends Error {}
 
 /**
- * Files in memory whose writer is killed at a step: a write that was under way leaves some of its bytes, a rename
- * either happened or did not.
+ * Files in memory. Tests can simulate that the writing process is killed at a chosen operation: an interrupted write
+ * leaves a part of its bytes, an interrupted rename has either taken effect or not.
  */
 export class MemoryFiles implements Files {
   readonly files = new Map<string, Uint8Array>();
-  steps = 0;
+  /** Writes, renames and removals so far. */
+  operations = 0;
 
   constructor(
-    private killAt = Infinity,
-    private readonly torn = 0.5,
+    /** Number of the operation at which the process is killed, from 1. */
+    private killAtOperation = Infinity,
+    /** Part of its bytes that an interrupted write leaves; from 0.5 on, an interrupted rename takes effect. */
+    private readonly writtenShare = 0.5,
   ) {}
 
-  /** Whoever comes next finds what is there, and is not killed. */
-  revive(killAt = Infinity): void {
-    this.killAt = this.steps + killAt;
+  /** Accepts operations again, as for a restarted process, until it is killed at the given operation from now. */
+  restartProcess(killAtOperation = Infinity): void {
+    this.killAtOperation = this.operations + killAtOperation;
   }
 
-  private step(half: () => void): void {
-    this.steps += 1;
-    if (this.steps < this.killAt) return;
-    if (this.steps === this.killAt) half();
-    throw new Killed('killed');
+  /** Counts an operation. If the process is killed at it, applies the partial effect and throws. */
+  private countOperation(applyPartially: () => void): void {
+    this.operations += 1;
+    if (this.operations < this.killAtOperation) return;
+    if (this.operations === this.killAtOperation) applyPartially();
+    throw new KilledError('simulated kill of the writing process');
   }
 
   list(): Promise<readonly string[]> {
@@ -38,25 +42,25 @@
 
   async write(name: string, bytes: Uint8Array): Promise<void> {
     await Promise.resolve();
-    this.step(() => this.files.set(name, bytes.slice(0, Math.floor(bytes.length * this.torn))));
+    this.countOperation(() => this.files.set(name, bytes.slice(0, Math.floor(bytes.length * this.writtenShare))));
     this.files.set(name, bytes);
   }
 
   async rename(from: string, to: string): Promise<void> {
     await Promise.resolve();
-    const done = (): void => {
+    const apply = (): void => {
       this.files.set(to, this.files.get(from) ?? new Uint8Array());
       this.files.delete(from);
     };
-    this.step(() => {
-      if (this.torn >= 0.5) done();
+    this.countOperation(() => {
+      if (this.writtenShare >= 0.5) apply();
     });
-    done();
+    apply();
   }
 
   async remove(name: string): Promise<void> {
     await Promise.resolve();
-    this.step(() => undefined);
+    this.countOperation(() => undefined);
     this.files.delete(name);
   }
 }
--- a/packages/trace/src/store/row.ts
+++ b/packages/trace/src/store/row.ts
@@ -1,31 +1,32 @@
-/** One event as it is kept: who told it, what it is called whoever tells it, and what it says. */
+/** One recorded event: its identity, the controller that reported it, and its content. */
 export interface TraceRow {
-  /** The same for the same event, whichever controllers tell it. */
+  /** Identity of the event: equal in the reports of all controllers about the same event. */
   readonly id: string;
-  /** Time of day in milliseconds, by the clock of the controller that tells it. */
+  /** Time of day in milliseconds, by the clock of the reporting controller. */
   readonly at: number;
+  /** Name of the reporting controller. */
   readonly node: string;
-  /** One life of that controller. */
+  /** Incarnation of that controller: each start of its process is a new one. */
   readonly life: string;
-  /** Its number in that life. */
+  /** Number of the event in that incarnation, from 1. */
   readonly n: number;
   readonly kind: string;
   readonly job: string | null;
   readonly index: number | null;
   readonly attempt: number | null;
   readonly machine: string | null;
-  /** Everything else that it says, as JSON. */
+  /** All other fields of the event, as JSON. */
   readonly detail: string;
 }
 
-/** Fields that a controller may name without harm but that aren't kept in a column of their own. */
+/** Fields that are stored in columns of their own, and therefore not in `detail`. */
 const COLUMNS = new Set(['n', 'at', 'kind', 'job', 'index', 'attempt', 'machine']);
 
-const text = (value: unknown): string | null => (typeof value === 'string' ? value : null);
-const whole = (value: unknown): number | null => (Number.isSafeInteger(value) ? (value as number) : null);
+const stringOrNull = (value: unknown): string | null => (typeof value === 'string' ? value : null);
+const integerOrNull = (value: unknown): number | null => (Number.isSafeInteger(value) ? (value as number) : null);
 
-/** What an event is called: the same job, task or machine told by two controllers is one event. */
-function identity(row: Omit<TraceRow, 'id'>): string {
+/** Identity of an event: reports of two controllers about the same job, task attempt or machine are one event. */
+function eventId(row: Omit<TraceRow, 'id'>): string {
   const { kind, job, index, attempt, machine, node, life, n } = row;
   switch (kind) {
     case 'job':
@@ -43,36 +44,49 @@
     case 'returned':
       return `${kind} ${machine}`;
     default:
-      // Told by one controller of itself.
+      // Events that a controller reports about itself are unique by its incarnation and their number.
       return `${kind} ${node}/${life}/${n}`;
   }
 }
 
-/** An event as a controller sent it; null when it has no valid form. Kinds that nobody knows are kept. */
-export function readEvent(raw: unknown, node: string, life: string): TraceRow | null {
+/** Parses an event as a controller sent it; null if it is malformed. Events of unknown kinds are kept. */
+export function parseEvent(raw: unknown, node: string, life: string): TraceRow | null {
   if (typeof raw !== 'object' || raw === null || Array.isArray(raw)) return null;
   const fields = raw as Record<string, unknown>;
-  const [n, at, kind] = [whole(fields['n']), fields['at'], text(fields['kind'])];
+  const [n, at, kind] = [integerOrNull(fields['n']), fields['at'], stringOrNull(fields['kind'])];
   if (n === null || n < 1 || typeof at !== 'number' || !Number.isFinite(at) || kind === null || kind === '')
     return null;
-  const rest = Object.fromEntries(Object.entries(fields).filter(([name]) => !COLUMNS.has(name)));
+  const detail = Object.fromEntries(Object.entries(fields).filter(([field]) => !COLUMNS.has(field)));
   const row = {
-    ...{ at, node, life, n, kind, job: text(fields['job']), machine: text(fields['machine']) },
-    ...{ index: whole(fields['index']), attempt: whole(fields['attempt']), detail: JSON.stringify(rest) },
+    ...{ at, node, life, n, kind, job: stringOrNull(fields['job']), machine: stringOrNull(fields['machine']) },
+    ...{
+      index: integerOrNull(fields['index']),
+      attempt: integerOrNull(fields['attempt']),
+      detail: JSON.stringify(detail),
+    },
   };
-  return { id: identity(row), ...row };
+  return { id: eventId(row), ...row };
 }
 
+/** Parses the `detail` of a row; empty if that is not an object. */
 export function detailOf(row: TraceRow): Readonly<Record<string, unknown>> {
   const parsed = JSON.parse(row.detail) as unknown;
   return typeof parsed === 'object' && parsed !== null ? (parsed as Record<string, unknown>) : {};
 }
 
-/** Of two tellings of one event the lower counts: a start that was seen before one that was found. */
-export const rank = (row: TraceRow): number => (row.kind === 'began' && row.detail.includes('"adopted":true') ? 1 : 0);
+/**
+ * Rank of a report among several of the same event; the lower one is preferred: 0 for an observed task start, 1 for a
+ * running task that a new holder adopted, since its start time is unknown.
+ */
+export const preferenceRank = (row: TraceRow): number =>
+  row.kind === 'began' && row.detail.includes('"adopted":true') ? 1 : 0;
 
-/** The better telling of one event: by rank, then the earlier, then by name so that order of arrival decides nothing. */
-export function better(a: TraceRow, b: TraceRow): TraceRow {
-  const by = rank(a) - rank(b) || a.at - b.at || (a.node < b.node ? -1 : a.node > b.node ? 1 : a.n - b.n);
-  return by <= 0 ? a : b;
+/**
+ * The preferred one of two reports of an event: by rank, then by time, then by controller name, so that the result does
+ * not depend on the order of arrival.
+ */
+export function preferredRow(a: TraceRow, b: TraceRow): TraceRow {
+  const order =
+    preferenceRank(a) - preferenceRank(b) || a.at - b.at || (a.node < b.node ? -1 : a.node > b.node ? 1 : a.n - b.n);
+  return order <= 0 ? a : b;
 }
--- a/packages/trace/src/store/segment.ts
+++ b/packages/trace/src/store/segment.ts
@@ -2,7 +2,7 @@
 import { parquetWriteBuffer } from 'hyparquet-writer';
 import type { TraceRow } from './row.js';
 
-/** Rows as one Parquet file: a column a field, so that a reader of kinds and times need not read the rest. */
+/** Encodes rows as one Parquet file, with one column per field, so that a reader can load only the fields it needs. */
 export function encodeSegment(rows: readonly TraceRow[]): Uint8Array {
   const column = <T>(read: (row: TraceRow) => T): T[] => rows.map(read);
   return new Uint8Array(
@@ -16,7 +16,7 @@
         { name: 'kind', data: column((r) => r.kind), type: 'STRING', nullable: false },
         { name: 'job', data: column((r) => r.job), type: 'STRING' },
         { name: 'index', data: column((r) => r.index), type: 'INT32' },
-        // Larger than an INT32: a revision of the state service is part of it.
+        // Contains a revision of the state service, so an INT32 is too small.
         { name: 'attempt', data: column((r) => r.attempt), type: 'DOUBLE' },
         { name: 'machine', data: column((r) => r.machine), type: 'STRING' },
         { name: 'detail', data: column((r) => r.detail), type: 'STRING', nullable: false },
@@ -25,6 +25,7 @@
   );
 }
 
+/** Decodes the rows of a segment file. */
 export async function decodeSegment(bytes: Uint8Array): Promise<TraceRow[]> {
   const file = bytes.buffer.slice(bytes.byteOffset, bytes.byteOffset + bytes.byteLength) as ArrayBuffer;
   const rows = (await parquetReadObjects({ file })) as unknown as TraceRow[];
--- a/packages/trace/src/store/store.ts
+++ b/packages/trace/src/store/store.ts
@@ -8,143 +8,152 @@
   type Manifest,
   type Segment,
 } from './manifest.js';
-import { better, type TraceRow } from './row.js';
+import { preferredRow, type TraceRow } from './row.js';
 import { decodeSegment, encodeSegment } from './segment.js';
 
-const MANIFEST = 'manifest.json';
-const SEGMENT = /^seg-(\d{6,})\.parquet$/;
+const MANIFEST_FILE = 'manifest.json';
+const SEGMENT_FILE = /^seg-(\d{6,})\.parquet$/;
 
-/** How much is kept; null: without end. The newest segment is always kept. */
+/** Retention limits of a trace; null: unlimited. The newest segment is always kept. */
 export interface Retention {
   readonly ageMs: number | null;
   readonly bytes: number | null;
 }
 
+/** Reads the manifest; null if there is none. A TraceError says what is wrong with it. */
 export async function readManifest(files: Files): Promise<Manifest | null> {
-  const bytes = await files.read(MANIFEST);
-  return bytes && decodeManifest(bytes, MANIFEST);
+  const bytes = await files.read(MANIFEST_FILE);
+  return bytes && decodeManifest(bytes, MANIFEST_FILE);
 }
 
-/** The rows of one segment; a TraceError names the file and what is wrong with it. */
+/** Reads the rows of one segment; a TraceError names the file and what is wrong with it. */
 export async function readSegment(files: Files, segment: Segment): Promise<TraceRow[]> {
   const bytes = await files.read(segment.file);
   if (!bytes) throw new TraceError(`${segment.file}: missing`);
   if (bytes.length !== segment.bytes || digest(bytes) !== segment.sha256)
-    throw new TraceError(`${segment.file}: damaged, its checksum does not fit`);
+    throw new TraceError(`${segment.file}: damaged, size or checksum mismatch`);
   const rows = await decodeSegment(bytes);
   if (rows.length !== segment.rows)
-    throw new TraceError(`${segment.file}: ${rows.length} rows where ${segment.rows} are claimed`);
+    throw new TraceError(`${segment.file}: ${rows.length} rows, but the manifest lists ${segment.rows}`);
   return rows;
 }
 
-/** Which segments to give up, oldest first, so that what is left is young and small enough. */
-export function tooMuch(segments: readonly Segment[], keep: Retention, nowMs: number): number {
+/** Number of the oldest segments to delete so that the rest is within the retention limits. */
+export function countSegmentsToDrop(segments: readonly Segment[], retention: Retention, nowMs: number): number {
   let bytes = segments.reduce((sum, segment) => sum + segment.bytes, 0);
-  let drop = 0;
+  let count = 0;
   for (const segment of segments.slice(0, -1)) {
-    const old = keep.ageMs !== null && nowMs - segment.toMs > keep.ageMs;
-    const large = keep.bytes !== null && bytes > keep.bytes;
-    if (!old && !large) break;
+    const tooOld = retention.ageMs !== null && nowMs - segment.toMs > retention.ageMs;
+    const tooLarge = retention.bytes !== null && bytes > retention.bytes;
+    if (!tooOld && !tooLarge) break;
     bytes -= segment.bytes;
-    drop += 1;
+    count += 1;
   }
-  return drop;
+  return count;
 }
 
 /**
- * A trace that is being written. A segment is there once the manifest claims it: it is written beside and renamed
- * first, then the manifest is, in the same way; a file that no manifest claims is from a writer that was killed
- * in between, and its events are asked for again.
+ * A trace that is being written. A segment belongs to the trace once the manifest lists it: first the segment is written
+ * to a temporary file and renamed, then the manifest in the same way. A segment file that the manifest does not list is
+ * left by a writer that was killed between the two; it is deleted, and its events are requested again.
  */
 export class TraceStore {
   private constructor(
     private readonly files: Files,
     private current: Manifest,
-    private nextSegment: number,
+    private nextSegmentNumber: number,
   ) {}
 
-  /** Opens a trace to go on with it, or begins one. A damaged one is refused: nobody writes over what may be mended. */
+  /**
+   * Opens a trace to append to it, or creates one; also returns the preferred row of each recorded event by its id. A
+   * damaged trace is refused with a TraceError, so that data which might be repaired is not overwritten.
+   */
   static async open(files: Files, nowMs: number): Promise<{ store: TraceStore; ids: Map<string, TraceRow> }> {
     const names = await files.list();
     const manifest = await readManifest(files);
-    if (!manifest && names.some((name) => SEGMENT.test(name)))
-      throw new TraceError(`${MANIFEST}: missing beside segments; whoever recorded them must be looked for first`);
-    const ids = new Map<string, TraceRow>();
-    const claimed = new Set<string>([MANIFEST]);
-    let last = 0;
+    if (!manifest && names.some((name) => SEGMENT_FILE.test(name)))
+      throw new TraceError(
+        `${MANIFEST_FILE}: missing although segments exist; find out first which recorder wrote them`,
+      );
+    const rowsById = new Map<string, TraceRow>();
+    const listed = new Set<string>([MANIFEST_FILE]);
+    let lastNumber = 0;
     for (const segment of manifest?.segments ?? []) {
-      claimed.add(segment.file);
-      last = Math.max(last, Number(SEGMENT.exec(segment.file)?.[1] ?? 0));
+      listed.add(segment.file);
+      lastNumber = Math.max(lastNumber, Number(SEGMENT_FILE.exec(segment.file)?.[1] ?? 0));
       for (const row of await readSegment(files, segment)) {
-        const known = ids.get(row.id);
-        ids.set(row.id, known ? better(known, row) : row);
+        const known = rowsById.get(row.id);
+        rowsById.set(row.id, known ? preferredRow(known, row) : row);
       }
     }
     for (const name of names)
-      if ((SEGMENT.test(name) || name.endsWith('.tmp')) && !claimed.has(name)) await files.remove(name);
-    const fresh: Manifest = {
+      if ((SEGMENT_FILE.test(name) || name.endsWith('.tmp')) && !listed.has(name)) await files.remove(name);
+    const emptyManifest: Manifest = {
       ...{ format: 'wooddrift-trace-1' as const, startedMs: nowMs, recordedToMs: nowMs, facts: null },
       ...{ cursors: [], gaps: [], segments: [] },
     };
-    const store = new TraceStore(files, manifest ?? fresh, last + 1);
-    // Before the first segment: killed between the two, the trace would be one whose manifest was lost.
-    if (!manifest) await store.claim(fresh);
-    return { store, ids };
+    const store = new TraceStore(files, manifest ?? emptyManifest, lastNumber + 1);
+    // The manifest is written before the first segment: if the writer were killed between the two in the other order,
+    // the trace would look like one whose manifest was lost.
+    if (!manifest) await store.commitManifest(emptyManifest);
+    return { store, ids: rowsById };
   }
 
+  /** The manifest as last written. */
   get manifest(): Manifest {
     return this.current;
   }
 
-  /** Keeps rows and how far they reach, together. Until this resolves, nothing of it counts. */
-  async seal(rows: readonly TraceRow[], rest: Omit<Manifest, 'format' | 'startedMs' | 'segments'>): Promise<void> {
+  /** Writes rows as a new segment together with their cursors and gaps. Nothing of it is stored until this resolves. */
+  async seal(rows: readonly TraceRow[], update: Omit<Manifest, 'format' | 'startedMs' | 'segments'>): Promise<void> {
     const segments = [...this.current.segments];
     if (rows.length > 0) {
       const bytes = encodeSegment(rows);
-      const file = `seg-${String(this.nextSegment).padStart(6, '0')}.parquet`;
-      await this.put(file, bytes);
-      this.nextSegment += 1;
+      const file = `seg-${String(this.nextSegmentNumber).padStart(6, '0')}.parquet`;
+      await this.writeAtomically(file, bytes);
+      this.nextSegmentNumber += 1;
       const times = rows.map((row) => row.at);
       segments.push({
         ...{ file, rows: rows.length, bytes: bytes.length, sha256: digest(bytes) },
         ...{ fromMs: min(times), toMs: max(times) },
       });
     }
-    await this.claim({ ...this.current, ...rest, segments });
+    await this.commitManifest({ ...this.current, ...update, segments });
   }
 
-  /** Deletes the oldest segments, and says in a gap what went. */
-  async retain(keep: Retention, nowMs: number): Promise<number> {
-    const count = tooMuch(this.current.segments, keep, nowMs);
+  /** Deletes the oldest segments beyond the limits, records the loss as a gap, and returns their number. */
+  async applyRetention(retention: Retention, nowMs: number): Promise<number> {
+    const count = countSegmentsToDrop(this.current.segments, retention, nowMs);
     if (count === 0) return 0;
-    const going = this.current.segments.slice(0, count);
-    const untilMs = max(going.map((segment) => segment.toMs));
-    const [earlier, others] = [
+    const dropping = this.current.segments.slice(0, count);
+    const untilMs = max(dropping.map((segment) => segment.toMs));
+    const [earlierDrops, otherGaps] = [
       this.current.gaps.filter((gap) => gap.why === 'dropped'),
       this.current.gaps.filter((gap) => gap.why !== 'dropped'),
     ];
     const dropped: Gap = {
       ...{ node: '*', life: null, why: 'dropped' as const, fromN: null, toN: null },
-      ...{ sinceMs: earlier[0]?.sinceMs ?? min(going.map((segment) => segment.fromMs)), untilMs },
+      ...{ sinceMs: earlierDrops[0]?.sinceMs ?? min(dropping.map((segment) => segment.fromMs)), untilMs },
     };
-    // Gaps inside what is gone say nothing any more: one for each night would pile up for ever.
-    const gaps = [dropped, ...others.filter((gap) => gap.untilMs === null || gap.untilMs > untilMs)];
-    await this.claim({ ...this.current, gaps, segments: this.current.segments.slice(count) });
-    for (const { file } of going) await this.files.remove(file);
+    // Gaps inside the dropped range carry no information any more, and would accumulate without bound.
+    const gaps = [dropped, ...otherGaps.filter((gap) => gap.untilMs === null || gap.untilMs > untilMs)];
+    await this.commitManifest({ ...this.current, gaps, segments: this.current.segments.slice(count) });
+    for (const { file } of dropping) await this.files.remove(file);
     return count;
   }
 
-  private async claim(manifest: Manifest): Promise<void> {
-    await this.put(MANIFEST, encodeManifest(manifest));
+  private async commitManifest(manifest: Manifest): Promise<void> {
+    await this.writeAtomically(MANIFEST_FILE, encodeManifest(manifest));
     this.current = manifest;
   }
 
-  private async put(name: string, bytes: Uint8Array): Promise<void> {
+  /** Writes a temporary file and renames it, so that a reader sees the old or the new content. */
+  private async writeAtomically(name: string, bytes: Uint8Array): Promise<void> {
     await this.files.write(`${name}.tmp`, bytes);
     await this.files.rename(`${name}.tmp`, name);
   }
 }
 
-// Spread into Math.min, a large segment is more arguments than a call takes.
+// Not Math.min(...numbers): a large segment would exceed the maximum number of call arguments.
 const min = (numbers: readonly number[]): number => numbers.reduce((a, b) => Math.min(a, b), Infinity);
 const max = (numbers: readonly number[]): number => numbers.reduce((a, b) => Math.max(a, b), -Infinity);
--- a/packages/trace/test/follow.test.ts
+++ b/packages/trace/test/follow.test.ts
@@ -3,42 +3,51 @@
 import fc from 'fast-check';
 import { Trail } from '../../../src/trail/index.js';
 import { shardName, wallMillis } from '../../../src/kernel/index.js';
-import { advance, begin, mergeRows, readEvent, unread, type Cursor, type Gap, type TraceRow } from '../src/index.js';
+import {
+  applyResponse,
+  initialCursor,
+  mergeRows,
+  parseEvent,
+  unreadGaps,
+  type Cursor,
+  type Gap,
+  type TraceRow,
+} from '../src/index.js';
 
-/** A controller with a small ring, that ends and begins anew. */
-class Told {
-  private life = 0;
-  private clock = 1000;
-  private trail = this.born();
-  /** How many events each life told in all. */
-  readonly told = new Map<string, number>();
+/** A controller that keeps only its last eight events and can restart. */
+class SimulatedController {
+  private lives = 0;
+  private clockMs = 1000;
+  private trail = this.newTrail();
+  /** Number of events of each incarnation. */
+  readonly eventCounts = new Map<string, number>();
 
-  private born(): Trail {
-    this.life += 1;
-    return new Trail(8, { wall: () => wallMillis(this.clock) });
+  private newTrail(): Trail {
+    this.lives += 1;
+    return new Trail(8, { wall: () => wallMillis(this.clockMs) });
   }
 
-  note(count: number): void {
+  addEvents(count: number): void {
     for (let i = 0; i < count; i++) {
-      this.clock += 10;
+      this.clockMs += 10;
       this.trail.note({ kind: 'claimed', shard: shardName('s') });
-      this.told.set(`life-${this.life}`, (this.told.get(`life-${this.life}`) ?? 0) + 1);
+      this.eventCounts.set(`life-${this.lives}`, (this.eventCounts.get(`life-${this.lives}`) ?? 0) + 1);
     }
   }
 
   restart(): void {
-    this.trail = this.born();
+    this.trail = this.newTrail();
   }
 
-  page(after: number): Parameters<typeof advance>[1] {
-    return { node: 'n', incarnation: `life-${this.life}`, ...this.trail.page(after, 5) };
+  page(after: number): Parameters<typeof applyResponse>[1] {
+    return { node: 'n', incarnation: `life-${this.lives}`, ...this.trail.page(after, 5) };
   }
 }
 
-test('every event that a controller told is in the rows once, or in a gap', () => {
+test('every event of a controller is either in the rows once or in a gap', () => {
   const steps = fc.array(
     fc.oneof(
-      fc.record({ do: fc.constant('note' as const), count: fc.integer({ min: 0, max: 20 }) }),
+      fc.record({ do: fc.constant('add' as const), count: fc.integer({ min: 0, max: 20 }) }),
       fc.record({ do: fc.constant('read' as const), count: fc.constant(0) }),
       fc.record({ do: fc.constant('restart' as const), count: fc.constant(0) }),
     ),
@@ -46,28 +55,28 @@
   );
   fc.assert(
     fc.property(steps, (plan) => {
-      const told = new Told();
-      let cursor: Cursor = begin('n');
+      const controller = new SimulatedController();
+      let cursor: Cursor = initialCursor('n');
       const rows: TraceRow[] = [];
       const gaps: Gap[] = [];
       const read = (): void => {
         for (let more = true; more;) {
-          const step = advance(cursor, told.page(cursor.after), 0);
-          rows.push(...step.rows);
-          gaps.push(...step.gaps);
-          ({ cursor, more } = step);
+          const result = applyResponse(cursor, controller.page(cursor.after), 0);
+          rows.push(...result.rows);
+          gaps.push(...result.gaps);
+          ({ cursor, more } = result);
         }
       };
       for (const step of plan) {
-        if (step.do === 'note') told.note(step.count);
-        else if (step.do === 'restart') told.restart();
+        if (step.do === 'add') controller.addEvents(step.count);
+        else if (step.do === 'restart') controller.restart();
         else read();
       }
       read();
-      // The plain model: one set of numbers for each life that anybody knew of.
-      for (const [life, count] of told.told) {
+      // Reference model: the set of event numbers of each incarnation that the reader has seen.
+      for (const [life, count] of controller.eventCounts) {
         const seen = rows.filter((row) => row.life === life).map((row) => row.n);
-        assert.equal(new Set(seen).size, seen.length, 'an event twice');
+        assert.equal(new Set(seen).size, seen.length, 'duplicate event');
         const known = seen.length > 0 || cursor.life === life;
         if (!known) continue;
         for (let n = 1; n <= count; n++) {
@@ -86,33 +95,36 @@
   );
 });
 
-test('a task that two controllers tell of begins once, when it was seen to begin', () => {
+test('a task start reported by two controllers is merged into the report that observed it', () => {
   const event = (adopted: boolean, at: number, n: number): unknown => ({
     ...{ n, at, kind: 'began', job: 'j-1', index: 0, attempt: 7, machine: 'm', adopted },
   });
-  const found = readEvent(event(true, 5000, 1), 'b', 'life');
-  const seen = readEvent(event(false, 5020, 9), 'a', 'life');
-  assert.ok(found && seen);
+  const adopted = parseEvent(event(true, 5000, 1), 'b', 'life');
+  const observed = parseEvent(event(false, 5020, 9), 'a', 'life');
+  assert.ok(adopted && observed);
   for (const order of [
-    [found, seen],
-    [seen, found],
+    [adopted, observed],
+    [observed, adopted],
   ]) {
-    const { rows, repeated } = mergeRows(order);
-    assert.deepEqual([rows.length, repeated, rows[0]?.node], [1, 1, 'a']);
+    const { rows, duplicates } = mergeRows(order);
+    assert.deepEqual([rows.length, duplicates, rows[0]?.node], [1, 1, 'a']);
   }
 });
 
-test('events without form are a gap, and nobody asks for them for ever', () => {
+test('malformed events are recorded as a gap and not requested again', () => {
   const page = { node: 'n', incarnation: 'x', first: 1, next: 4, events: [{ n: 'one' }, 7, null] };
-  const step = advance(begin('n'), page, 0);
-  assert.deepEqual([step.rows.length, step.more, step.gaps[0]?.why, step.gaps[0]?.toN], [0, false, 'malformed', 3]);
-  assert.equal(readEvent({ n: 1, at: Number.NaN, kind: 'up' }, 'n', 'x'), null);
-  assert.equal(readEvent({ n: 1, at: 5, kind: 'of-tomorrow', more: 1 }, 'n', 'x')?.detail, '{"more":1}');
+  const result = applyResponse(initialCursor('n'), page, 0);
+  assert.deepEqual(
+    [result.rows.length, result.more, result.gaps[0]?.why, result.gaps[0]?.toN],
+    [0, false, 'malformed', 3],
+  );
+  assert.equal(parseEvent({ n: 1, at: Number.NaN, kind: 'up' }, 'n', 'x'), null);
+  assert.equal(parseEvent({ n: 1, at: 5, kind: 'of-tomorrow', more: 1 }, 'n', 'x')?.detail, '{"more":1}');
 });
 
-test('a controller that nobody read up to the end is a gap', () => {
+test('a controller that was not read up to the end of the recording has a gap', () => {
   const cursor: Cursor = { node: 'n', life: 'x', after: 4, lastAt: 1000, readToMs: 2000 };
-  assert.deepEqual(unread([cursor], 9000, 10_000), []);
-  assert.equal(unread([cursor], 90_000, 10_000)[0]?.fromN, 5);
-  assert.equal(unread([begin('m')], 0, 10_000)[0]?.why, 'unread');
+  assert.deepEqual(unreadGaps([cursor], 9000, 10_000), []);
+  assert.equal(unreadGaps([cursor], 90_000, 10_000)[0]?.fromN, 5);
+  assert.equal(unreadGaps([initialCursor('m')], 0, 10_000)[0]?.why, 'unread');
 });
--- a/packages/trace/test/lock.test.ts
+++ b/packages/trace/test/lock.test.ts
@@ -5,16 +5,19 @@
 import { test } from 'node:test';
 import { lockDirectory } from '../src/cli/index.js';
 
-test('one recorder a directory; a lock that a killed one left is taken over', () => {
+test('a directory is locked for one recorder; the lock of a killed recorder is taken over', () => {
   const dir = mkdtempSync(join(tmpdir(), 'trace-lock-'));
-  const file = join(dir, 'record.lock');
+  const lockFile = join(dir, 'record.lock');
   try {
-    // The process that runs this test's process is alive for certain.
-    writeFileSync(file, String(process.ppid));
-    assert.throws(() => lockDirectory(dir), new RegExp(`process ${process.ppid} records there already`));
-    writeFileSync(file, '');
+    // The parent process of this test is certainly alive.
+    writeFileSync(lockFile, String(process.ppid));
+    assert.throws(
+      () => lockDirectory(dir),
+      new RegExp(`process ${process.ppid} is already recording into this directory`),
+    );
+    writeFileSync(lockFile, '');
     lockDirectory(dir)();
-    assert.equal(existsSync(file), false);
+    assert.equal(existsSync(lockFile), false);
   } finally {
     rmSync(dir, { recursive: true });
   }
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,12 +1,12 @@
-// Two bundles: the controllers' own, since start time is downtime on a machine with a fraction of a
-// core, and the tools' beside it, so that none of their libraries are in the first.
+// Builds two bundles: the controller, and the tools. They are separate so that the controller bundle contains none of
+// the tools' libraries: its start time is downtime, and it runs on a machine with a fraction of a core.
 import { readdirSync, readFileSync } from 'node:fs';
 import { basename, join } from 'node:path';
 import { build } from 'esbuild';
 
 const { version } = JSON.parse(readFileSync('package.json', 'utf8'));
-const DAYS = 'packages/region/days';
-const days = readdirSync(DAYS).map((file) => [basename(file, '.toml'), readFileSync(join(DAYS, file), 'utf8')]);
+const DAYS_DIR = 'packages/region/days';
+const days = readdirSync(DAYS_DIR).map((file) => [basename(file, '.toml'), readFileSync(join(DAYS_DIR, file), 'utf8')]);
 
 const bundle = (entry, outfile, define) =>
   build({
@@ -18,7 +18,7 @@
     format: 'cjs',
     minifyWhitespace: true,
     legalComments: 'none',
-    // Asked for by the charts' library where it is there; pictures are drawn as SVG without it.
+    // Optional dependency of the charts library; charts are drawn as SVG, which does not need it.
     external: ['canvas'],
     define,
     logLevel: 'warning',
--- a/scripts/measure-recorder-kill.mjs
+++ b/scripts/measure-recorder-kill.mjs
@@ -1,5 +1,6 @@
-// Kills a recorder with SIGKILL at random moments, again and again, while a stand-in controller tells events, and
-// checks each time that the trace is whole. Usage: node scripts/measure-recorder-kill.mjs [times] [seed]
+// Repeatedly kills a recorder with SIGKILL at random times while a stand-in controller serves events. Checks after every
+// 20th kill, and after the last one, that the trace is intact, and at the end that it is complete.
+// Usage: node scripts/measure-recorder-kill.mjs [times] [seed]
 import { spawn } from 'node:child_process';
 import { mkdtempSync, readdirSync } from 'node:fs';
 import { createServer } from 'node:http';
@@ -8,27 +9,34 @@
 import { URL } from 'node:url';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-const times = Number(process.argv[2] ?? 200);
-let state = Number(process.argv[3] ?? 1) >>> 0;
+const kills = Number(process.argv[2] ?? 200);
+let randomState = Number(process.argv[3] ?? 1) >>> 0;
 const random = () => {
-  state = (Math.imul(state, 1664525) + 1013904223) >>> 0;
-  return state / 2 ** 32;
+  randomState = (Math.imul(randomState, 1664525) + 1013904223) >>> 0;
+  return randomState / 2 ** 32;
 };
-const CAPACITY = 1_000_000;
-const began = Date.now();
-// One event every few milliseconds: what a page says never changes.
-const EVERY_MS = 4;
-const event = (n) => ({ n, at: began + n * EVERY_MS, kind: 'ended', job: `j-${n}`, phase: 'done', done: 1 });
+const TRAIL_EVENTS = 1_000_000;
+const startedMs = Date.now();
+// Events are a function of their number alone, so that a page which is requested again is the same.
+const EVENT_INTERVAL_MS = 4;
+const event = (n) => ({
+  n,
+  at: startedMs + n * EVENT_INTERVAL_MS,
+  kind: 'ended',
+  job: `j-${n}`,
+  phase: 'done',
+  done: 1,
+});
 const server = createServer((req, res) => {
   const url = new URL(req.url, 'http://x');
-  const next = Math.floor((Date.now() - began) / EVERY_MS) + 1;
+  const next = Math.floor((Date.now() - startedMs) / EVENT_INTERVAL_MS) + 1;
   const after = Number(url.searchParams.get('after') ?? 0);
-  const most = Number(url.searchParams.get('limit') ?? 1000);
+  const limit = Number(url.searchParams.get('limit') ?? 1000);
   const events = [];
-  for (let n = after + 1; n < next && events.length < most; n++) events.push(event(n));
+  for (let n = after + 1; n < next && events.length < limit; n++) events.push(event(n));
   const body = url.pathname.endsWith('/facts')
     ? { types: [{ name: 't' }] }
-    : { node: 'stand-in', incarnation: 'one', first: Math.max(1, next - CAPACITY), next, events };
+    : { node: 'stand-in', incarnation: 'one', first: Math.max(1, next - TRAIL_EVENTS), next, events };
   res.setHeader('content-type', 'application/json');
   res.end(JSON.stringify(body));
 });
@@ -38,40 +46,40 @@
 const args = ['record', '--node', node, '--out', dir, '--poll-s', '0.02', '--segment-s', '0.04'];
 const run = (command, extra = []) =>
   spawn(process.execPath, ['target/main.cjs', ...command, ...extra], { stdio: ['ignore', 'pipe', 'ignore'] });
-const ended = (child) => new Promise((resolve) => child.once('exit', resolve));
+const exitCode = (child) => new Promise((resolve) => child.once('exit', resolve));
 
-let [bad, half] = [0, 0];
-for (let i = 0; i < times; i++) {
+let [damaged, interruptedWrites] = [0, 0];
+for (let i = 0; i < kills; i++) {
   const child = run(args);
-  const gone = ended(child);
-  // Before there is a manifest there is nothing to check.
+  const exited = exitCode(child);
+  // Until the first manifest is written there is no trace to check.
   while (i === 0 && !readdirSync(dir).includes('manifest.json')) await sleep(20);
-  // Starting takes a third of a second; then segments are written every few hundredths.
+  // The recorder takes about 0.3 s to start; then it writes a segment every few hundredths of a second.
   await sleep(500 + random() * 900);
   child.kill('SIGKILL');
-  await gone;
-  if (readdirSync(dir).some((name) => name.endsWith('.tmp'))) half += 1;
-  // Every twentieth time, and at the end, all that is claimed is read.
-  if (i % 20 !== 19 && i !== times - 1) continue;
+  await exited;
+  if (readdirSync(dir).some((name) => name.endsWith('.tmp'))) interruptedWrites += 1;
+  // After every 20th kill and after the last one, all files that the manifest lists are verified.
+  if (i % 20 !== 19 && i !== kills - 1) continue;
   const check = run(['trace', 'verify', dir]);
-  const said = [];
-  check.stdout.on('data', (chunk) => said.push(String(chunk)));
-  if ((await ended(check)) === 0) continue;
-  bad += 1;
-  process.stderr.write(said.join(''));
+  const output = [];
+  check.stdout.on('data', (chunk) => output.push(String(chunk)));
+  if ((await exitCode(check)) === 0) continue;
+  damaged += 1;
+  process.stderr.write(output.join(''));
 }
-const last = run(args, ['--for-s', '6']);
-await ended(last);
-let text = '';
+const finalRun = run(args, ['--for-s', '6']);
+await exitCode(finalRun);
+let summary = '';
 const show = run(['trace', 'show', dir]);
-show.stdout.on('data', (chunk) => (text += chunk));
-await ended(show);
+show.stdout.on('data', (chunk) => (summary += chunk));
+await exitCode(show);
 server.close();
-const events = Number(/(\d+) ended/.exec(text)?.[1] ?? 0);
-const again = Number(/(\d+) told again/.exec(text)?.[1] ?? -1);
-const whole = text.includes('nothing is missing');
+const events = Number(/(\d+) ended/.exec(summary)?.[1] ?? 0);
+const duplicates = Number(/(\d+) duplicates/.exec(summary)?.[1] ?? -1);
+const complete = summary.includes('no known gaps');
 const segments = readdirSync(dir).filter((name) => name.endsWith('.parquet')).length;
 process.stdout.write(
-  `${JSON.stringify({ times, killedInsideAWrite: half, damaged: bad, events, twice: again, nothingMissing: whole, segments })}\n`,
+  `${JSON.stringify({ times: kills, killedInsideAWrite: interruptedWrites, damaged, events, twice: duplicates, nothingMissing: complete, segments })}\n`,
 );
-process.exitCode = bad === 0 && again === 0 && whole && events > 0 ? 0 : 1;
+process.exitCode = damaged === 0 && duplicates === 0 && complete && events > 0 ? 0 : 1;
--- a/scripts/setup.mjs
+++ b/scripts/setup.mjs
@@ -1,11 +1,11 @@
-// Installs what the lockfile names when it isn't there, so that a fresh clone needs one command.
+// Installs the dependencies of the lockfile if they are missing or out of date, so that a fresh clone needs one command.
 import { spawnSync } from 'node:child_process';
 import { statSync } from 'node:fs';
 
-const timeOf = (path) => statSync(path, { throwIfNoEntry: false })?.mtimeMs ?? 0;
+const modifiedMs = (path) => statSync(path, { throwIfNoEntry: false })?.mtimeMs ?? 0;
 
-if (timeOf('node_modules/.package-lock.json') < timeOf('package-lock.json')) {
-  process.stderr.write('installing libraries (npm ci)\n');
+if (modifiedMs('node_modules/.package-lock.json') < modifiedMs('package-lock.json')) {
+  process.stderr.write('installing dependencies (npm ci)\n');
   const { status } = spawnSync('npm', ['ci', '--no-audit', '--no-fund', '--loglevel=error'], {
     stdio: ['ignore', 'ignore', 'inherit'],
     shell: process.platform === 'win32',
