--- a/packages/tools/src/cli/main.ts
+++ b/packages/tools/src/cli/main.ts
@@ -1,3 +1,4 @@
+// Entry point of the tools bundle: the commands region, record, trace and whatif.
 import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
 import { quietWhenUnread } from '../../../../src/cli/index.js';
@@ -8,8 +9,6 @@
 import { PlanError } from '../../../whatif/src/index.js';
 import { whatifCommand } from '../../../whatif/src/cli/index.js';
 
-// Entry point of the tools bundle: the commands region, record, trace and whatif.
-
 /** Errors of the user's input: reported in one line. Any other error is a defect and reported with its stack. */
 const USER_ERRORS = [DayError, ListError, PlanError, ReleaseError, ScaleError, TraceError, UsageError];
 
--- a/packages/trace/src/index.ts
+++ b/packages/trace/src/index.ts
@@ -1,14 +1,13 @@
 // Records the event trails of all controllers into a trace on disk, and reads such traces.
-
 export { mergeRows, readTrace, readTraceIn, verifyTrace, type Trace } from './read.js';
 export {
   Recorder,
-  applyResponse,
+  applyPage,
   initialCursor,
-  parseTrailResponse,
+  parseTrailPage,
   unreadGaps,
   type RecorderOptions,
-  type TrailResponse,
+  type TrailPage,
   type TrailSource,
 } from './record/index.js';
 export {
--- a/packages/trace/src/record/follow.ts
+++ b/packages/trace/src/record/follow.ts
@@ -1,7 +1,7 @@
 import * as v from 'valibot';
 import { parseEvent, type Cursor, type Gap, type TraceRow } from '../store/index.js';
 
-const responseSchema = v.object({
+const trailPageSchema = v.object({
   node: v.string(),
   incarnation: v.pipe(v.string(), v.nonEmpty()),
   /** Number of the oldest event that the controller still keeps. */
@@ -11,19 +11,19 @@
   events: v.array(v.unknown()),
 });
 
-/** One page of a controller's event trail, as its administration API returns it. */
-export type TrailResponse = Omit<v.InferOutput<typeof responseSchema>, 'events'> & {
+/** One page of a controller's event trail, as its administration API returns it. Its events are parsed one by one. */
+export type TrailPage = Omit<v.InferOutput<typeof trailPageSchema>, 'events'> & {
   readonly events: readonly unknown[];
 };
 
-/** Parses a response body; null if it is no trail page. */
-export function parseTrailResponse(body: unknown): TrailResponse | null {
-  const result = v.safeParse(responseSchema, body);
+/** Parses a response body; null if it is not a trail page. */
+export function parseTrailPage(body: unknown): TrailPage | null {
+  const result = v.safeParse(trailPageSchema, body);
   return result.success ? result.output : null;
 }
 
-/** What one trail page contributes to a trace. */
-export interface ApplyResult {
+/** What one page contributes to a trace. */
+export interface PageResult {
   readonly rows: readonly TraceRow[];
   readonly gaps: readonly Gap[];
   readonly cursor: Cursor;
@@ -38,7 +38,7 @@
  * Applies one page to a cursor: returns the new rows, the gaps of events that are lost, and the new cursor. `nowMs` is
  * the recorder's time of day when it sent the request.
  */
-export function applyResponse(cursor: Cursor, page: TrailResponse, nowMs: number): ApplyResult {
+export function applyPage(cursor: Cursor, page: TrailPage, nowMs: number): PageResult {
   const gaps: Gap[] = [];
   const { node } = cursor;
   const life = page.incarnation;
@@ -83,7 +83,7 @@
 }
 
 /** Time of the first event of a page; null if it has none. */
-function firstEventMs(page: TrailResponse): number | null {
+function firstEventMs(page: TrailPage): number | null {
   const first = page.events[0] as { readonly at?: unknown } | undefined;
   return typeof first?.at === 'number' ? first.at : null;
 }
--- a/packages/trace/src/record/index.ts
+++ b/packages/trace/src/record/index.ts
@@ -1,9 +1,2 @@
-export {
-  applyResponse,
-  initialCursor,
-  parseTrailResponse,
-  unreadGaps,
-  type ApplyResult,
-  type TrailResponse,
-} from './follow.js';
+export { applyPage, initialCursor, parseTrailPage, unreadGaps, type PageResult, type TrailPage } from './follow.js';
 export { Recorder, type RecorderOptions, type TrailSource } from './recorder.js';
--- a/packages/trace/src/record/recorder.ts
+++ b/packages/trace/src/record/recorder.ts
@@ -7,10 +7,11 @@
   type TraceRow,
   type TraceStore,
 } from '../store/index.js';
-import { applyResponse, initialCursor, parseTrailResponse, type TrailResponse } from './follow.js';
+import { applyPage, initialCursor, parseTrailPage, type TrailPage } from './follow.js';
 
 /** A controller whose trail is recorded. */
 export interface TrailSource {
+  /** Name of the controller. */
   readonly node: string;
   /** Address of its administration API. */
   readonly at: Address;
@@ -23,6 +24,7 @@
   /** A segment is sealed when it has this many rows or reaches the age `segmentMs`. */
   readonly segmentRows: number;
   readonly segmentMs: number;
+  /** Limits beyond which the oldest segments are deleted. */
   readonly keep: Retention;
 }
 
@@ -43,7 +45,7 @@
   cursor: Cursor;
   /** A poll is in progress. Polls must not overlap: a late page of an earlier incarnation would look like a restart. */
   polling: boolean;
-  /** Number of consecutive failed requests. */
+  /** Number of consecutive failed requests, at most 10. */
   failures: number;
   /** Earliest time of the next poll, by the monotonic clock. */
   nextPollMs: number;
@@ -142,7 +144,7 @@
       const page = await this.requestPage(follower);
       if (!page) return;
       const previousLife = follower.cursor.life;
-      const result = applyResponse(follower.cursor, page, requestedMs);
+      const result = applyPage(follower.cursor, page, requestedMs);
       follower.cursor = result.cursor;
       this.addGaps(follower.node, result.gaps, result.rows[0]?.at ?? null);
       for (const row of result.rows) this.addRow(row);
@@ -157,11 +159,11 @@
   }
 
   /** Requests the next page; on failure logs the reason, sets the backoff and returns null. */
-  private async requestPage(follower: Follower): Promise<TrailResponse | null> {
+  private async requestPage(follower: Follower): Promise<TrailPage | null> {
     const { client, cursor, node } = follower;
     const path = `/admin/v1/trail?after=${cursor.after}&limit=${MAX_PAGE_EVENTS}`;
     const answer = await client.call({ method: 'GET', path, timeoutMs: REQUEST_TIMEOUT_MS });
-    const page = answer.kind === 'answered' && answer.status === 200 ? parseTrailResponse(answer.body) : null;
+    const page = answer.kind === 'answered' && answer.status === 200 ? parseTrailPage(answer.body) : null;
     if (page && page.node === node) {
       if (follower.lastError !== null) this.log.info({ node }, 'controller trail can be read again');
       follower.lastError = null;
@@ -195,8 +197,8 @@
   }
 
   /**
-   * Adds a row unless its event is recorded already. A preferred report of a recorded event is added as a further row;
-   * readers choose between the two.
+   * Adds a row unless its event is recorded already. A report that is preferred to the recorded one is added as
+   * a further row; readers choose between the two.
    */
   private addRow(row: TraceRow): void {
     const known = this.rowsById.get(row.id);
--- a/packages/trace/test/follow.test.ts
+++ b/packages/trace/test/follow.test.ts
@@ -4,7 +4,7 @@
 import { Trail } from '../../../src/trail/index.js';
 import { shardName, wallMillis } from '../../../src/kernel/index.js';
 import {
-  applyResponse,
+  applyPage,
   initialCursor,
   mergeRows,
   parseEvent,
@@ -39,7 +39,7 @@
     this.trail = this.newTrail();
   }
 
-  page(after: number): Parameters<typeof applyResponse>[1] {
+  page(after: number): Parameters<typeof applyPage>[1] {
     return { node: 'n', incarnation: `life-${this.lives}`, ...this.trail.page(after, 5) };
   }
 }
@@ -61,7 +61,7 @@
       const gaps: Gap[] = [];
       const read = (): void => {
         for (let more = true; more;) {
-          const result = applyResponse(cursor, controller.page(cursor.after), 0);
+          const result = applyPage(cursor, controller.page(cursor.after), 0);
           rows.push(...result.rows);
           gaps.push(...result.gaps);
           ({ cursor, more } = result);
@@ -113,7 +113,7 @@
 
 test('malformed events are recorded as a gap and not requested again', () => {
   const page = { node: 'n', incarnation: 'x', first: 1, next: 4, events: [{ n: 'one' }, 7, null] };
-  const result = applyResponse(initialCursor('n'), page, 0);
+  const result = applyPage(initialCursor('n'), page, 0);
   assert.deepEqual(
     [result.rows.length, result.more, result.gaps[0]?.why, result.gaps[0]?.toN],
     [0, false, 'malformed', 3],
