--- a/packages/trace/src/record/recorder.ts
+++ b/packages/trace/src/record/recorder.ts
@@ -1,12 +1,5 @@
 import { HttpClient, ReconcileLoop, type Address, type Logger, type Runtime } from '../../../../src/kernel/index.js';
-import {
-  preferenceRank,
-  type Cursor,
-  type Gap,
-  type Retention,
-  type TraceRow,
-  type TraceStore,
-} from '../store/index.js';
+import { rank, type Cursor, type Gap, type Retention, type TraceRow, type TraceStore } from '../store/index.js';
 import { applyPage, initialCursor, parseTrailPage, type TrailPage } from './follow.js';
 
 /** A controller whose trail is recorded. */
@@ -202,7 +195,7 @@
    */
   private addRow(row: TraceRow): void {
     const known = this.rowsById.get(row.id);
-    if (known && preferenceRank(known) <= preferenceRank(row)) {
+    if (known && rank(known) <= rank(row)) {
       this.counts.duplicates += 1;
       return;
     }
--- a/packages/trace/src/store/row.ts
+++ b/packages/trace/src/store/row.ts
@@ -78,15 +78,13 @@
  * Rank of a report among several of the same event; the lower one is preferred: 0 for an observed task start, 1 for a
  * running task that a new holder adopted, since its start time is unknown.
  */
-export const preferenceRank = (row: TraceRow): number =>
-  row.kind === 'began' && row.detail.includes('"adopted":true') ? 1 : 0;
+export const rank = (row: TraceRow): number => (row.kind === 'began' && row.detail.includes('"adopted":true') ? 1 : 0);
 
 /**
  * The preferred one of two reports of an event: by rank, then by time, then by controller name, so that the result does
  * not depend on the order of arrival.
  */
 export function preferredRow(a: TraceRow, b: TraceRow): TraceRow {
-  const order =
-    preferenceRank(a) - preferenceRank(b) || a.at - b.at || (a.node < b.node ? -1 : a.node > b.node ? 1 : a.n - b.n);
+  const order = rank(a) - rank(b) || a.at - b.at || (a.node < b.node ? -1 : a.node > b.node ? 1 : a.n - b.n);
   return order <= 0 ? a : b;
 }
