--- a/packages/trace/src/cli/command.ts
+++ b/packages/trace/src/cli/command.ts
@@ -87,7 +87,7 @@
     if (flags.forS !== undefined) setTimeout(stop, flags.forS * 1000);
   });
   const unlock = lockDirectory(flags.out);
-  const { store, ids } = await TraceStore.open(diskFiles(flags.out), systemRuntime.wall());
+  const { store, ids: rowsById } = await TraceStore.open(diskFiles(flags.out), systemRuntime.wall());
   const options = {
     pollMs: flags.pollS * 1000,
     segmentRows: flags.segmentRows,
@@ -97,7 +97,7 @@
       bytes: flags.keepMb === undefined ? null : flags.keepMb * 1024 * 1024,
     },
   };
-  const recorder = new Recorder(store, ids, [], options, systemRuntime, log);
+  const recorder = new Recorder(store, rowsById, [], options, systemRuntime, log);
   recorder.start();
   // Each controller is followed as soon as its name is known, so one that is down does not delay the others.
   for (const at of flags.node)
@@ -123,7 +123,7 @@
   .option('--segment-rows <n>', 'maximum number of events in a segment', parsePositiveInteger, 20_000)
   .option(
     '--segment-s <seconds>',
-    'maximum age of an unwritten segment, which is requested again after a kill',
+    'maximum age of a segment before it is written; its events are requested again after a kill',
     parsePositive,
     30,
   )
