--- a/packages/trace/src/record/index.ts
+++ b/packages/trace/src/record/index.ts
@@ -1,2 +1,2 @@
-export { advance, begin, readPage, unread, type Page, type Step } from './follow.js';
-export { Recorder, type RecorderOptions, type Source } from './recorder.js';
+export { applyPage, initialCursor, parseTrailPage, unreadGaps, type PageResult, type TrailPage } from './follow.js';
+export { Recorder, type RecorderOptions, type TrailSource } from './recorder.js';
