--- a/packages/whatif/src/night/deaths.ts
+++ b/packages/whatif/src/night/deaths.ts
@@ -1,34 +1,37 @@
-import type { MachineSeen, Night } from './night.js';
+import type { Night, RecordedMachine } from './night.js';
 
-/** Of a silent machine: how long until its holder takes it for dead, beyond two reports. */
+/** Seconds after two missed reports at which the holder of a silent machine declares it dead. */
 export const DEAD_S = 2.7;
 
-/** What was told last was still told: it died after that. */
-const AFTER_S = 0.5;
+/** Seconds that a machine is assumed to live on after its last recorded sign of life, which it still reported. */
+const ALIVE_AFTER_LAST_SIGN_S = 0.5;
 
-/** When machines died without a word, in seconds since the night began: before that was noticed. */
-export function deathsOf(night: Night): Map<string, number> {
-  const lastSeen = new Map<string, number>();
+/**
+ * Estimates when machines died without a notice, in seconds since the night began. The record only shows when the
+ * controllers noticed a death, which is later than the death itself.
+ */
+export function estimateMachineDeaths(night: Night): Map<string, number> {
+  const lastSignS = new Map<string, number>();
   for (const { attempts } of night.jobs.values()) {
     for (const a of attempts) {
-      // Its end by the lease, or by being taken out, is no sign of life.
-      const told = a.why === 'lease over' || a.why === 'machine gone' ? a.beganS : (a.leftS ?? a.beganS);
-      if (told !== null) lastSeen.set(a.machine, Math.max(lastSeen.get(a.machine) ?? 0, told));
+      // An attempt that ended by lease expiry or by removal of the machine shows no sign of life at its end.
+      const signS = a.why === 'lease over' || a.why === 'machine gone' ? a.beganS : (a.leftS ?? a.beganS);
+      if (signS !== null) lastSignS.set(a.machine, Math.max(lastSignS.get(a.machine) ?? 0, signS));
     }
   }
   const { leaseMs, reportMs } = night.facts.workers;
   const reportS = reportMs / 1000;
-  const diedAt = (m: MachineSeen): number | null => {
+  const deathOf = (m: RecordedMachine): number | null => {
     if (m.notice) return null;
-    const seenS = (lastSeen.get(m.id) ?? 0) + AFTER_S;
-    if (m.lostS !== null) return Math.max(seenS, m.lostS - leaseMs / 1000 - reportS / 2);
+    const earliestS = (lastSignS.get(m.id) ?? 0) + ALIVE_AFTER_LAST_SIGN_S;
+    if (m.lostS !== null) return Math.max(earliestS, m.lostS - leaseMs / 1000 - reportS / 2);
     if (m.returned?.why === 'lost or faulty' && m.faultyS === null)
-      return Math.max(seenS, m.returned.atS - 2 * reportS - DEAD_S);
+      return Math.max(earliestS, m.returned.atS - 2 * reportS - DEAD_S);
     return null;
   };
   const deaths = new Map<string, number>();
   for (const m of night.machines.values()) {
-    const atS = diedAt(m);
+    const atS = deathOf(m);
     if (atS !== null) deaths.set(m.id, atS);
   }
   return deaths;
--- a/packages/whatif/src/night/facts.ts
+++ b/packages/whatif/src/night/facts.ts
@@ -1,38 +1,61 @@
 import * as v from 'valibot';
 import { TraceError } from '../../../trace/src/index.js';
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const text = v.pipe(v.string(), v.nonEmpty());
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
+const nonEmptyText = v.pipe(v.string(), v.nonEmpty());
 
-/** What the controllers said of the platform, beside what happened. */
-const schema = v.object({
-  zones: v.pipe(v.array(text), v.minLength(1)),
-  skewMs: amount,
-  teams: v.record(text, v.object({ cpus: amount, cpusMax: amount, gpus: amount, gpusMax: amount })),
+/** The platform's configuration as the controllers reported it, stored in a trace next to the events. */
+const factsSchema = v.object({
+  zones: v.pipe(v.array(nonEmptyText), v.minLength(1)),
+  skewMs: nonNegative,
+  teams: v.record(
+    nonEmptyText,
+    v.object({ cpus: nonNegative, cpusMax: nonNegative, gpus: nonNegative, gpusMax: nonNegative }),
+  ),
   objectives: v.array(
-    v.object({ kind: text, jobClass: v.nullable(text), withinS: v.nullable(amount), share: v.nullable(amount) }),
+    v.object({
+      kind: nonEmptyText,
+      jobClass: v.nullable(nonEmptyText),
+      withinS: v.nullable(nonNegative),
+      share: v.nullable(nonNegative),
+    }),
   ),
   workers: v.object({
-    ...{ reportMs: amount, leaseMs: amount, gangWaitMs: amount, gangPeerMs: amount, cancelMs: amount },
+    ...{
+      reportMs: nonNegative,
+      leaseMs: nonNegative,
+      gangWaitMs: nonNegative,
+      gangPeerMs: nonNegative,
+      cancelMs: nonNegative,
+    },
   }),
-  state: v.object({ rps: amount, writeRps: amount, valueKb: amount }),
-  cloud: v.object({ rps: amount, listLagMs: amount }),
+  state: v.object({ rps: nonNegative, writeRps: nonNegative, valueKb: nonNegative }),
+  cloud: v.object({ rps: nonNegative, listLagMs: nonNegative }),
   types: v.pipe(
     v.array(
       v.object({
-        ...{ name: text, cpus: amount, gpus: amount, memoryGb: amount, cacheGb: amount, fetchGbPerS: amount },
-        ...{ price: amount, spotPrice: amount, bootS: amount, zones: v.array(text) },
+        ...{
+          name: nonEmptyText,
+          cpus: nonNegative,
+          gpus: nonNegative,
+          memoryGb: nonNegative,
+          cacheGb: nonNegative,
+          fetchGbPerS: nonNegative,
+        },
+        ...{ price: nonNegative, spotPrice: nonNegative, bootS: nonNegative, zones: v.array(nonEmptyText) },
       }),
     ),
     v.minLength(1),
   ),
-  settings: v.optional(v.object({ tunables: v.optional(v.record(text, v.number()), {}) }), {}),
+  settings: v.optional(v.object({ tunables: v.optional(v.record(nonEmptyText, v.number()), {}) }), {}),
 });
 
-export type NightFacts = v.InferOutput<typeof schema>;
+/** The platform's configuration in a recorded night: zones, teams and quotas, objectives, limits, machine types. */
+export type NightFacts = v.InferOutput<typeof factsSchema>;
 
-export function readFacts(raw: unknown): NightFacts {
-  const result = v.safeParse(schema, raw);
+/** Validates the facts of a trace. Throws a TraceError that names the first invalid field. */
+export function parseFacts(raw: unknown): NightFacts {
+  const result = v.safeParse(factsSchema, raw);
   if (result.success) return result.output;
   const issue = result.issues[0];
   throw new TraceError(`facts: ${v.getDotPath(issue) ?? 'facts'}: ${issue.message}`);
--- a/packages/whatif/src/night/night.ts
+++ b/packages/whatif/src/night/night.ts
@@ -1,126 +1,141 @@
 import { detailOf, type Gap, type Trace, type TraceRow } from '../../../trace/src/index.js';
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { readFacts, type NightFacts } from './facts.js';
+import { parseFacts, type NightFacts } from './facts.js';
 
-/** One start of one task. Times in seconds since the night began; null: not seen. */
-export interface AttemptSeen {
+/** One attempt to run a task. Times are in seconds since the night began; null means not recorded. */
+export interface RecordedAttempt {
   readonly index: number;
   readonly attempt: number;
   readonly machine: string;
-  /** null: nobody saw when. */
+  /** Start of the task; null if no start was recorded, or only its adoption by another controller. */
   beganS: number | null;
+  /** Time at which the task left the machine. */
   leftS: number | null;
+  /** Reason why the task left the machine. */
   why: string | null;
-  /** Why it was told to stop. */
+  /** Reason given with the order to stop. */
   stopping: string | null;
 }
 
-export interface JobSeen {
+/** One job of a recorded night. Times are in seconds since the night began. */
+export interface RecordedJob {
   readonly spec: JobSpec;
   readonly submittedS: number;
-  readonly attempts: AttemptSeen[];
-  /** When it was said to wait for room, and for how many tasks. */
+  readonly attempts: RecordedAttempt[];
+  /** Times at which the job was reported to wait for room, with the number of tasks without room. */
   readonly waits: { readonly atS: number; readonly missing: number }[];
+  /** End of the job, or null if it was still open when the night ended. */
   ended: { readonly atS: number; readonly phase: 'done' | 'cancelled' } | null;
-  /** Submitted before the recording began, so that not all of it was seen. */
+  /** Submitted before the recording began, so the record of the job is incomplete. */
   readonly before: boolean;
 }
 
-export interface MachineSeen {
+/** One machine of a recorded night. Times are in seconds since the night began; null means not recorded. */
+export interface RecordedMachine {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** Rental of the machine, or null if it was rented before the night. */
   rentedS: number | null;
   joinedS: number | null;
+  /** Notice that the cloud takes the machine back; `leftS` is the remaining time in seconds. */
   notice: { readonly atS: number; readonly leftS: number } | null;
+  /** Time at which the machine was declared lost, after its lease had expired. */
   lostS: number | null;
+  /** Time at which the machine was declared faulty because tasks failed on it. */
   faultyS: number | null;
+  /** Return of the machine to the cloud, with the reason. */
   returned: { readonly atS: number; readonly why: string } | null;
 }
 
-export interface LifeSeen {
+/** One incarnation of a controller: the span between its first and its last recorded event, in seconds since the night began. */
+export interface ControllerIncarnation {
   readonly node: string;
   readonly life: string;
   readonly fromS: number;
   lastS: number;
 }
 
-/** A night as the controllers told it, put in order. */
+/** A night: the recorded period of a trace, with the controllers' events grouped by job and by machine. */
 export interface Night {
-  /** Time of day of its beginning, in milliseconds. */
+  /** Wall-clock time of the beginning, in milliseconds since the epoch. */
   readonly fromMs: number;
   readonly lengthS: number;
-  /** The recording began with the controllers themselves, not in the middle. */
-  readonly cold: boolean;
+  /** The recording covers the start of every controller, rather than beginning while they run. */
+  readonly coldStart: boolean;
   readonly facts: NightFacts;
-  readonly jobs: ReadonlyMap<string, JobSeen>;
-  readonly machines: ReadonlyMap<string, MachineSeen>;
-  readonly lives: readonly LifeSeen[];
+  readonly jobs: ReadonlyMap<string, RecordedJob>;
+  readonly machines: ReadonlyMap<string, RecordedMachine>;
+  readonly incarnations: readonly ControllerIncarnation[];
+  /** Rentals that failed because the cloud had no machine of the kind left. */
   readonly shortages: readonly { readonly atS: number; readonly kind: string }[];
+  /** Known gaps in the trace. */
   readonly gaps: readonly Gap[];
-  /** Jobs of which tasks were seen, but no description. */
+  /** Jobs with recorded tasks but without a recorded description. */
   readonly unknownJobs: ReadonlySet<string>;
 }
 
-const COLD_MS = 5000;
-/** Submitted so long before the first event: it was open already. */
-const BEFORE_S = 2;
+/** A night is a cold start if every controller starts within this time after the night began. */
+const COLD_START_WINDOW_MS = 5000;
+/** A job submitted more than this time before the night began counts as open before it. */
+const OPEN_BEFORE_MARGIN_S = 2;
 
-export const kindOf = ({ type, zone, spot }: Pick<MachineSeen, 'type' | 'zone' | 'spot'>): string =>
+/** Returns the key of a machine kind: type, zone and whether it is a spot machine. */
+export const kindOf = ({ type, zone, spot }: Pick<RecordedMachine, 'type' | 'zone' | 'spot'>): string =>
   `${type} ${zone} ${spot ? 'spot' : 'ordinary'}`;
 
-/** Puts a trace's events together, job by job and machine by machine. */
+/** Groups the events of a trace by job, machine and controller incarnation. */
 export function readNight(trace: Trace): Night {
   const { fromMs, rows } = trace;
-  const sinceS = (row: TraceRow): number => (row.at - fromMs) / 1000;
-  const jobs = new Map<string, JobSeen>();
-  const machines = new Map<string, MachineSeen>();
-  const lives = new Map<string, LifeSeen>();
+  const rowTimeS = (row: TraceRow): number => (row.at - fromMs) / 1000;
+  const jobs = new Map<string, RecordedJob>();
+  const machines = new Map<string, RecordedMachine>();
+  const incarnations = new Map<string, ControllerIncarnation>();
   const shortages: { atS: number; kind: string }[] = [];
   const unknownJobs = new Set<string>();
-  // Whatever order two controllers' clocks put them in: what a job is comes before what became of it.
+  // Reads the job descriptions first: clock skew between controllers can order other events of a job before them.
   for (const row of rows) {
     if (row.kind !== 'job' || row.job === null) continue;
     const { spec, submittedAt } = detailOf(row) as { spec?: JobSpec; submittedAt?: number };
     if (!spec || typeof submittedAt !== 'number') continue;
     const submittedS = (submittedAt - fromMs) / 1000;
-    const before = submittedS < -BEFORE_S;
+    const before = submittedS < -OPEN_BEFORE_MARGIN_S;
     jobs.set(row.job, { spec, submittedS, attempts: [], waits: [], ended: null, before });
   }
-  const attempts = new Map<string, AttemptSeen>();
-  const machineOf = (row: TraceRow): MachineSeen | undefined => {
+  const attempts = new Map<string, RecordedAttempt>();
+  const recordedMachine = (row: TraceRow): RecordedMachine | undefined => {
     const id = row.machine ?? '';
-    let seen = machines.get(id);
-    if (!seen && (row.kind === 'rented' || row.kind === 'joined')) {
+    let found = machines.get(id);
+    if (!found && (row.kind === 'rented' || row.kind === 'joined')) {
       const { type, zone, spot } = detailOf(row) as { type: string; zone: string; spot: boolean };
-      const blank = { rentedS: null, joinedS: null, notice: null, lostS: null, faultyS: null, returned: null };
-      machines.set(id, (seen = { id, type, zone, spot, ...blank }));
+      const unrecorded = { rentedS: null, joinedS: null, notice: null, lostS: null, faultyS: null, returned: null };
+      machines.set(id, (found = { id, type, zone, spot, ...unrecorded }));
     }
-    return seen;
+    return found;
   };
-  const attemptOf = (row: TraceRow): AttemptSeen | undefined => {
+  const recordedAttempt = (row: TraceRow): RecordedAttempt | undefined => {
     const { job, index, attempt, machine } = row;
     if (job === null || index === null || attempt === null || machine === null) return undefined;
-    const run = jobs.get(job);
-    if (!run) {
+    const recordedJob = jobs.get(job);
+    if (!recordedJob) {
       unknownJobs.add(job);
       return undefined;
     }
     const key = `${job}/${index}#${attempt}`;
-    let seen = attempts.get(key);
-    if (!seen) {
-      seen = { index, attempt, machine, beganS: null, leftS: null, why: null, stopping: null };
-      attempts.set(key, seen);
-      run.attempts.push(seen);
+    let found = attempts.get(key);
+    if (!found) {
+      found = { index, attempt, machine, beganS: null, leftS: null, why: null, stopping: null };
+      attempts.set(key, found);
+      recordedJob.attempts.push(found);
     }
-    return seen;
+    return found;
   };
   for (const row of rows) {
-    const atS = sinceS(row);
-    const life = lives.get(`${row.node} ${row.life}`);
-    if (life) life.lastS = Math.max(life.lastS, atS);
-    else lives.set(`${row.node} ${row.life}`, { node: row.node, life: row.life, fromS: atS, lastS: atS });
+    const atS = rowTimeS(row);
+    const incarnation = incarnations.get(`${row.node} ${row.life}`);
+    if (incarnation) incarnation.lastS = Math.max(incarnation.lastS, atS);
+    else incarnations.set(`${row.node} ${row.life}`, { node: row.node, life: row.life, fromS: atS, lastS: atS });
     switch (row.kind) {
       case 'ended': {
         const job = jobs.get(row.job ?? '');
@@ -132,60 +147,63 @@
         jobs.get(row.job ?? '')?.waits.push({ atS, missing: Number(detailOf(row)['missing'] ?? 0) });
         break;
       case 'began': {
-        const seen = attemptOf(row);
-        if (seen && detailOf(row)['adopted'] !== true) seen.beganS = atS;
+        const found = recordedAttempt(row);
+        if (found && detailOf(row)['adopted'] !== true) found.beganS = atS;
         break;
       }
       case 'stopping': {
-        const seen = attemptOf(row);
-        if (seen) seen.stopping = String(detailOf(row)['why'] ?? '');
+        const found = recordedAttempt(row);
+        if (found) found.stopping = String(detailOf(row)['why'] ?? '');
         break;
       }
       case 'left': {
-        const seen = attemptOf(row);
-        if (seen) [seen.leftS, seen.why] = [atS, String(detailOf(row)['why'] ?? '')];
+        const found = recordedAttempt(row);
+        if (found) [found.leftS, found.why] = [atS, String(detailOf(row)['why'] ?? '')];
         break;
       }
       case 'rented':
       case 'joined': {
-        const seen = machineOf(row);
-        if (seen && row.kind === 'rented') seen.rentedS = atS;
-        else if (seen) seen.joinedS = atS;
+        const found = recordedMachine(row);
+        if (found && row.kind === 'rented') found.rentedS = atS;
+        else if (found) found.joinedS = atS;
         break;
       }
       case 'notice': {
-        const seen = machineOf(row);
-        if (seen) seen.notice = { atS, leftS: Number(detailOf(row)['leftS'] ?? 0) };
+        const found = recordedMachine(row);
+        if (found) found.notice = { atS, leftS: Number(detailOf(row)['leftS'] ?? 0) };
         break;
       }
       case 'lost': {
-        const seen = machineOf(row);
-        if (seen) seen.lostS = atS;
+        const found = recordedMachine(row);
+        if (found) found.lostS = atS;
         break;
       }
       case 'faulty': {
-        const seen = machineOf(row);
-        if (seen) seen.faultyS = atS;
+        const found = recordedMachine(row);
+        if (found) found.faultyS = atS;
         break;
       }
       case 'returned': {
-        const seen = machineOf(row);
-        if (seen) seen.returned = { atS, why: String(detailOf(row)['why'] ?? '') };
+        const found = recordedMachine(row);
+        if (found) found.returned = { atS, why: String(detailOf(row)['why'] ?? '') };
         break;
       }
       case 'short':
-        shortages.push({ atS, kind: kindOf(detailOf(row) as unknown as MachineSeen) });
+        shortages.push({ atS, kind: kindOf(detailOf(row) as unknown as RecordedMachine) });
         break;
       default:
         break;
     }
   }
-  const first = new Map<string, LifeSeen>();
-  for (const life of lives.values()) if (!first.has(life.node)) first.set(life.node, life);
-  const ups = new Set(rows.filter((row) => row.kind === 'up').map((row) => `${row.node} ${row.life}`));
+  const firstOfNode = new Map<string, ControllerIncarnation>();
+  for (const incarnation of incarnations.values())
+    if (!firstOfNode.has(incarnation.node)) firstOfNode.set(incarnation.node, incarnation);
+  const startedIncarnations = new Set(rows.filter((row) => row.kind === 'up').map((row) => `${row.node} ${row.life}`));
   return {
-    ...{ fromMs, lengthS: (trace.toMs - fromMs) / 1000, facts: readFacts(trace.facts), jobs, machines },
-    cold: [...first.values()].every(({ node, life, fromS }) => ups.has(`${node} ${life}`) && fromS * 1000 < COLD_MS),
-    ...{ lives: [...lives.values()], shortages, gaps: trace.gaps, unknownJobs },
+    ...{ fromMs, lengthS: (trace.toMs - fromMs) / 1000, facts: parseFacts(trace.facts), jobs, machines },
+    coldStart: [...firstOfNode.values()].every(
+      ({ node, life, fromS }) => startedIncarnations.has(`${node} ${life}`) && fromS * 1000 < COLD_START_WINDOW_MS,
+    ),
+    ...{ incarnations: [...incarnations.values()], shortages, gaps: trace.gaps, unknownJobs },
   };
 }
--- a/packages/whatif/src/night/outcome.ts
+++ b/packages/whatif/src/night/outcome.ts
@@ -1,61 +1,66 @@
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import type { JobSeen, Night } from './night.js';
+import type { Night, RecordedJob } from './night.js';
 
-/** What became of one job in a night, recorded or replayed. Times in seconds since the night began. */
+/** The result of one job in a recorded or replayed night. All times are in seconds since the night began. */
 export interface Outcome {
   readonly id: string;
   readonly spec: JobSpec;
   readonly submittedS: number;
-  /** First task's start; null: none was seen. */
+  /** Start of the first task, or null if no start was recorded. */
   readonly startedS: number | null;
-  /** It is over, done or taken back; null: it was not when the night ended. */
+  /** Time at which the job was done or cancelled, or null if it was still open when the night ended. */
   readonly finishedS: number | null;
   readonly phase: 'done' | 'cancelled' | null;
-  /** Starts beyond each task's first. */
+  /** Number of task starts beyond the first start of each task. */
   readonly restarts: number;
-  /** Seconds from submission to each task's first start. */
+  /** Seconds from submission to the first start of each started task. */
   readonly waitsS: readonly number[];
+  /** Causes that determined the finishing time, the most important first. */
   readonly decided: readonly string[];
 }
 
-const WAITED_S = 5;
+/** A longer delay before the first start is reported as a cause, even if the record names no missing room. */
+const REPORTED_START_DELAY_S = 5;
 
-/** What decided when a job finished, the weightiest first. */
-function decidedBy(job: JobSeen, firstS: number | null): string[] {
-  const said: string[] = [];
-  const gone = job.attempts.filter((a) => a.why === 'lease over' || a.why === 'machine gone').length;
-  const told = (why: string): number => job.attempts.filter((a) => a.stopping === why).length;
+/** Returns the causes that determined when a job finished, the most important first. */
+function finishCauses(job: RecordedJob, firstStartS: number | null): string[] {
+  const causes: string[] = [];
+  const lost = job.attempts.filter((a) => a.why === 'lease over' || a.why === 'machine gone').length;
+  const stoppedFor = (why: string): number => job.attempts.filter((a) => a.stopping === why).length;
   const failed = job.attempts.filter((a) => a.why === 'error').length;
-  if (gone > 0) said.push(`machine died under ${gone} of its tasks`);
-  if (told('preempted') > 0) said.push(`${told('preempted')} tasks gave way to others`);
-  if (told('notice') > 0) said.push(`${told('notice')} tasks left machines that were taken back`);
-  if (told('drain') > 0) said.push(`${told('drain')} tasks left drained machines`);
-  if (told('straggler') > 0) said.push(`${told('straggler')} stragglers were restarted`);
-  if (failed > 0) said.push(`${failed} tasks failed`);
-  const waitedS = firstS === null ? null : firstS - job.submittedS;
+  if (lost > 0) causes.push(`machine died under ${lost} of its tasks`);
+  if (stoppedFor('preempted') > 0) causes.push(`${stoppedFor('preempted')} tasks gave way to others`);
+  if (stoppedFor('notice') > 0) causes.push(`${stoppedFor('notice')} tasks left machines that were taken back`);
+  if (stoppedFor('drain') > 0) causes.push(`${stoppedFor('drain')} tasks left drained machines`);
+  if (stoppedFor('straggler') > 0) causes.push(`${stoppedFor('straggler')} stragglers were restarted`);
+  if (failed > 0) causes.push(`${failed} tasks failed`);
+  const startDelayS = firstStartS === null ? null : firstStartS - job.submittedS;
   const [wait] = job.waits;
-  if (wait && job.spec.kind === 'gang') said.push(`waited for room for its gang of ${job.spec.tasks}`);
-  else if (wait) said.push(`waited for machines (${wait.missing} of ${job.spec.tasks} tasks had no room)`);
-  else if (waitedS !== null && waitedS > WAITED_S) said.push('waited for its image, or for its turn');
-  return said.length > 0 ? said : ['its own run time'];
+  if (wait && job.spec.kind === 'gang') causes.push(`waited for room for its gang of ${job.spec.tasks}`);
+  else if (wait) causes.push(`waited for machines (${wait.missing} of ${job.spec.tasks} tasks had no room)`);
+  else if (startDelayS !== null && startDelayS > REPORTED_START_DELAY_S)
+    causes.push('waited for its image, or for its turn');
+  return causes.length > 0 ? causes : ['its own run time'];
 }
 
-export function outcomeOf(job: JobSeen): Outcome {
-  const firsts = new Map<number, number>();
+/** Derives the outcome of one job from its recorded attempts. */
+export function jobOutcome(job: RecordedJob): Outcome {
+  const firstStarts = new Map<number, number>();
   let starts = 0;
   for (const { index, beganS } of job.attempts) {
     if (beganS === null) continue;
     starts += 1;
-    firsts.set(index, Math.min(firsts.get(index) ?? Infinity, beganS));
+    firstStarts.set(index, Math.min(firstStarts.get(index) ?? Infinity, beganS));
   }
-  const startedS = firsts.size > 0 ? [...firsts.values()].reduce((a, b) => Math.min(a, b)) : null;
+  const startedS = firstStarts.size > 0 ? [...firstStarts.values()].reduce((a, b) => Math.min(a, b)) : null;
   return {
     ...{ id: job.spec.id, spec: job.spec, submittedS: job.submittedS, startedS },
-    ...{ finishedS: job.ended?.atS ?? null, phase: job.ended?.phase ?? null, restarts: starts - firsts.size },
-    waitsS: [...firsts.values()].map((at) => Math.max(0, at - job.submittedS)),
-    decided: decidedBy(job, startedS),
+    ...{ finishedS: job.ended?.atS ?? null, phase: job.ended?.phase ?? null, restarts: starts - firstStarts.size },
+    waitsS: [...firstStarts.values()].map((at) => Math.max(0, at - job.submittedS)),
+    decided: finishCauses(job, startedS),
   };
 }
 
+/** Returns the outcome of every job of a night, by job id. */
 export const outcomesOf = (night: Night): Map<string, Outcome> =>
-  new Map([...night.jobs].map(([id, job]) => [id, outcomeOf(job)]));
+  new Map([...night.jobs].map(([id, job]) => [id, jobOutcome(job)]));
--- a/packages/whatif/src/night/runs.ts
+++ b/packages/whatif/src/night/runs.ts
@@ -1,142 +1,162 @@
 import { median, quantileSorted } from 'simple-statistics';
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { deathsOf } from './deaths.js';
-import type { AttemptSeen, JobSeen, Night } from './night.js';
+import { estimateMachineDeaths } from './deaths.js';
+import type { Night, RecordedAttempt, RecordedJob } from './night.js';
 
-/** What the recorded night says of how long tasks run: seconds of work on a machine of usual speed. */
-export interface KnownRuns {
-  /** By job and task; a gang's under task 0. */
-  readonly work: ReadonlyMap<string, ReadonlyMap<number, number>>;
-  /** Machines that ran everything slower, and by how much. */
-  readonly slow: ReadonlyMap<string, number>;
-  /** Machines that died without a word, and when. */
-  readonly deaths: ReadonlyMap<string, number>;
-  readonly fits: RunFits;
+/** Run times derived from a recorded night, as seconds of work on a machine of normal speed. */
+export interface RecordedRunTimes {
+  /** Seconds of work by job id and task index. A gang has one entry, under task 0. */
+  readonly workS: ReadonlyMap<string, ReadonlyMap<number, number>>;
+  /** Slowdown factor by machine id, for machines that ran every task slower than others. */
+  readonly slowdown: ReadonlyMap<string, number>;
+  /** Estimated time of death by machine id, for machines that died without a notice. Seconds since the night began. */
+  readonly deathS: ReadonlyMap<string, number>;
+  /** Estimates the run times of tasks whose end was not recorded. */
+  readonly fits: RunTimeModel;
 }
 
-const SLOW_FROM = 1.5;
-const RUNS_TO_JUDGE = 3;
+/** A machine counts as slow if the median of its run time ratios exceeds this factor. */
+const SLOW_MACHINE_FACTOR = 1.5;
+/** Fewest completed tasks, of a job or on a machine, from which a slowdown is estimated. */
+const MIN_COMPLETED_TASKS = 3;
 
-const ranS = ({ beganS, leftS }: AttemptSeen): number | null =>
+const recordedRunS = ({ beganS, leftS }: RecordedAttempt): number | null =>
   beganS === null || leftS === null ? null : Math.max(0.05, leftS - beganS);
 
-/** Machines whose tasks took far longer than their siblings elsewhere. */
-function slowMachines(jobs: Iterable<JobSeen>): Map<string, number> {
+/** Returns the machines whose array tasks took far longer than tasks of the same job elsewhere, with their slowdown. */
+function findSlowMachines(jobs: Iterable<RecordedJob>): Map<string, number> {
   const ratios = new Map<string, number[]>();
   for (const { spec, attempts } of jobs) {
     if (spec.kind !== 'array') continue;
-    const done = attempts.filter((a) => a.why === 'done' && ranS(a) !== null);
-    if (done.length < RUNS_TO_JUDGE) continue;
-    const typical = median(done.map((a) => ranS(a) ?? 0));
+    const done = attempts.filter((a) => a.why === 'done' && recordedRunS(a) !== null);
+    if (done.length < MIN_COMPLETED_TASKS) continue;
+    const medianRunS = median(done.map((a) => recordedRunS(a) ?? 0));
     for (const a of done) {
       const list = ratios.get(a.machine) ?? [];
-      list.push((ranS(a) ?? 0) / typical);
+      list.push((recordedRunS(a) ?? 0) / medianRunS);
       ratios.set(a.machine, list);
     }
   }
-  const slow = new Map<string, number>();
+  const slowdown = new Map<string, number>();
   for (const [machine, list] of ratios) {
     const factor = median(list);
-    if (list.length >= RUNS_TO_JUDGE && factor > SLOW_FROM) slow.set(machine, factor);
+    if (list.length >= MIN_COMPLETED_TASKS && factor > SLOW_MACHINE_FACTOR) slowdown.set(machine, factor);
   }
-  return slow;
+  return slowdown;
 }
 
-/** What a stopped or killed attempt leaves to the next: all when it saved, else its last checkpoint. */
-function savedBy(spec: JobSpec, attempt: AttemptSeen, workS: number): number {
+/**
+ * Returns the seconds of work that the next attempt inherits. A stopped attempt keeps all its work except the time
+ * that saving took; a killed one keeps the work up to its last checkpoint; without checkpoints nothing is kept.
+ */
+function savedWorkS(spec: JobSpec, attempt: RecordedAttempt, workS: number): number {
   if (spec.checkpointS <= 0) return 0;
   if (attempt.why === 'stopped') return Math.max(0, workS - spec.saveS);
   return Math.floor(workS / spec.checkpointS) * spec.checkpointS;
 }
 
-/** Work of each task whose end was seen; of a gang, of all together under 0. */
-function workOf(
-  { spec, attempts }: JobSeen,
-  slow: ReadonlyMap<string, number>,
-  deaths: ReadonlyMap<string, number>,
+/**
+ * Returns the seconds of work of each task of a job whose completion was recorded. A gang has one entry for all of
+ * its tasks, under task 0.
+ */
+function completedWorkS(
+  { spec, attempts }: RecordedJob,
+  slowdown: ReadonlyMap<string, number>,
+  deathS: ReadonlyMap<string, number>,
 ): Map<number, number> {
-  const work = new Map<number, number>();
-  // What was noticed late had ended before: with its machine.
-  const ran = (a: AttemptSeen): number | null => {
-    const endS = a.leftS === null ? null : Math.min(a.leftS, deaths.get(a.machine) ?? Infinity);
-    return ranS({ ...a, leftS: endS });
+  const completed = new Map<number, number>();
+  // The controllers notice the end of an attempt on a dead machine late: it ended when the machine died.
+  const runS = (a: RecordedAttempt): number | null => {
+    const endS = a.leftS === null ? null : Math.min(a.leftS, deathS.get(a.machine) ?? Infinity);
+    return recordedRunS({ ...a, leftS: endS });
   };
-  const speed = (a: AttemptSeen): number => (ran(a) ?? 0) / (slow.get(a.machine) ?? 1);
-  const groups = new Map<number, AttemptSeen[]>();
-  // A gang runs together: the last of an attempt to begin is when its work begins.
+  const normalizedWorkS = (a: RecordedAttempt): number => (runS(a) ?? 0) / (slowdown.get(a.machine) ?? 1);
+  const attemptsByTask = new Map<number, RecordedAttempt[]>();
+  // All tasks of a gang run together, and their work begins when the last of them begins: an attempt counts once.
   for (const a of [...attempts].sort((x, y) => x.attempt - y.attempt)) {
     const key = spec.kind === 'gang' ? 0 : a.index;
-    groups.set(key, [...(groups.get(key) ?? []), a]);
+    attemptsByTask.set(key, [...(attemptsByTask.get(key) ?? []), a]);
   }
-  for (const [key, tries] of groups) {
-    let saved = 0;
-    const tried = new Set<number>();
-    for (const a of tries) {
-      if (work.has(key) || tried.has(a.attempt)) continue;
+  for (const [key, taskAttempts] of attemptsByTask) {
+    let savedS = 0;
+    const countedAttempts = new Set<number>();
+    for (const a of taskAttempts) {
+      if (completed.has(key) || countedAttempts.has(a.attempt)) continue;
       if (a.why === 'done') {
-        // Begun where nobody saw it: how long it ran is not known.
-        if (ran(a) !== null) work.set(key, saved + speed(a));
+        // Without a recorded start the run time is unknown.
+        if (runS(a) !== null) completed.set(key, savedS + normalizedWorkS(a));
       } else if (a.beganS !== null) {
-        // Nobody told when it left: no later than the next try began.
-        const next = tries.find((b) => b.attempt > a.attempt && b.beganS !== null);
+        // Without a recorded end, the attempt ended no later than the start of the next attempt.
+        const next = taskAttempts.find((b) => b.attempt > a.attempt && b.beganS !== null);
         const leftS = a.leftS ?? next?.beganS ?? null;
-        if (leftS !== null) saved += savedBy(spec, a, speed({ ...a, leftS }));
-        if (spec.kind === 'gang') tried.add(a.attempt);
+        if (leftS !== null) savedS += savedWorkS(spec, a, normalizedWorkS({ ...a, leftS }));
+        if (spec.kind === 'gang') countedAttempts.add(a.attempt);
       }
     }
   }
-  return work;
+  return completed;
 }
 
-/** Reads run times off a night, and fits what was not seen to what was. */
-export function knownRuns(night: Night): KnownRuns {
-  const slow = slowMachines(night.jobs.values());
-  const deaths = deathsOf(night);
-  const work = new Map<string, ReadonlyMap<number, number>>();
-  for (const [id, job] of night.jobs) if (job.spec.kind !== 'service') work.set(id, workOf(job, slow, deaths));
-  return { work, slow, deaths, fits: new RunFits(night, work) };
+/** Derives run times from a night, and fits a model for the tasks whose end was not recorded. */
+export function deriveRunTimes(night: Night): RecordedRunTimes {
+  const slowdown = findSlowMachines(night.jobs.values());
+  const deathS = estimateMachineDeaths(night);
+  const workS = new Map<string, ReadonlyMap<number, number>>();
+  for (const [id, job] of night.jobs)
+    if (job.spec.kind !== 'service') workS.set(id, completedWorkS(job, slowdown, deathS));
+  return { workS, slowdown, deathS, fits: new RunTimeModel(night, workS) };
 }
 
-const FEW = 5;
+/** Fewest samples from which a distribution of run time factors is used. */
+const MIN_SAMPLES = 5;
 
-/** A factor drawn from those that were seen, between them too; 1 where too few were. */
-function drawn(sorted: readonly number[], luck: () => number): number {
-  return sorted.length < FEW ? 1 : quantileSorted([...sorted], luck());
+/**
+ * Draws a factor from the empirical distribution of the sorted samples, interpolating between them. Returns 1 if there
+ * are too few samples.
+ */
+function sampleFactor(sorted: readonly number[], random: () => number): number {
+  return sorted.length < MIN_SAMPLES ? 1 : quantileSorted([...sorted], random());
 }
 
-/** Run times of tasks that nobody saw end: as others of their class were, against the owners' estimates. */
-export class RunFits {
-  /** A job's typical run over its owner's estimate, by class. */
+/**
+ * Estimates the run times of tasks whose end was not recorded: the owner's estimate times a factor drawn from the
+ * completed jobs of the same class.
+ */
+export class RunTimeModel {
+  /** Median run time of a job divided by its owner's estimate, by job class. */
   private readonly jobFactors = new Map<string, number[]>();
-  /** A task's run over its job's typical one, by class. */
+  /** Run time of a task divided by the median of its job, by job class. */
   private readonly taskFactors = new Map<string, number[]>();
-  private readonly typical = new Map<string, number>();
+  /** Median run time of a job's completed tasks in seconds, by job id. */
+  private readonly medianRunS = new Map<string, number>();
 
-  constructor(night: Night, work: ReadonlyMap<string, ReadonlyMap<number, number>>) {
-    const note = (map: Map<string, number[]>, key: string, value: number): void => {
+  constructor(night: Night, workS: ReadonlyMap<string, ReadonlyMap<number, number>>) {
+    const append = (map: Map<string, number[]>, key: string, value: number): void => {
       const list = map.get(key);
       if (list) list.push(value);
       else map.set(key, [value]);
     };
-    for (const [id, runs] of work) {
+    for (const [id, runs] of workS) {
       const spec = night.jobs.get(id)?.spec;
       if (!spec || runs.size === 0) continue;
-      const typical = median([...runs.values()]);
-      this.typical.set(id, typical);
-      if (spec.estimateS > 0) note(this.jobFactors, spec.jobClass, typical / spec.estimateS);
-      if (runs.size >= FEW) for (const run of runs.values()) note(this.taskFactors, spec.jobClass, run / typical);
+      const medianRunS = median([...runs.values()]);
+      this.medianRunS.set(id, medianRunS);
+      if (spec.estimateS > 0) append(this.jobFactors, spec.jobClass, medianRunS / spec.estimateS);
+      if (runs.size >= MIN_SAMPLES)
+        for (const run of runs.values()) append(this.taskFactors, spec.jobClass, run / medianRunS);
     }
     for (const map of [this.jobFactors, this.taskFactors]) for (const list of map.values()) list.sort((a, b) => a - b);
   }
 
-  /** A job's typical run; `luck` gives numbers between 0 and 1. */
-  job(spec: JobSpec, luck: () => number): number {
-    const known = this.typical.get(spec.id);
-    if (known !== undefined) return known;
-    return Math.max(0.5, spec.estimateS) * drawn(this.jobFactors.get(spec.jobClass) ?? [], luck);
+  /** Returns the typical run time of a job in seconds, recorded or drawn; `random` returns numbers from 0 to 1. */
+  job(spec: JobSpec, random: () => number): number {
+    const recorded = this.medianRunS.get(spec.id);
+    if (recorded !== undefined) return recorded;
+    return Math.max(0.5, spec.estimateS) * sampleFactor(this.jobFactors.get(spec.jobClass) ?? [], random);
   }
 
-  task(spec: JobSpec, typicalS: number, luck: () => number): number {
-    return typicalS * drawn(this.taskFactors.get(spec.jobClass) ?? [], luck);
+  /** Draws the run time of one task in seconds, given the typical run time of its job. */
+  task(spec: JobSpec, typicalS: number, random: () => number): number {
+    return typicalS * sampleFactor(this.taskFactors.get(spec.jobClass) ?? [], random);
   }
 }
--- a/packages/whatif/src/night/scenario.ts
+++ b/packages/whatif/src/night/scenario.ts
@@ -1,106 +1,130 @@
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { kindOf, type JobSeen, type Night } from './night.js';
+import { kindOf, type RecordedJob, type Night } from './night.js';
 import type { NightFacts } from './facts.js';
-import { knownRuns, type KnownRuns } from './runs.js';
+import { deriveRunTimes, type RecordedRunTimes } from './runs.js';
 
-/** One job as it will be played. Times in seconds since the night began. */
+/** One job as the replay submits it. Times are in seconds since the night began. */
 export interface PlayedJob {
   readonly spec: JobSpec;
+  /** Submission. */
   readonly atS: number;
+  /** Cancellation by the owner, or null if the job was not cancelled. */
   readonly cancelAtS: number | null;
-  /** Seconds of work by task, a gang's under 0; what is missing is drawn. */
+  /** Seconds of work by task index; a gang has one entry, under task 0. Missing run times are drawn from a model. */
   readonly work: ReadonlyMap<number, number>;
-  /** From its last task's end until that was stored, when it was done; an outage of the state service shows here. */
+  /**
+   * Seconds from the end of the last task until the completion of the job was stored, or null if the job was not done.
+   * An outage of the state service lengthens this delay.
+   */
   readonly writeS: number | null;
-  /** Its tasks fail wherever they run. */
+  /** The job's own fault makes its tasks fail on every machine. */
   readonly mistaken: boolean;
-  /** Not all of it lies in the recording, so that its finish says nothing. */
+  /**
+   * Set if the job lies partly outside the recording, before its beginning or after its end. Its finishing time is then
+   * not comparable.
+   */
   readonly cut: 'before' | 'after' | null;
-  /** What the plan did to it. */
+  /** How the plan changed the job, or null if it did not. */
   readonly changed: string | null;
 }
 
+/** One machine as the replay provides it. Times are in seconds since the night began unless stated otherwise. */
 export interface PlayedMachine {
   readonly id: string;
   readonly kind: string;
-  /** Of the night's beginning, not rented in it. */
+  /** Present when the night began, rather than rented during it. */
   readonly initial: boolean;
-  /** For initial ones: since the night began; for others: from rental to its first report. null: it never came up. */
+  /** Boot time in seconds, from the beginning of the night for initial machines and from rental for others. Null if the machine never came up. */
   readonly upAfterS: number | null;
+  /** Death without a notice, or null if the machine did not die. */
   readonly diesAtS: number | null;
+  /** Notice that the cloud takes the machine back, and the seconds from the notice to the loss of the machine. */
   readonly takenBack: { readonly noticeAtS: number; readonly noticeS: number } | null;
+  /** Factor by which tasks run longer than on other machines; 1 for a normal machine. */
   readonly slowness: number;
+  /** Time from which tasks fail on this machine, or null if it is not faulty. */
   readonly failsFromS: number | null;
 }
 
-/** Everything that a replay needs; a plan is a change of it. */
+/** The input of a replay. Applying a plan produces a changed scenario. */
 export interface Scenario {
+  /** Wall-clock time of the beginning of the night, in milliseconds since the epoch. */
   readonly fromMs: number;
   readonly lengthS: number;
+  /** The recording covers the start of every controller. */
   readonly cold: boolean;
   readonly facts: NightFacts;
+  /** Number of controllers. */
   readonly controllers: number;
+  /** Restarts of controllers; `controller` is an index and `downS` the time until the controller is back. */
   readonly crashes: readonly { readonly controller: number; readonly atS: number; readonly downS: number }[];
   readonly jobs: readonly PlayedJob[];
   readonly machines: readonly PlayedMachine[];
-  /** Machines of a kind that the cloud has, where the night showed an end of it. */
+  /** Number of machines that the cloud has, by machine kind, for the kinds that ran out during the night. */
   readonly capacity: ReadonlyMap<string, number>;
-  readonly runs: KnownRuns;
-  /** The night itself: up to `freeFromS` nothing is decided anew. */
+  readonly runs: RecordedRunTimes;
+  /** The recorded night. Up to `freeFromS` the replay follows its recorded decisions. */
   readonly night: Night;
-  /** When the plan first makes a difference; endless: never. */
+  /**
+   * Time at which the plan first makes a difference and the replay starts to make its own decisions. Infinity means
+   * never.
+   */
   readonly freeFromS: number;
 }
 
-/** From coming up to being in a block. */
+/** Seconds from a machine's boot until its block of machines includes it. */
 export const JOIN_S = 1;
-const COLD_JOIN_S = 12;
-/** Beyond what was rented at most, where nothing was ever sold out. */
-const ROOM = 100;
+/** In a cold start, an initial machine that joins within this time counts as up from the beginning. */
+const COLD_START_JOIN_LIMIT_S = 12;
+/** Assumed number of machines beyond those recorded, for a kind that never ran out. */
+const UNCONSTRAINED_EXTRA_MACHINES = 100;
 
-/** The job's own part: a mistake in it shows on several machines, and nothing of it is ever done. */
-const isMistaken = ({ attempts }: JobSeen): boolean =>
+/** Whether a job fails by its own fault: its tasks failed on at least three machines and none was ever done. */
+const failsEverywhere = ({ attempts }: RecordedJob): boolean =>
   !attempts.some((a) => a.why === 'done') &&
   new Set(attempts.filter((a) => a.why === 'error').map((a) => a.machine)).size >= 3;
 
-function writeOf({ attempts, ended }: JobSeen): number | null {
-  const lefts = attempts.flatMap((a) => (a.why === 'done' && a.leftS !== null ? [a.leftS] : []));
-  if (ended?.phase !== 'done' || lefts.length === 0) return null;
-  return Math.max(0, ended.atS - lefts.reduce((a, b) => Math.max(a, b)));
+/** Returns the seconds from the end of a job's last task until its completion was stored, or null if it was not done. */
+function completionWriteS({ attempts, ended }: RecordedJob): number | null {
+  const endsS = attempts.flatMap((a) => (a.why === 'done' && a.leftS !== null ? [a.leftS] : []));
+  if (ended?.phase !== 'done' || endsS.length === 0) return null;
+  return Math.max(0, ended.atS - endsS.reduce((a, b) => Math.max(a, b)));
 }
 
-function playedJob(job: JobSeen, runs: KnownRuns): PlayedJob {
+/** Converts a recorded job into a job to replay. */
+function toScenarioJob(job: RecordedJob, runs: RecordedRunTimes): PlayedJob {
   const { spec, ended } = job;
-  const work = runs.work.get(spec.id) ?? new Map<number, number>();
+  const work = runs.workS.get(spec.id) ?? new Map<number, number>();
   const cancelAtS = ended?.phase === 'cancelled' ? ended.atS : null;
   if (!job.before) {
     const cut = ended === null ? ('after' as const) : null;
-    const writeS = writeOf(job);
-    return { spec, atS: job.submittedS, cancelAtS, work, writeS, mistaken: isMistaken(job), cut, changed: null };
+    const writeS = completionWriteS(job);
+    return { spec, atS: job.submittedS, cancelAtS, work, writeS, mistaken: failsEverywhere(job), cut, changed: null };
   }
-  // Of a job that was open already, those tasks are played of which anything was seen.
-  const seen = [...new Set(job.attempts.map((a) => a.index))].sort((a, b) => a - b);
-  const array = spec.kind === 'array' && seen.length > 0;
-  const left = new Map<number, number>();
-  for (const [i, index] of seen.entries()) {
-    const known = work.get(index);
-    const tries = job.attempts.filter((a) => a.index === index && a.why === 'done' && a.leftS !== null);
-    const restS = known ?? tries[0]?.leftS ?? null;
-    if (array && restS !== null) left.set(i, restS);
+  // Of a job that was open before the night, only the tasks with recorded attempts are replayed.
+  const recordedIndexes = [...new Set(job.attempts.map((a) => a.index))].sort((a, b) => a - b);
+  const isArray = spec.kind === 'array' && recordedIndexes.length > 0;
+  const remainingS = new Map<number, number>();
+  for (const [i, index] of recordedIndexes.entries()) {
+    const knownS = work.get(index);
+    const completed = job.attempts.filter((a) => a.index === index && a.why === 'done' && a.leftS !== null);
+    const taskRemainingS = knownS ?? completed[0]?.leftS ?? null;
+    if (isArray && taskRemainingS !== null) remainingS.set(i, taskRemainingS);
   }
   return {
-    spec: array ? { ...spec, tasks: seen.length } : spec,
-    ...{ atS: 0, cancelAtS, work: array ? left : work, writeS: null },
-    ...{ mistaken: isMistaken(job), cut: 'before', changed: null },
+    spec: isArray ? { ...spec, tasks: recordedIndexes.length } : spec,
+    ...{ atS: 0, cancelAtS, work: isArray ? remainingS : work, writeS: null },
+    ...{ mistaken: failsEverywhere(job), cut: 'before', changed: null },
   };
 }
 
-function playedMachines(night: Night, runs: KnownRuns): PlayedMachine[] {
-  const firstError = new Map<string, number>();
+/** Converts the recorded machines into machines to replay, in the order of their rental. */
+function toScenarioMachines(night: Night, runs: RecordedRunTimes): PlayedMachine[] {
+  const firstErrorS = new Map<string, number>();
   for (const { attempts } of night.jobs.values())
     for (const a of attempts)
       if (a.why === 'error' && a.leftS !== null)
-        firstError.set(a.machine, Math.min(firstError.get(a.machine) ?? Infinity, a.leftS));
+        firstErrorS.set(a.machine, Math.min(firstErrorS.get(a.machine) ?? Infinity, a.leftS));
   const order = [...night.machines.values()].sort(
     (a, b) => (a.rentedS ?? -1) - (b.rentedS ?? -1) || (a.id < b.id ? -1 : 1),
   );
@@ -109,50 +133,52 @@
     let upAfterS: number | null = null;
     if (m.joinedS !== null) {
       if (!initial) upAfterS = Math.max(0.3, m.joinedS - (m.rentedS ?? 0) - JOIN_S);
-      else upAfterS = !night.cold || m.joinedS < COLD_JOIN_S ? 0 : m.joinedS - JOIN_S;
+      else upAfterS = !night.coldStart || m.joinedS < COLD_START_JOIN_LIMIT_S ? 0 : m.joinedS - JOIN_S;
     }
     return {
-      ...{ id: m.id, kind: kindOf(m), initial, upAfterS, diesAtS: runs.deaths.get(m.id) ?? null },
+      ...{ id: m.id, kind: kindOf(m), initial, upAfterS, diesAtS: runs.deathS.get(m.id) ?? null },
       takenBack: m.notice && { noticeAtS: m.notice.atS, noticeS: m.notice.leftS },
-      slowness: runs.slow.get(m.id) ?? 1,
-      failsFromS: m.faultyS === null ? null : (firstError.get(m.id) ?? null),
+      slowness: runs.slowdown.get(m.id) ?? 1,
+      failsFromS: m.faultyS === null ? null : (firstErrorS.get(m.id) ?? null),
     };
   });
 }
 
-/** Where the cloud had no more of a kind: as many as there were then. */
-function capacityOf(night: Night): Map<string, number> {
+/** Returns the capacity of each kind that ran out: the largest number of its machines held at a shortage. */
+function observedCapacity(night: Night): Map<string, number> {
   const capacity = new Map<string, number>();
-  const held = (kind: string, atS: number): number =>
+  const heldMachines = (kind: string, atS: number): number =>
     [...night.machines.values()].filter(
       (m) => kindOf(m) === kind && (m.rentedS ?? 0) <= atS && (m.returned?.atS ?? Infinity) > atS,
     ).length;
-  for (const { atS, kind } of night.shortages) capacity.set(kind, Math.max(capacity.get(kind) ?? 0, held(kind, atS)));
+  for (const { atS, kind } of night.shortages)
+    capacity.set(kind, Math.max(capacity.get(kind) ?? 0, heldMachines(kind, atS)));
   return capacity;
 }
 
-/** Machines of a kind that a replay's cloud has. */
+/** Returns how many machines of a kind the cloud of a replay has. */
 export const capacityFor = ({ capacity, machines }: Scenario, kind: string): number =>
-  // A shortage late in the night says nothing of its beginning, when there may have been more.
+  // The cloud may have had more machines at the beginning of the night than at a later shortage.
   Math.max(
-    capacity.get(kind) ?? machines.filter((m) => m.kind === kind).length + ROOM,
+    capacity.get(kind) ?? machines.filter((m) => m.kind === kind).length + UNCONSTRAINED_EXTRA_MACHINES,
     machines.filter((m) => m.kind === kind && m.initial).length,
   );
 
+/** Builds the scenario that replays a recorded night unchanged. */
 export function scenarioOf(night: Night): Scenario {
-  const runs = knownRuns(night);
-  const nodes = [...new Set(night.lives.map(({ node }) => node))].sort();
+  const runs = deriveRunTimes(night);
+  const nodes = [...new Set(night.incarnations.map(({ node }) => node))].sort();
   const crashes = nodes.flatMap((node, controller) => {
-    const lives = night.lives.filter((life) => life.node === node).sort((a, b) => a.fromS - b.fromS);
-    return lives.slice(1).map((life, i) => {
-      const atS = lives[i]?.lastS ?? 0;
-      return { controller, atS, downS: Math.max(0.5, life.fromS - atS) };
+    const incarnations = night.incarnations.filter((x) => x.node === node).sort((a, b) => a.fromS - b.fromS);
+    return incarnations.slice(1).map((next, i) => {
+      const atS = incarnations[i]?.lastS ?? 0;
+      return { controller, atS, downS: Math.max(0.5, next.fromS - atS) };
     });
   });
   return {
-    ...{ fromMs: night.fromMs, lengthS: night.lengthS, cold: night.cold, facts: night.facts },
-    ...{ controllers: nodes.length, crashes, runs, capacity: capacityOf(night), night, freeFromS: Infinity },
-    jobs: [...night.jobs.values()].map((job) => playedJob(job, runs)).sort((a, b) => a.atS - b.atS),
-    machines: playedMachines(night, runs),
+    ...{ fromMs: night.fromMs, lengthS: night.lengthS, cold: night.coldStart, facts: night.facts },
+    ...{ controllers: nodes.length, crashes, runs, capacity: observedCapacity(night), night, freeFromS: Infinity },
+    jobs: [...night.jobs.values()].map((job) => toScenarioJob(job, runs)).sort((a, b) => a.atS - b.atS),
+    machines: toScenarioMachines(night, runs),
   };
 }
