--- a/packages/whatif/src/answer/errors.ts
+++ b/packages/whatif/src/answer/errors.ts
@@ -1,29 +1,40 @@
 import { quantileSorted } from 'simple-statistics';
 import type { Outcome, Scenario } from '../night/index.js';
 
-/** Within what a replayed finish counts as the recorded one: seconds, or a share of the job's time if that is more. */
-export const TOLERANCE = { s: 3, share: 0.03 } as const;
+/**
+ * Tolerance within which a replayed finishing time counts as equal to the recorded one: `s` seconds, or `share` of the
+ * job's duration if that is longer.
+ */
+export const FINISH_TOLERANCE = { s: 3, share: 0.03 } as const;
 
-export const toleranceS = (durationS: number): number => Math.max(TOLERANCE.s, TOLERANCE.share * durationS);
+/** Returns the tolerance in seconds for a job of the given duration. */
+export const toleranceS = (durationS: number): number =>
+  Math.max(FINISH_TOLERANCE.s, FINISH_TOLERANCE.share * durationS);
 
-/** How far a replay's finishing times lie from the recorded ones. */
+/** Errors of a replay's finishing times against the recorded ones. */
 export interface ReplayErrors {
+  /** Number of jobs compared. */
   readonly jobs: number;
+  /** Number of jobs whose finishing time is within the tolerance. */
   readonly within: number;
-  /** Over in the record, not in the replay. */
+  /** Number of jobs that finished in the record but not in the replay. */
   readonly unfinished: number;
-  /** Seconds at the 5th, 25th, 50th, 75th, 95th percentile and the ends. */
+  /**
+   * Minimum, maximum and percentiles of the error (replayed minus recorded finishing time) in seconds, or null if no job
+   * finished in both.
+   */
   readonly errorS: Readonly<Record<'min' | 'p5' | 'p25' | 'p50' | 'p75' | 'p95' | 'max', number>> | null;
   readonly byClass: Readonly<Record<string, { readonly jobs: number; readonly within: number }>>;
 }
 
-/** Jobs that count: done in the record, and wholly inside it. */
-export const comparable = (scenario: Scenario, recorded: ReadonlyMap<string, Outcome>): Outcome[] =>
+/** Returns the recorded outcomes that a replay can be compared with: jobs done, and entirely inside the recording. */
+export const comparableOutcomes = (scenario: Scenario, recorded: ReadonlyMap<string, Outcome>): Outcome[] =>
   scenario.jobs.flatMap(({ spec, cut }) => {
     const outcome = recorded.get(spec.id);
     return cut === null && outcome?.phase === 'done' ? [outcome] : [];
   });
 
+/** Compares the finishing times of a replay with the recorded ones. */
 export function replayErrors(
   scenario: Scenario,
   recorded: ReadonlyMap<string, Outcome>,
@@ -32,20 +43,20 @@
   const errors: number[] = [];
   const byClass: Record<string, { jobs: number; within: number }> = {};
   let [jobs, within, unfinished] = [0, 0, 0];
-  for (const { id, spec, submittedS, finishedS } of comparable(scenario, recorded)) {
+  for (const { id, spec, submittedS, finishedS } of comparableOutcomes(scenario, recorded)) {
     if (finishedS === null) continue;
-    const c = (byClass[spec.jobClass] ??= { jobs: 0, within: 0 });
+    const classErrors = (byClass[spec.jobClass] ??= { jobs: 0, within: 0 });
     jobs += 1;
-    c.jobs += 1;
-    const then = played.get(id)?.finishedS ?? null;
-    if (then === null) {
+    classErrors.jobs += 1;
+    const replayedS = played.get(id)?.finishedS ?? null;
+    if (replayedS === null) {
       unfinished += 1;
       continue;
     }
-    errors.push(then - finishedS);
-    if (Math.abs(then - finishedS) > toleranceS(finishedS - submittedS)) continue;
+    errors.push(replayedS - finishedS);
+    if (Math.abs(replayedS - finishedS) > toleranceS(finishedS - submittedS)) continue;
     within += 1;
-    c.within += 1;
+    classErrors.within += 1;
   }
   errors.sort((a, b) => a - b);
   const at = (p: number): number => Math.round(quantileSorted(errors, p) * 100) / 100;
--- a/packages/whatif/src/answer/forecast.ts
+++ b/packages/whatif/src/answer/forecast.ts
@@ -4,59 +4,71 @@
 import { fared, type Fared } from './classes.js';
 import { toleranceS } from './errors.js';
 
+/** A way of replaying a scenario with a seed. */
 export type Engine = (scenario: Scenario, seed: number, options?: ReplayOptions) => Promise<Played>;
 
-/** What a plan would have meant for one job. Times in seconds since the night began. */
+/** The predicted effect of a plan on one job. All times are in seconds since the night began. */
 export interface JobForecast {
   readonly id: string;
   readonly class: string;
   readonly team: string;
   readonly submittedS: number;
-  /** As recorded; null: not seen. */
+  /** Recorded finishing time, or null if the job did not finish in the record. */
   readonly recordedS: number | null;
-  /** Replayed unchanged from the moment on at which the plan makes its first difference. */
+  /**
+   * Median finishing time over the replays without the plan, which follow the record up to the time at which the plan
+   * first makes a difference. Null if the job did not finish.
+   */
   readonly unchangedS: number | null;
+  /** Median finishing time over the replays with the plan, or null if the job did not finish. */
   readonly plannedS: number | null;
-  /** Nine times in ten it would lie in here, by how far the unchanged replay is off the record. */
+  /** 90 % prediction interval of the finishing time, based on the errors of the unchanged replay against the record. */
   readonly intervalS: readonly [number, number] | null;
-  /** Later by so much than unchanged; null: in one of them it does not end. */
+  /** Delay in seconds against the unchanged replay; null if the job does not finish in one of the two. */
   readonly laterS: number | null;
-  /** The plan makes a difference beyond the tolerance and beyond what luck alone does. */
+  /** The difference exceeds both the tolerance and the variation between seeds. */
   readonly differs: boolean;
-  /** Some of its run time was never seen, and is drawn. */
+  /** Some run times of the job were not recorded and are drawn from a model. */
   readonly estimated: boolean;
+  /** How the plan changed the job, or null if it did not. */
   readonly changed: string | null;
+  /** Causes that determined the finishing time with the plan. */
   readonly decided: readonly string[];
+  /** Causes that determined the finishing time in the record. */
   readonly decidedUnchanged: readonly string[];
 }
 
+/** The predicted effect of a plan on a recorded night. */
 export interface Forecast {
   readonly plan: string;
   readonly seeds: readonly number[];
-  /** When the plan makes its first difference; null: never. */
+  /** Time at which the plan first makes a difference, in seconds since the night began; null means never. */
   readonly fromS: number | null;
   readonly jobs: readonly JobForecast[];
-  /** Recorded, replayed unchanged, planned. */
+  /** Summaries by job class: of the record, of the unchanged replay and of the replay with the plan. */
   readonly classes: Readonly<Record<'recorded' | 'unchanged' | 'planned', ReadonlyMap<string, Fared>>>;
+  /** The same summaries by team. */
   readonly teams: Readonly<Record<'recorded' | 'unchanged' | 'planned', ReadonlyMap<string, Fared>>>;
+  /** Mean cost of machines over the replays. */
   readonly money: { readonly unchanged: number; readonly planned: number };
+  /** Running and waiting tasks and machines over time, for the first seed. */
   readonly timelines: { readonly unchanged: readonly Standing[]; readonly planned: readonly Standing[] };
 }
 
-const LOW = 0.05;
-const HIGH = 0.95;
-/** Fewer residuals than this say nothing of a class by itself. */
-const FEW = 8;
+const INTERVAL_LOW_QUANTILE = 0.05;
+const INTERVAL_HIGH_QUANTILE = 0.95;
+/** Fewest residuals from which the error distribution of a class, or of all classes together, is used. */
+const MIN_RESIDUALS = 8;
 
-const finishes = (runs: readonly Played[], id: string): number[] =>
+const finishTimesS = (runs: readonly Played[], id: string): number[] =>
   runs.flatMap((run) => run.outcomes.get(id)?.finishedS ?? []);
-const middle = (values: readonly number[]): number | null => (values.length > 0 ? median([...values]) : null);
+const medianOrNull = (values: readonly number[]): number | null => (values.length > 0 ? median([...values]) : null);
 
 /**
- * By class, how much longer or shorter jobs truly took than the unchanged replay says, as a factor: what is off
- * there will be off in the plan's replay, too.
+ * Returns a function that gives the residuals for a job class: recorded duration divided by the duration in the
+ * unchanged replay. The replay of the plan is expected to have the same errors.
  */
-function residuals(
+function residualFactors(
   scenario: Scenario,
   recorded: ReadonlyMap<string, Outcome>,
   unchanged: readonly Played[],
@@ -64,49 +76,58 @@
   const all: number[] = [];
   const byClass = new Map<string, number[]>();
   for (const { spec, cut } of scenario.jobs) {
-    const truth = recorded.get(spec.id);
-    if (cut !== null || truth?.phase !== 'done' || truth.finishedS === null) continue;
-    if (truth.finishedS < scenario.freeFromS) continue;
+    const recordedOutcome = recorded.get(spec.id);
+    if (cut !== null || recordedOutcome?.phase !== 'done' || recordedOutcome.finishedS === null) continue;
+    if (recordedOutcome.finishedS < scenario.freeFromS) continue;
     for (const { outcomes } of unchanged) {
-      const then = outcomes.get(spec.id);
-      if (!then || then.finishedS === null) continue;
+      const replayed = outcomes.get(spec.id);
+      if (!replayed || replayed.finishedS === null) continue;
       const factor =
-        Math.max(0.1, truth.finishedS - truth.submittedS) / Math.max(0.1, then.finishedS - then.submittedS);
+        Math.max(0.1, recordedOutcome.finishedS - recordedOutcome.submittedS) /
+        Math.max(0.1, replayed.finishedS - replayed.submittedS);
       all.push(factor);
       byClass.set(spec.jobClass, [...(byClass.get(spec.jobClass) ?? []), factor]);
     }
   }
   return (jobClass) => {
-    const own = byClass.get(jobClass) ?? [];
-    if (own.length >= FEW) return own;
-    // Of a handful of jobs no spread can be known: what the seeds alone say is told.
-    return all.length >= FEW ? all : [];
+    const ofClass = byClass.get(jobClass) ?? [];
+    if (ofClass.length >= MIN_RESIDUALS) return ofClass;
+    // A few jobs don't show the spread of the errors: the interval then reflects the variation between seeds only.
+    return all.length >= MIN_RESIDUALS ? all : [];
   };
 }
 
-function intervalOf(
+/** Returns the prediction interval of a finishing time, in seconds since the night began, or null without any finish. */
+function predictionInterval(
   submittedS: number,
-  planned: readonly number[],
+  plannedFinishesS: readonly number[],
   factors: readonly number[],
 ): readonly [number, number] | null {
-  if (planned.length === 0) return null;
-  const durations = planned.flatMap((finishS) =>
+  if (plannedFinishesS.length === 0) return null;
+  const durations = plannedFinishesS.flatMap((finishS) =>
     factors.length === 0 ? [finishS - submittedS] : factors.map((factor) => (finishS - submittedS) * factor),
   );
   durations.sort((a, b) => a - b);
-  const [low, high] = [quantileSorted(durations, LOW), quantileSorted(durations, HIGH)];
-  // Never closer than a replay is to its record: a gang that waits for nobody looked as if it ended to the second.
+  const [low, high] = [
+    quantileSorted(durations, INTERVAL_LOW_QUANTILE),
+    quantileSorted(durations, INTERVAL_HIGH_QUANTILE),
+  ];
+  // The interval is never narrower than the tolerance of a replay against its record. Without this margin, the finishing
+  // time of a gang that waits for nothing appeared to be exact to the second.
   return [submittedS + low - toleranceS(low), submittedS + high + toleranceS(high)];
 }
 
-/** Does a difference stand out from what changes between seeds without any plan? */
-function standsOut(laterS: number | null, unchanged: readonly number[], durationS: number): boolean {
+/** Whether a delay exceeds the tolerance and the variation between seeds without the plan. */
+function isSignificant(laterS: number | null, unchangedFinishesS: readonly number[], durationS: number): boolean {
   if (laterS === null) return true;
-  const spreadS = unchanged.length > 1 ? Math.max(...unchanged) - Math.min(...unchanged) : 0;
+  const spreadS = unchangedFinishesS.length > 1 ? Math.max(...unchangedFinishesS) - Math.min(...unchangedFinishesS) : 0;
   return Math.abs(laterS) > Math.max(toleranceS(durationS), spreadS / 2);
 }
 
-/** Replays the night with and without a plan over the same seeds, and says job by job what the plan means. */
+/**
+ * Replays the night with and without a plan over the same seeds, and compares the results job by job. `onProgress` is
+ * called with the completed share, from 0 to 1.
+ */
 export async function forecast(
   name: string,
   base: Scenario,
@@ -114,49 +135,72 @@
   recorded: ReadonlyMap<string, Outcome>,
   engine: Engine,
   seeds: readonly number[],
-  moved: (share: number) => void = () => undefined,
+  onProgress: (share: number) => void = () => undefined,
 ): Promise<Forecast> {
-  const never = !Number.isFinite(planned.freeFromS);
+  const hasNoEffect = !Number.isFinite(planned.freeFromS);
   const unchangedScenario: Scenario = { ...base, freeFromS: planned.freeFromS };
   const [unchangedRuns, plannedRuns]: [Played[], Played[]] = [[], []];
   for (const [i, seed] of seeds.entries()) {
     unchangedRuns.push(await engine(unchangedScenario, seed));
-    moved((i + 0.5) / seeds.length);
-    plannedRuns.push(never ? (unchangedRuns[i] as Played) : await engine(planned, seed));
-    moved((i + 1) / seeds.length);
+    onProgress((i + 0.5) / seeds.length);
+    plannedRuns.push(hasNoEffect ? (unchangedRuns[i] as Played) : await engine(planned, seed));
+    onProgress((i + 1) / seeds.length);
   }
-  const factors = residuals(unchangedScenario, recorded, unchangedRuns);
+  const factors = residualFactors(unchangedScenario, recorded, unchangedRuns);
   const [firstUnchanged, firstPlanned] = [unchangedRuns[0], plannedRuns[0]];
-  if (!firstUnchanged || !firstPlanned) throw new Error('a forecast takes at least one seed');
+  if (!firstUnchanged || !firstPlanned) throw new Error('a forecast needs at least one seed');
   const jobs = planned.jobs.map((job): JobForecast => {
     const { spec, atS, work, changed } = job;
-    const [before, after] = [finishes(unchangedRuns, spec.id), finishes(plannedRuns, spec.id)];
-    const [unchangedS, plannedS] = [middle(before), middle(after)];
-    const known = recorded.get(spec.id);
+    const [unchangedFinishesS, plannedFinishesS] = [
+      finishTimesS(unchangedRuns, spec.id),
+      finishTimesS(plannedRuns, spec.id),
+    ];
+    const [unchangedS, plannedS] = [medianOrNull(unchangedFinishesS), medianOrNull(plannedFinishesS)];
+    const recordedJob = recorded.get(spec.id);
     const laterS = unchangedS === null || plannedS === null ? null : plannedS - unchangedS;
-    const moves = unchangedS !== null || plannedS !== null;
-    const tasks = spec.kind === 'gang' ? 1 : spec.tasks;
+    const finishes = unchangedS !== null || plannedS !== null;
+    const expectedEntries = spec.kind === 'gang' ? 1 : spec.tasks;
     return {
-      ...{ id: spec.id, class: spec.jobClass, team: spec.team, submittedS: atS, recordedS: known?.finishedS ?? null },
+      ...{
+        id: spec.id,
+        class: spec.jobClass,
+        team: spec.team,
+        submittedS: atS,
+        recordedS: recordedJob?.finishedS ?? null,
+      },
       ...{ unchangedS, plannedS, laterS, changed },
-      intervalS: spec.kind === 'service' ? null : intervalOf(atS, after, factors(spec.jobClass)),
-      differs: !never && spec.kind !== 'service' && moves && standsOut(laterS, before, (unchangedS ?? atS) - atS),
-      estimated: spec.kind !== 'service' && (changed === 'added' || work.size < tasks),
+      intervalS: spec.kind === 'service' ? null : predictionInterval(atS, plannedFinishesS, factors(spec.jobClass)),
+      differs:
+        !hasNoEffect &&
+        spec.kind !== 'service' &&
+        finishes &&
+        isSignificant(laterS, unchangedFinishesS, (unchangedS ?? atS) - atS),
+      estimated: spec.kind !== 'service' && (changed === 'added' || work.size < expectedEntries),
       decided: firstPlanned.outcomes.get(spec.id)?.decided ?? ['it never started'],
-      decidedUnchanged: known?.decided ?? [],
+      decidedUnchanged: recordedJob?.decided ?? [],
     };
   });
   const byClass = (outcomes: Iterable<Outcome>): ReadonlyMap<string, Fared> =>
     fared(outcomes, ({ spec }) => spec.jobClass, base.facts, base.lengthS);
   const byTeam = (outcomes: Iterable<Outcome>): ReadonlyMap<string, Fared> =>
     fared(outcomes, ({ spec }) => spec.team, base.facts, base.lengthS);
-  const [u, p] = [firstUnchanged.outcomes.values(), firstPlanned.outcomes.values()].map((values) => [...values]);
-  const mean = (runs: readonly Played[]): number => runs.reduce((sum, run) => sum + run.money, 0) / runs.length;
+  const [unchangedOutcomes, plannedOutcomes] = [firstUnchanged.outcomes.values(), firstPlanned.outcomes.values()].map(
+    (values) => [...values],
+  );
+  const meanCost = (runs: readonly Played[]): number => runs.reduce((sum, run) => sum + run.money, 0) / runs.length;
   return {
-    ...{ plan: name, seeds, fromS: never ? null : planned.freeFromS, jobs },
-    classes: { recorded: byClass(recorded.values()), unchanged: byClass(u ?? []), planned: byClass(p ?? []) },
-    teams: { recorded: byTeam(recorded.values()), unchanged: byTeam(u ?? []), planned: byTeam(p ?? []) },
-    money: { unchanged: mean(unchangedRuns), planned: mean(plannedRuns) },
+    ...{ plan: name, seeds, fromS: hasNoEffect ? null : planned.freeFromS, jobs },
+    classes: {
+      recorded: byClass(recorded.values()),
+      unchanged: byClass(unchangedOutcomes ?? []),
+      planned: byClass(plannedOutcomes ?? []),
+    },
+    teams: {
+      recorded: byTeam(recorded.values()),
+      unchanged: byTeam(unchangedOutcomes ?? []),
+      planned: byTeam(plannedOutcomes ?? []),
+    },
+    money: { unchanged: meanCost(unchangedRuns), planned: meanCost(plannedRuns) },
     timelines: { unchanged: firstUnchanged.timeline, planned: firstPlanned.timeline },
   };
 }
--- a/packages/whatif/src/night/night.ts
+++ b/packages/whatif/src/night/night.ts
@@ -49,7 +49,10 @@
   returned: { readonly atS: number; readonly why: string } | null;
 }
 
-/** One incarnation of a controller: the span between its first and its last recorded event, in seconds since the night began. */
+/**
+ * One incarnation of a controller process, from its first to its last recorded event. Times are in seconds since the
+ * night began.
+ */
 export interface ControllerIncarnation {
   readonly node: string;
   readonly life: string;
--- a/packages/whatif/src/night/scenario.ts
+++ b/packages/whatif/src/night/scenario.ts
@@ -34,7 +34,10 @@
   readonly kind: string;
   /** Present when the night began, rather than rented during it. */
   readonly initial: boolean;
-  /** Boot time in seconds, from the beginning of the night for initial machines and from rental for others. Null if the machine never came up. */
+  /**
+   * Seconds until the machine is up: from the beginning of the night for initial machines, from rental to the first
+   * report for others. Null if the machine never came up.
+   */
   readonly upAfterS: number | null;
   /** Death without a notice, or null if the machine did not die. */
   readonly diesAtS: number | null;
--- a/packages/whatif/src/plan/apply.ts
+++ b/packages/whatif/src/plan/apply.ts
@@ -1,10 +1,11 @@
 import { jobId } from '../../../../src/kernel/index.js';
 import { Priority, whyNever, type JobSpec } from '../../../../src/jobs/index.js';
 import { kindOf, type PlayedJob, type PlayedMachine, type Scenario } from '../night/index.js';
-import { checkZone, momentS, type NightSpan } from './moment.js';
+import { parseMomentS, validateTimeZone, type NightSpan } from './moment.js';
 import { PlanError } from './read.js';
-import type { Plan, Which } from './schema.js';
+import type { JobSelector, Plan } from './schema.js';
 
+/** The job priority for each priority name of a plan. */
 const PRIORITIES = {
   low: Priority.low,
   standard: Priority.normal,
@@ -12,8 +13,8 @@
   production: Priority.production,
 };
 
-/** A scenario while a plan changes it, and the earliest moment at which that makes a difference. */
-class Draft {
+/** A scenario to which a plan is being applied, and the earliest time at which the changes make a difference. */
+class ScenarioDraft {
   jobs: PlayedJob[];
   machines: PlayedMachine[];
   facts: Scenario['facts'];
@@ -32,85 +33,95 @@
     this.span = { fromMs: base.fromMs, lengthS: base.lengthS, zone: plan.time_zone };
   }
 
-  from(atS: number): void {
+  /** Notes that the plan makes a difference from a time on. */
+  noteDivergence(atS: number): void {
     this.freeFromS = Math.min(this.freeFromS, Math.max(0, atS));
   }
 
-  /** The jobs that a table means; none is a mistake and not a plan without effect. */
-  choose(which: Which, what: string): PlayedJob[] {
-    const { class: jobClass, job } = which;
-    if (jobClass === undefined && job === undefined) throw new PlanError(`${what}: needs a class or a job`);
+  /**
+   * Returns the jobs that a table selects. Throws a PlanError if it selects none, which is a mistake rather than a plan
+   * without effect, or one that was open before the night began.
+   */
+  selectJobs(selector: JobSelector, path: string): PlayedJob[] {
+    const { class: jobClass, job } = selector;
+    if (jobClass === undefined && job === undefined) throw new PlanError(`${path}: needs a class or a job`);
     const classes = new Set(this.jobs.map(({ spec }) => spec.jobClass));
     if (jobClass !== undefined && !classes.has(jobClass))
       throw new PlanError(
-        `${what}.class: no job of the class ${jobClass} in this night (${[...classes].sort().join(', ')})`,
+        `${path}.class: no job of the class ${jobClass} in this night (${[...classes].sort().join(', ')})`,
       );
     if (job !== undefined && !this.jobs.some(({ spec }) => spec.id === job))
-      throw new PlanError(`${what}.job: no job ${job} in this night`);
-    const fromS = which.from === undefined ? -Infinity : momentS(which.from, this.span, `${what}.from`);
-    const toS = which.to === undefined ? Infinity : momentS(which.to, this.span, `${what}.to`);
-    if (fromS > toS) throw new PlanError(`${what}: from is later than to`);
-    const chosen = this.jobs.filter(
+      throw new PlanError(`${path}.job: no job ${job} in this night`);
+    const fromS = selector.from === undefined ? -Infinity : parseMomentS(selector.from, this.span, `${path}.from`);
+    const toS = selector.to === undefined ? Infinity : parseMomentS(selector.to, this.span, `${path}.to`);
+    if (fromS > toS) throw new PlanError(`${path}: from is later than to`);
+    const selected = this.jobs.filter(
       ({ spec, atS }) =>
         (jobClass === undefined || spec.jobClass === jobClass) &&
         (job === undefined || spec.id === job) &&
         atS >= fromS &&
         atS < toS,
     );
-    if (chosen.length === 0) throw new PlanError(`${what}: no job was submitted then`);
-    const before = chosen.find(({ cut }) => cut === 'before');
-    if (before)
-      throw new PlanError(`${what}: ${before.spec.id} was open before the night began, so that it can't be changed`);
-    return chosen;
+    if (selected.length === 0) throw new PlanError(`${path}: no job was submitted in that period`);
+    const openBefore = selected.find(({ cut }) => cut === 'before');
+    if (openBefore)
+      throw new PlanError(`${path}: ${openBefore.spec.id} was open before the night began and cannot be changed`);
+    return selected;
   }
 
-  replace(chosen: readonly PlayedJob[], how: (job: PlayedJob) => PlayedJob | null): void {
-    const set = new Set(chosen);
+  /** Replaces each selected job by what `change` returns, or removes the job if that is null. */
+  replaceJobs(selected: readonly PlayedJob[], change: (job: PlayedJob) => PlayedJob | null): void {
+    const selectedSet = new Set(selected);
     this.jobs = this.jobs.flatMap((job) => {
-      if (!set.has(job)) return [job];
-      const next = how(job);
+      if (!selectedSet.has(job)) return [job];
+      const next = change(job);
       return next ? [next] : [];
     });
   }
 
-  machine(id: string, what: string): PlayedMachine {
+  /** Returns a machine by id. Throws a PlanError if there is none. */
+  findMachine(id: string, path: string): PlayedMachine {
     const found = this.machines.find((m) => m.id === id);
-    if (!found) throw new PlanError(`${what}: no machine ${id} in this night`);
+    if (!found) throw new PlanError(`${path}: no machine ${id} in this night`);
     return found;
   }
 
-  kind(
+  /** Returns the key of a machine kind. Throws a PlanError if the type is unknown or not offered in the zone. */
+  machineKind(
     { type, zone, spot }: { readonly type: string; readonly zone: string; readonly spot: boolean },
-    what: string,
+    path: string,
   ): string {
-    const known = this.facts.types.find(({ name }) => name === type);
-    if (!known)
-      throw new PlanError(`${what}.type: no machine type ${type} (${this.facts.types.map((t) => t.name).join(', ')})`);
-    if (!known.zones.includes(zone))
-      throw new PlanError(`${what}.zone: there is no ${type} in ${zone} (${known.zones.join(', ')})`);
+    const machineType = this.facts.types.find(({ name }) => name === type);
+    if (!machineType)
+      throw new PlanError(`${path}.type: no machine type ${type} (${this.facts.types.map((t) => t.name).join(', ')})`);
+    if (!machineType.zones.includes(zone))
+      throw new PlanError(`${path}.zone: there is no ${type} in ${zone} (${machineType.zones.join(', ')})`);
     return kindOf({ type, zone, spot });
   }
 }
 
-function changeJobs(draft: Draft): void {
+/** Applies the tables of a plan that change jobs, in the order drop, move, add, scale, set. */
+function changeJobs(draft: ScenarioDraft): void {
   const { plan, span } = draft;
   for (const [i, table] of plan.drop.entries()) {
-    const chosen = draft.choose(table, `drop[${i}]`);
-    for (const { atS } of chosen) draft.from(atS);
-    draft.replace(chosen, () => null);
+    const selected = draft.selectJobs(table, `drop[${i}]`);
+    for (const { atS } of selected) draft.noteDivergence(atS);
+    draft.replaceJobs(selected, () => null);
   }
   for (const [i, table] of plan.move.entries()) {
-    const what = `move[${i}]`;
-    const chosen = draft.choose(table, what);
+    const path = `move[${i}]`;
+    const selected = draft.selectJobs(table, path);
     if ((table.by_s === undefined) === (table.start === undefined))
-      throw new PlanError(`${what}: needs either by_s or start`);
-    const first = Math.min(...chosen.map(({ atS }) => atS));
-    const byS = table.by_s ?? momentS(table.start ?? 0, span, `${what}.start`) - first;
-    if (first + byS < 0)
-      throw new PlanError(`${what}: its first job would come ${(-first - byS).toFixed(0)} s before the night began`);
+      throw new PlanError(`${path}: needs either by_s or start`);
+    const firstS = Math.min(...selected.map(({ atS }) => atS));
+    const byS = table.by_s ?? parseMomentS(table.start ?? 0, span, `${path}.start`) - firstS;
+    if (firstS + byS < 0)
+      throw new PlanError(
+        `${path}: its first job would be submitted ${(-firstS - byS).toFixed(0)} s before the night began`,
+      );
     if (byS === 0) continue;
-    for (const { atS } of chosen) draft.from(Math.min(atS, atS + byS));
-    draft.replace(chosen, (job) => ({
+    for (const { atS } of selected) draft.noteDivergence(Math.min(atS, atS + byS));
+    draft.replaceJobs(selected, (job) => ({
       ...job,
       atS: job.atS + byS,
       cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + byS,
@@ -118,14 +129,14 @@
     }));
   }
   for (const [i, { like, at, count, every_s: everyS }] of plan.add.entries()) {
-    const model = draft.jobs.find(({ spec }) => spec.id === like || spec.jobClass === like);
-    if (!model) throw new PlanError(`add[${i}].like: no job and no class ${like} in this night`);
-    const atS = momentS(at, span, `add[${i}].at`);
-    draft.from(atS);
+    const template = draft.jobs.find(({ spec }) => spec.id === like || spec.jobClass === like);
+    if (!template) throw new PlanError(`add[${i}].like: there is no job or class ${like} in this night`);
+    const atS = parseMomentS(at, span, `add[${i}].at`);
+    draft.noteDivergence(atS);
     for (let n = 0; n < count; n++) {
-      const spec: JobSpec = { ...model.spec, id: jobId(`j-added-${i + 1}-${n + 1}`) };
+      const spec: JobSpec = { ...template.spec, id: jobId(`j-added-${i + 1}-${n + 1}`) };
       draft.jobs.push({
-        ...model,
+        ...template,
         spec,
         atS: atS + n * everyS,
         cancelAtS: null,
@@ -137,9 +148,9 @@
   }
   for (const [i, table] of plan.scale.entries()) scaleJobs(draft, table, `scale[${i}]`);
   for (const [i, table] of plan.set.entries()) {
-    const chosen = draft.choose(table, `set[${i}]`);
-    for (const { atS } of chosen) draft.from(atS);
-    draft.replace(chosen, (job) => ({
+    const selected = draft.selectJobs(table, `set[${i}]`);
+    for (const { atS } of selected) draft.noteDivergence(atS);
+    draft.replaceJobs(selected, (job) => ({
       ...job,
       spec: {
         ...job.spec,
@@ -152,12 +163,13 @@
   }
 }
 
-function scaleJobs(draft: Draft, table: Plan['scale'][number], what: string): void {
-  const chosen = draft.choose(table, what);
+/** Multiplies the number of the selected jobs, their number of tasks and their run times. */
+function scaleJobs(draft: ScenarioDraft, table: Plan['scale'][number], path: string): void {
+  const selected = draft.selectJobs(table, path);
   const { jobs = 1, tasks = 1, run = 1 } = table;
   if (table.jobs === undefined && table.tasks === undefined && table.run === undefined)
-    throw new PlanError(`${what}: needs jobs, tasks or run`);
-  for (const { atS } of chosen) draft.from(atS);
+    throw new PlanError(`${path}: needs jobs, tasks or run`);
+  for (const { atS } of selected) draft.noteDivergence(atS);
   const scaled = (job: PlayedJob): PlayedJob => ({
     ...job,
     spec: {
@@ -169,107 +181,111 @@
     changed: 'scaled',
   });
   if (jobs < 1) {
-    // Evenly spread over the night: every so manyth stays.
-    const kept = new Set(chosen.filter((_, n) => Math.floor((n + 1) * jobs) > Math.floor(n * jobs)));
-    draft.replace(chosen, (job) => (kept.has(job) ? scaled(job) : null));
+    // Removes jobs at even intervals, so that the remaining ones stay spread over the night.
+    const kept = new Set(selected.filter((_, n) => Math.floor((n + 1) * jobs) > Math.floor(n * jobs)));
+    draft.replaceJobs(selected, (job) => (kept.has(job) ? scaled(job) : null));
     return;
   }
-  draft.replace(chosen, scaled);
-  const more = Math.round(chosen.length * (jobs - 1));
-  for (let n = 0; n < more; n++) {
-    const like = chosen[n % chosen.length];
-    if (!like) continue;
-    const again = scaled(like);
-    const spec = { ...again.spec, id: jobId(`${like.spec.id}-more-${Math.floor(n / chosen.length) + 1}`) };
-    draft.jobs.push({ ...again, spec, cut: null, writeS: null, changed: 'added by scaling' });
+  draft.replaceJobs(selected, scaled);
+  const copies = Math.round(selected.length * (jobs - 1));
+  for (let n = 0; n < copies; n++) {
+    const original = selected[n % selected.length];
+    if (!original) continue;
+    const copy = scaled(original);
+    const spec = { ...copy.spec, id: jobId(`${original.spec.id}-more-${Math.floor(n / selected.length) + 1}`) };
+    draft.jobs.push({ ...copy, spec, cut: null, writeS: null, changed: 'added by scaling' });
   }
 }
 
-function changePlatform(draft: Draft): void {
+/** Applies the tables of a plan that change teams, machines, capacity, prices and tunables. */
+function changePlatform(draft: ScenarioDraft): void {
   const { plan, span } = draft;
   for (const [i, { name, ...limits }] of plan.team.entries()) {
-    const known = draft.facts.teams[name];
-    if (!known) throw new PlanError(`team[${i}].name: no team ${name} (${Object.keys(draft.facts.teams).join(', ')})`);
+    const current = draft.facts.teams[name];
+    if (!current)
+      throw new PlanError(`team[${i}].name: no team ${name} (${Object.keys(draft.facts.teams).join(', ')})`);
     const team = {
-      ...{ cpus: limits.cpus ?? known.cpus, cpusMax: limits.cpus_max ?? known.cpusMax },
-      ...{ gpus: limits.gpus ?? known.gpus, gpusMax: limits.gpus_max ?? known.gpusMax },
+      ...{ cpus: limits.cpus ?? current.cpus, cpusMax: limits.cpus_max ?? current.cpusMax },
+      ...{ gpus: limits.gpus ?? current.gpus, gpusMax: limits.gpus_max ?? current.gpusMax },
     };
     if (team.cpusMax > 0 && team.cpus > team.cpusMax)
       throw new PlanError(`team[${i}]: ${name} is guaranteed more cpus than its limit`);
     if (team.gpusMax > 0 && team.gpus > team.gpusMax)
       throw new PlanError(`team[${i}]: ${name} is guaranteed more gpus than its limit`);
-    draft.from(0);
+    draft.noteDivergence(0);
     draft.facts = { ...draft.facts, teams: { ...draft.facts.teams, [name]: team } };
   }
   for (const [i, table] of plan.machines.entries()) {
-    const what = `machines[${i}]`;
-    const kind = draft.kind(table, what);
-    const there = draft.machines.filter((m) => m.kind === kind && m.initial);
-    if (table.more < 0 && -table.more > there.length)
-      throw new PlanError(`${what}.more: the night begins with ${there.length} machines of this kind`);
-    draft.from(0);
+    const path = `machines[${i}]`;
+    const kind = draft.machineKind(table, path);
+    const initial = draft.machines.filter((m) => m.kind === kind && m.initial);
+    if (table.more < 0 && -table.more > initial.length)
+      throw new PlanError(`${path}.more: the night begins with ${initial.length} machines of this kind`);
+    draft.noteDivergence(0);
     if (table.more < 0) {
-      const going = new Set(there.slice(table.more));
-      draft.machines = draft.machines.filter((m) => !going.has(m));
+      const removed = new Set(initial.slice(table.more));
+      draft.machines = draft.machines.filter((m) => !removed.has(m));
     }
-    const blank = { initial: true, upAfterS: 0, diesAtS: null, takenBack: null, slowness: 1, failsFromS: null };
-    for (let n = 0; n < table.more; n++) draft.machines.push({ id: `planned-${i + 1}-${n + 1}`, kind, ...blank });
+    const healthy = { initial: true, upAfterS: 0, diesAtS: null, takenBack: null, slowness: 1, failsFromS: null };
+    for (let n = 0; n < table.more; n++) draft.machines.push({ id: `planned-${i + 1}-${n + 1}`, kind, ...healthy });
   }
   for (const [i, table] of plan.capacity.entries()) {
-    const kind = draft.kind(table, `capacity[${i}]`);
-    const there = draft.machines.filter((m) => m.kind === kind && m.initial).length;
-    if (table.count < there)
-      throw new PlanError(`capacity[${i}].count: the night begins with ${there} machines of this kind`);
-    draft.from(0);
+    const kind = draft.machineKind(table, `capacity[${i}]`);
+    const initialCount = draft.machines.filter((m) => m.kind === kind && m.initial).length;
+    if (table.count < initialCount)
+      throw new PlanError(`capacity[${i}].count: the night begins with ${initialCount} machines of this kind`);
+    draft.noteDivergence(0);
     draft.capacity.set(kind, table.count);
   }
   for (const [i, { type, price, spot_price: spotPrice }] of plan.price.entries()) {
     if (!draft.facts.types.some(({ name }) => name === type))
       throw new PlanError(`price[${i}].type: no machine type ${type}`);
-    draft.from(0);
+    draft.noteDivergence(0);
     const types = draft.facts.types.map((t) =>
       t.name === type ? { ...t, price: price ?? t.price, spotPrice: spotPrice ?? t.spotPrice } : t,
     );
     draft.facts = { ...draft.facts, types };
   }
-  const replace = (old: PlayedMachine, next: PlayedMachine): void => {
+  const replaceMachine = (old: PlayedMachine, next: PlayedMachine): void => {
     draft.machines = draft.machines.map((m) => (m === old ? next : m));
   };
   for (const [i, { machine: id, at }] of plan.kill.entries()) {
-    const machine = draft.machine(id, `kill[${i}].machine`);
-    const diesAtS = momentS(at, span, `kill[${i}].at`);
+    const machine = draft.findMachine(id, `kill[${i}].machine`);
+    const diesAtS = parseMomentS(at, span, `kill[${i}].at`);
     if (machine.diesAtS !== null && machine.diesAtS <= diesAtS)
-      throw new PlanError(`kill[${i}]: ${id} died at ${machine.diesAtS.toFixed(0)} s, before that`);
-    draft.from(diesAtS);
-    replace(machine, { ...machine, diesAtS });
+      throw new PlanError(`kill[${i}]: ${id} died at ${machine.diesAtS.toFixed(0)} s, before the given time`);
+    draft.noteDivergence(diesAtS);
+    replaceMachine(machine, { ...machine, diesAtS });
   }
   for (const [i, { machine: id }] of plan.spare.entries()) {
-    const machine = draft.machine(id, `spare[${i}].machine`);
+    const machine = draft.findMachine(id, `spare[${i}].machine`);
     const { diesAtS, takenBack } = machine;
-    if (diesAtS === null && takenBack === null) throw new PlanError(`spare[${i}]: ${id} did not die in this night`);
-    draft.from(Math.min(diesAtS ?? Infinity, takenBack?.noticeAtS ?? Infinity));
-    replace(machine, { ...machine, diesAtS: null, takenBack: null });
+    if (diesAtS === null && takenBack === null)
+      throw new PlanError(`spare[${i}]: ${id} did not die and was not taken back in this night`);
+    draft.noteDivergence(Math.min(diesAtS ?? Infinity, takenBack?.noticeAtS ?? Infinity));
+    replaceMachine(machine, { ...machine, diesAtS: null, takenBack: null });
   }
   const tunables: Record<string, number> = {};
   for (const [name, value] of Object.entries(plan.tunables)) if (value !== undefined) tunables[name] = value;
   if (Object.keys(tunables).length > 0) {
-    draft.from(0);
+    draft.noteDivergence(0);
     const settings = { tunables: { ...draft.facts.settings.tunables, ...tunables } };
     draft.facts = { ...draft.facts, settings };
   }
 }
 
-/** A scenario with a plan carried out; a PlanError says what of it can't be, and why. */
+/** Returns the scenario with all changes of a plan. Throws a PlanError that names the first impossible change and the reason. */
 export function applyPlan(base: Scenario, plan: Plan): Scenario {
-  checkZone(plan.time_zone);
-  const draft = new Draft(base, plan);
+  validateTimeZone(plan.time_zone);
+  const draft = new ScenarioDraft(base, plan);
   changeJobs(draft);
   changePlatform(draft);
   const teams = new Map(Object.entries(draft.facts.teams));
   for (const job of draft.jobs) {
     if (job.changed === null) continue;
-    const never = whyNever(job.spec, teams, draft.facts.types);
-    if (never !== null) throw new PlanError(`${job.spec.id} (${job.spec.jobClass}) would never be taken: ${never}`);
+    const rejection = whyNever(job.spec, teams, draft.facts.types);
+    if (rejection !== null)
+      throw new PlanError(`${job.spec.id} (${job.spec.jobClass}) would be rejected on submission: ${rejection}`);
   }
   const { jobs, machines, facts, capacity, freeFromS } = draft;
   return { ...base, jobs: jobs.sort((a, b) => a.atS - b.atS), machines, facts, capacity, freeFromS };
--- a/packages/whatif/src/plan/index.ts
+++ b/packages/whatif/src/plan/index.ts
@@ -1,4 +1,4 @@
 export { applyPlan } from './apply.js';
-export { momentS, type NightSpan } from './moment.js';
+export { parseMomentS, type NightSpan } from './moment.js';
 export { PlanError, readPlan } from './read.js';
 export type { Plan } from './schema.js';
--- a/packages/whatif/src/plan/read.ts
+++ b/packages/whatif/src/plan/read.ts
@@ -2,9 +2,10 @@
 import * as v from 'valibot';
 import { planSchema, type Plan } from './schema.js';
 
-/** Says in one line what is wrong with a plan, and where. */
+/** An invalid plan. The message states in one line what is wrong and where. */
 export class PlanError extends Error {}
 
+/** Parses and validates a plan in TOML. Throws a PlanError that names `file` and the invalid line or field. */
 export function readPlan(toml: string, file: string): Plan {
   let raw: unknown;
   try {
@@ -17,8 +18,8 @@
   }
   const result = v.safeParse(planSchema, raw);
   if (result.success) return result.output;
-  // A field that nobody knows is the likely cause of another that is missing.
+  // An unknown field is reported first, since a misspelled name is the likely cause of a missing field.
   const unknown = result.issues.find((issue) => issue.expected === 'never');
   const issue = unknown ?? result.issues[0];
-  throw new PlanError(`${file}: ${v.getDotPath(issue) ?? 'plan'}: ${unknown ? 'no such field' : issue.message}`);
+  throw new PlanError(`${file}: ${v.getDotPath(issue) ?? 'plan'}: ${unknown ? 'unknown field' : issue.message}`);
 }
--- a/packages/whatif/src/plan/schema.ts
+++ b/packages/whatif/src/plan/schema.ts
@@ -1,83 +1,123 @@
 import * as v from 'valibot';
 
-const text = v.pipe(v.string(), v.nonEmpty());
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
+const nonEmptyText = v.pipe(v.string(), v.nonEmpty());
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-const whole = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000));
-const share = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
-const MOMENT = 'must be seconds since the night began, or a time of day such as "22:30"';
+const count = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000));
+const fraction = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
+const MOMENT_ERROR = 'must be seconds since the night began, or a time of day such as "22:30"';
 /** Seconds since the night began, or a time of day such as 22:30 or 22:30:15. */
-const moment = v.union([amount, v.pipe(v.string(), v.regex(/^\d{1,2}:\d{2}(:\d{2})?$/, MOMENT))], MOMENT);
-const which = { class: v.optional(text), job: v.optional(text), from: v.optional(moment), to: v.optional(moment) };
+const moment = v.union(
+  [nonNegative, v.pipe(v.string(), v.regex(/^\d{1,2}:\d{2}(:\d{2})?$/, MOMENT_ERROR))],
+  MOMENT_ERROR,
+);
+/** Selects jobs by class or id and by submission time, from `from` up to but not including `to`. */
+const selector = {
+  class: v.optional(nonEmptyText),
+  job: v.optional(nonEmptyText),
+  from: v.optional(moment),
+  to: v.optional(moment),
+};
 const priority = v.picklist(['low', 'standard', 'urgent', 'production']);
-const kind = { type: text, zone: text, spot: v.optional(v.boolean(), false) };
+const machineKind = { type: nonEmptyText, zone: nonEmptyText, spot: v.optional(v.boolean(), false) };
 
-/** A changed plan. Each table changes one thing; they are applied in the order below. */
+/**
+ * Schema of a plan file: the changes to apply to a recorded night. Each table makes one kind of change, and the tables
+ * are applied in the order below.
+ */
 export const planSchema = v.strictObject({
-  name: v.optional(text, 'plan'),
-  /** In which times of day are written and reported, such as Africa/Dar_es_Salaam. */
-  time_zone: v.optional(text, 'UTC'),
-  drop: v.optional(v.array(v.strictObject(which)), []),
-  /** Moves submissions by so many seconds, or so that the first of them comes at a moment. */
+  name: v.optional(nonEmptyText, 'plan'),
+  /** IANA time zone in which times of day are written and reported, such as Africa/Dar_es_Salaam. */
+  time_zone: v.optional(nonEmptyText, 'UTC'),
+  /** Removes jobs. */
+  drop: v.optional(v.array(v.strictObject(selector)), []),
+  /** Moves submissions by `by_s` seconds, or so that the first of them happens at `start`. */
   move: v.optional(
-    v.array(v.strictObject({ ...which, by_s: v.optional(v.pipe(v.number(), v.finite())), start: v.optional(moment) })),
+    v.array(
+      v.strictObject({ ...selector, by_s: v.optional(v.pipe(v.number(), v.finite())), start: v.optional(moment) }),
+    ),
     [],
   ),
-  /** So many more jobs like an existing one, every so many seconds. */
+  /** Adds `count` jobs that copy an existing one (a job id or a class), one every `every_s` seconds from `at` on. */
   add: v.optional(
-    v.array(v.strictObject({ like: text, at: moment, count: v.optional(whole, 1), every_s: v.optional(positive, 1) })),
+    v.array(
+      v.strictObject({ like: nonEmptyText, at: moment, count: v.optional(count, 1), every_s: v.optional(positive, 1) }),
+    ),
     [],
   ),
-  /** More or fewer jobs, larger or smaller ones, longer or shorter tasks. */
+  /** Multiplies the number of jobs, the number of tasks per job, or the run time of tasks. */
   scale: v.optional(
     v.array(
-      v.strictObject({ ...which, jobs: v.optional(positive), tasks: v.optional(positive), run: v.optional(positive) }),
+      v.strictObject({
+        ...selector,
+        jobs: v.optional(positive),
+        tasks: v.optional(positive),
+        run: v.optional(positive),
+      }),
     ),
     [],
   ),
+  /** Sets the priority, the deadline or the use of spot machines of jobs. */
   set: v.optional(
     v.array(
       v.strictObject({
-        ...which,
+        ...selector,
         ...{ priority: v.optional(priority), deadline_s: v.optional(positive), spot: v.optional(v.boolean()) },
       }),
     ),
     [],
   ),
+  /** Changes the quota of a team: the guaranteed amount and the limit (`_max`) of CPUs and GPUs. */
   team: v.optional(
     v.array(
       v.strictObject({
-        name: text,
-        ...{ cpus: v.optional(amount), cpus_max: v.optional(amount) },
-        ...{ gpus: v.optional(amount), gpus_max: v.optional(amount) },
+        name: nonEmptyText,
+        ...{ cpus: v.optional(nonNegative), cpus_max: v.optional(nonNegative) },
+        ...{ gpus: v.optional(nonNegative), gpus_max: v.optional(nonNegative) },
       }),
     ),
     [],
   ),
-  /** More machines from the beginning on, or fewer. */
+  /** Adds `more` machines to those present when the night begins, or removes some if negative. */
   machines: v.optional(
-    v.array(v.strictObject({ ...kind, more: v.pipe(v.number(), v.integer(), v.minValue(-1000), v.maxValue(1000)) })),
+    v.array(
+      v.strictObject({ ...machineKind, more: v.pipe(v.number(), v.integer(), v.minValue(-1000), v.maxValue(1000)) }),
+    ),
+    [],
+  ),
+  /** Sets how many machines of a kind the cloud has. */
+  capacity: v.optional(
+    v.array(v.strictObject({ ...machineKind, count: v.pipe(v.number(), v.integer(), v.minValue(0)) })),
     [],
   ),
-  capacity: v.optional(v.array(v.strictObject({ ...kind, count: v.pipe(v.number(), v.integer(), v.minValue(0)) })), []),
+  /** Changes the prices of a machine type. */
   price: v.optional(
-    v.array(v.strictObject({ type: text, price: v.optional(positive), spot_price: v.optional(positive) })),
+    v.array(v.strictObject({ type: nonEmptyText, price: v.optional(positive), spot_price: v.optional(positive) })),
     [],
   ),
-  /** A machine dies at a moment. */
-  kill: v.optional(v.array(v.strictObject({ machine: text, at: moment })), []),
-  /** A machine that died or was taken back lives. */
-  spare: v.optional(v.array(v.strictObject({ machine: text })), []),
+  /** Makes a machine die at the given time. */
+  kill: v.optional(v.array(v.strictObject({ machine: nonEmptyText, at: moment })), []),
+  /** Keeps a machine alive that died or was taken back by the cloud. */
+  spare: v.optional(v.array(v.strictObject({ machine: nonEmptyText })), []),
+  /** Overrides tunable settings of the controllers. */
   tunables: v.optional(
     v.strictObject({
-      ...{ alpha: v.optional(amount), beta: v.optional(amount), mu: v.optional(share), omega: v.optional(share) },
-      ...{ phi: v.optional(share), baseline: v.optional(positive), floor: v.optional(positive) },
-      roundShare: v.optional(share),
+      ...{
+        alpha: v.optional(nonNegative),
+        beta: v.optional(nonNegative),
+        mu: v.optional(fraction),
+        omega: v.optional(fraction),
+      },
+      ...{ phi: v.optional(fraction), baseline: v.optional(positive), floor: v.optional(positive) },
+      roundShare: v.optional(fraction),
     }),
     {},
   ),
 });
 
+/** A validated plan. */
 export type Plan = v.InferOutput<typeof planSchema>;
+/** A point in time as written in a plan. */
 export type Moment = v.InferOutput<typeof moment>;
-export type Which = Pick<Plan['drop'][number], 'class' | 'job' | 'from' | 'to'>;
+/** The fields of a plan table that select jobs. */
+export type JobSelector = Pick<Plan['drop'][number], 'class' | 'job' | 'from' | 'to'>;
--- a/packages/whatif/test/plan.test.ts
+++ b/packages/whatif/test/plan.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { applyPlan, momentS, PlanError, readNight, readPlan, scenarioOf } from '../src/index.js';
+import { applyPlan, parseMomentS, PlanError, readNight, readPlan, scenarioOf } from '../src/index.js';
 import { handmade } from './nights.js';
 
 const night = readNight(
@@ -15,30 +15,33 @@
 const scenario = scenarioOf(night);
 const apply = (toml: string): ReturnType<typeof applyPlan> => applyPlan(scenario, readPlan(toml, 'p.toml'));
 
-test('a time of day is a moment of the night, in its own zone, on days when clocks change too', () => {
+test('a time of day is converted to seconds since the night began, in its time zone and across clock changes', () => {
   const span = (iso: string, hours: number, zone: string) => ({ fromMs: Date.parse(iso), lengthS: hours * 3600, zone });
-  assert.equal(momentS('22:30', span('2026-12-01T19:00:00Z', 8, 'Africa/Dar_es_Salaam'), 'x'), 1800);
-  // Past midnight.
-  assert.equal(momentS('01:00', span('2026-12-01T19:00:00Z', 8, 'Africa/Dar_es_Salaam'), 'x'), 3 * 3600);
-  // Clocks go forward at 02:00 in Warsaw: 03:30 is an hour and a half after the night's beginning at 01:00.
+  assert.equal(parseMomentS('22:30', span('2026-12-01T19:00:00Z', 8, 'Africa/Dar_es_Salaam'), 'x'), 1800);
+  // A time of day after midnight.
+  assert.equal(parseMomentS('01:00', span('2026-12-01T19:00:00Z', 8, 'Africa/Dar_es_Salaam'), 'x'), 3 * 3600);
+  // In Warsaw the clocks go forward at 02:00: 03:30 is an hour and a half after the night began at 01:00.
   const spring = span('2026-03-29T00:00:00Z', 6, 'Europe/Warsaw');
-  assert.equal(momentS('03:30', spring, 'x'), 5400);
+  assert.equal(parseMomentS('03:30', spring, 'x'), 5400);
   assert.throws(
-    () => momentS('02:30', spring, 'move[0].from'),
+    () => parseMomentS('02:30', spring, 'move[0].from'),
     /move\[0\]\.from: 02:30 does not exist in Europe\/Warsaw/,
   );
-  // They go back at 03:00: 02:30 comes twice.
+  // The clocks go back at 03:00: 02:30 occurs twice.
   const autumn = span('2026-10-24T22:00:00Z', 6, 'Europe/Warsaw');
-  assert.throws(() => momentS('02:30', autumn, 'x'), /comes 2 times in this night; write 9000 or 12600/);
-  assert.throws(() => momentS('12:00', autumn, 'x'), /is not in the night, which is 00:00:00 to 05:00:00/);
+  assert.throws(() => parseMomentS('02:30', autumn, 'x'), /occurs 2 times in this night; write 9000 or 12600/);
+  assert.throws(
+    () => parseMomentS('12:00', autumn, 'x'),
+    /is outside the night, which lasts from 00:00:00 to 05:00:00/,
+  );
 });
 
-test('what can not be is refused with its name and the reason', () => {
-  const refusals: readonly [string, RegExp][] = [
+test('an impossible change is rejected with an error that names the field and the reason', () => {
+  const rejections: readonly [string, RegExp][] = [
     ['[[drop]]\nclass = "portin"', /drop\[0\]\.class: no job of the class portin in this night \(letters, porting\)/],
     ['[[drop]]\njob = "j-x"', /no job j-x/],
-    ['[[drop]]\nclass = "porting"\nfrom = 100', /no job was submitted then/],
-    ['[[move]]\nclass = "porting"\nby_s = -60', /would come 40 s before the night began/],
+    ['[[drop]]\nclass = "porting"\nfrom = 100', /no job was submitted in that period/],
+    ['[[move]]\nclass = "porting"\nby_s = -60', /would be submitted 40 s before the night began/],
     ['[[move]]\nclass = "porting"', /needs either by_s or start/],
     ['[[team]]\nname = "north-tel"\ncpus = 8.0\ncpus_max = 4.0', /guaranteed more cpus than its limit/],
     ['[[team]]\nname = "east-tel"', /no team east-tel/],
@@ -46,15 +49,15 @@
     ['[[machines]]\ntype = "desk"\nzone = "north"\nmore = -3', /begins with 1 machines/],
     ['[[capacity]]\ntype = "desk"\nzone = "north"\ncount = 0', /begins with 1 machines/],
     ['[[kill]]\nmachine = "host-7"\nat = 5', /no machine host-7/],
-    ['[[spare]]\nmachine = "host-0"', /did not die in this night/],
-    ['time_zone = "Warsaw"', /Warsaw is no time zone/],
-    ['[[add]]\nlike = "nothing"\nat = 4', /no job and no class nothing/],
+    ['[[spare]]\nmachine = "host-0"', /did not die and was not taken back in this night/],
+    ['time_zone = "Warsaw"', /Warsaw is not a valid time zone/],
+    ['[[add]]\nlike = "nothing"\nat = 4', /there is no job or class nothing/],
     ['[[scale]]\nclass = "porting"', /needs jobs, tasks or run/],
-    ['[[mvoe]]\nclass = "porting"', /mvoe: no such field/],
+    ['[[mvoe]]\nclass = "porting"', /mvoe: unknown field/],
     ['[[drop]]\nclass = "porting"\nfrom = "25 past"', /from: must be seconds/],
     ['[[drop', /p\.toml:1/],
   ];
-  for (const [toml, reason] of refusals)
+  for (const [toml, reason] of rejections)
     assert.throws(
       () => apply(toml),
       (error) => error instanceof PlanError && reason.test(error.message),
@@ -62,15 +65,15 @@
     );
 });
 
-test('a plan changes what it names, and says from when on it makes a difference', () => {
+test('a plan changes only the jobs that it names, and reports the time from which it makes a difference', () => {
   assert.equal(apply('').freeFromS, Number.POSITIVE_INFINITY);
   assert.equal(apply('[[move]]\nclass = "porting"\nby_s = 0').freeFromS, Number.POSITIVE_INFINITY);
   const moved = apply('[[move]]\nclass = "letters"\nstart = 50');
   assert.deepEqual([moved.freeFromS, moved.jobs.find(({ spec }) => spec.id === 'j-b')?.atS], [50, 50]);
   const scaled = apply('[[scale]]\nclass = "porting"\njobs = 2\ntasks = 0.5\nrun = 2');
-  const own = scaled.jobs.filter(({ spec }) => spec.jobClass === 'porting');
+  const portingJobs = scaled.jobs.filter(({ spec }) => spec.jobClass === 'porting');
   assert.deepEqual(
-    own.map(({ spec, work }) => [spec.id, spec.tasks, Math.round(work.get(0) ?? 0)]),
+    portingJobs.map(({ spec, work }) => [spec.id, spec.tasks, Math.round(work.get(0) ?? 0)]),
     [
       ['j-a', 3, 60],
       ['j-a-more-1', 3, 60],
