--- a/packages/whatif/src/answer/errors.ts
+++ b/packages/whatif/src/answer/errors.ts
@@ -20,10 +20,11 @@
   /** Number of jobs that finished in the record but not in the replay. */
   readonly unfinished: number;
   /**
-   * Minimum, maximum and percentiles of the error (replayed minus recorded finishing time) in seconds, or null if no job
-   * finished in both.
+   * Minimum, maximum and percentiles of the error (replayed minus recorded finishing time) in seconds, or null if no
+   * job finished in both.
    */
   readonly errorS: Readonly<Record<'min' | 'p5' | 'p25' | 'p50' | 'p75' | 'p95' | 'max', number>> | null;
+  /** Jobs compared and within the tolerance, by job class. */
   readonly byClass: Readonly<Record<string, { readonly jobs: number; readonly within: number }>>;
 }
 
--- a/packages/whatif/src/answer/forecast.ts
+++ b/packages/whatif/src/answer/forecast.ts
@@ -97,7 +97,7 @@
   };
 }
 
-/** Returns the prediction interval of a finishing time, in seconds since the night began, or null without any finish. */
+/** Returns the prediction interval of a finishing time in seconds since the night began, or null without any finish. */
 function predictionInterval(
   submittedS: number,
   plannedFinishesS: readonly number[],
@@ -112,8 +112,8 @@
     quantileSorted(durations, INTERVAL_LOW_QUANTILE),
     quantileSorted(durations, INTERVAL_HIGH_QUANTILE),
   ];
-  // The interval is never narrower than the tolerance of a replay against its record. Without this margin, the finishing
-  // time of a gang that waits for nothing appeared to be exact to the second.
+  // The interval is never narrower than the tolerance of a replay against its record. Without this margin, the
+  // finishing time of a gang that waits for nothing appeared to be exact to the second.
   return [submittedS + low - toleranceS(low), submittedS + high + toleranceS(high)];
 }
 
--- a/packages/whatif/src/night/deaths.ts
+++ b/packages/whatif/src/night/deaths.ts
@@ -1,9 +1,9 @@
 import type { Night, RecordedMachine } from './night.js';
 
-/** Seconds after two missed reports at which the holder of a silent machine declares it dead. */
+/** The holder of a silent machine declares it dead after two report intervals plus this time. */
 export const DEAD_S = 2.7;
 
-/** Seconds that a machine is assumed to live on after its last recorded sign of life, which it still reported. */
+/** A machine reports its last sign of life itself, so its death is at least this many seconds later. */
 const ALIVE_AFTER_LAST_SIGN_S = 0.5;
 
 /**
--- a/packages/whatif/src/night/night.ts
+++ b/packages/whatif/src/night/night.ts
@@ -38,6 +38,7 @@
   readonly spot: boolean;
   /** Rental of the machine, or null if it was rented before the night. */
   rentedS: number | null;
+  /** Time at which the machine joined a block of machines. */
   joinedS: number | null;
   /** Notice that the cloud takes the machine back; `leftS` is the remaining time in seconds. */
   notice: { readonly atS: number; readonly leftS: number } | null;
@@ -55,6 +56,7 @@
  */
 export interface ControllerIncarnation {
   readonly node: string;
+  /** Id of the incarnation, unique per node. */
   readonly life: string;
   readonly fromS: number;
   lastS: number;
@@ -67,6 +69,7 @@
   readonly lengthS: number;
   /** The recording covers the start of every controller, rather than beginning while they run. */
   readonly coldStart: boolean;
+  /** Configuration of the platform. */
   readonly facts: NightFacts;
   readonly jobs: ReadonlyMap<string, RecordedJob>;
   readonly machines: ReadonlyMap<string, RecordedMachine>;
--- a/packages/whatif/src/night/scenario.ts
+++ b/packages/whatif/src/night/scenario.ts
@@ -31,6 +31,7 @@
 /** One machine as the replay provides it. Times are in seconds since the night began unless stated otherwise. */
 export interface PlayedMachine {
   readonly id: string;
+  /** Machine kind: type, zone and whether it is a spot machine. */
   readonly kind: string;
   /** Present when the night began, rather than rented during it. */
   readonly initial: boolean;
@@ -65,8 +66,9 @@
   readonly machines: readonly PlayedMachine[];
   /** Number of machines that the cloud has, by machine kind, for the kinds that ran out during the night. */
   readonly capacity: ReadonlyMap<string, number>;
+  /** Run times, slow machines and deaths derived from the night. */
   readonly runs: RecordedRunTimes;
-  /** The recorded night. Up to `freeFromS` the replay follows its recorded decisions. */
+  /** The recorded night. Up to `divergesAtS` the replay follows its recorded decisions. */
   readonly night: Night;
   /**
    * Time at which the plan first makes a difference and the replay starts to make its own decisions. Infinity means
@@ -75,7 +77,7 @@
   readonly freeFromS: number;
 }
 
-/** Seconds from a machine's boot until its block of machines includes it. */
+/** Seconds from a machine coming up until it belongs to a block of machines. */
 export const JOIN_S = 1;
 /** In a cold start, an initial machine that joins within this time counts as up from the beginning. */
 const COLD_START_JOIN_LIMIT_S = 12;
@@ -87,7 +89,7 @@
   !attempts.some((a) => a.why === 'done') &&
   new Set(attempts.filter((a) => a.why === 'error').map((a) => a.machine)).size >= 3;
 
-/** Returns the seconds from the end of a job's last task until its completion was stored, or null if it was not done. */
+/** Returns the seconds from the end of a job's last task until its completion was stored, or null if it wasn't done. */
 function completionWriteS({ attempts, ended }: RecordedJob): number | null {
   const endsS = attempts.flatMap((a) => (a.why === 'done' && a.leftS !== null ? [a.leftS] : []));
   if (ended?.phase !== 'done' || endsS.length === 0) return null;
--- a/packages/whatif/src/plan/apply.ts
+++ b/packages/whatif/src/plan/apply.ts
@@ -274,7 +274,10 @@
   }
 }
 
-/** Returns the scenario with all changes of a plan. Throws a PlanError that names the first impossible change and the reason. */
+/**
+ * Returns the scenario with all changes of a plan. Throws a PlanError that names the first impossible change and the
+ * reason.
+ */
 export function applyPlan(base: Scenario, plan: Plan): Scenario {
   validateTimeZone(plan.time_zone);
   const draft = new ScenarioDraft(base, plan);
--- a/packages/whatif/src/plan/moment.ts
+++ b/packages/whatif/src/plan/moment.ts
@@ -21,8 +21,8 @@
 
 /**
  * Converts a moment of a plan into seconds since the night began. A time of day must occur exactly once in the night.
- * If a clock change skips it or repeats it, a PlanError names the field (`path`) and, for a repeated time, the values to
- * write instead: a guess could shift a batch of jobs by an hour.
+ * If a clock change skips it or repeats it, a PlanError names the field (`path`) and, for a repeated time, the values
+ * to write instead: a guess could shift a batch of jobs by an hour.
  */
 export function parseMomentS(moment: Moment, span: NightSpan, path: string): number {
   if (typeof moment === 'number') return moment;
--- a/packages/whatif/test/nights.ts
+++ b/packages/whatif/test/nights.ts
@@ -35,8 +35,8 @@
 
 /**
  * Builds the trace of a night without a simulation. Machines have four CPUs and each task needs one. Jobs are placed in
- * the order given (list them by submission), each task on the CPU that is free first. `deaths` gives the time in seconds
- * at which a machine dies, by machine index; its tasks start again on other machines.
+ * the order given (list them by submission), each task on the CPU that is free first. `deaths` gives the time in
+ * seconds at which a machine dies, by machine index; its tasks start again on other machines.
  */
 export function handmade(
   jobFixtures: readonly JobFixture[],
