--- a/packages/whatif/src/answer/report.ts
+++ b/packages/whatif/src/answer/report.ts
@@ -45,17 +45,20 @@
 /** Name of a group with its summary in the record, in the unchanged replay and in the replay with the plan. */
 type Row = readonly [string, Fared | undefined, Fared | undefined, Fared | undefined];
 
+/** Returns one row per class or team, sorted by name. */
 function groupRows({ recorded, unchanged, planned }: Forecast['classes']): Row[] {
   const names = [...new Set([...recorded.keys(), ...planned.keys()])].sort();
   return names.map((name) => [name, recorded.get(name), unchanged.get(name), planned.get(name)]);
 }
 
+/** Returns one line per objective with the share that met it: recorded > unchanged > planned. */
 const objectiveLines = ([, recorded, unchanged, planned]: Row): string[] =>
   [...new Set([recorded, planned].flatMap((f) => Object.keys(f?.aims ?? {})))].map(
     (aim) =>
       `${aim}: ${percent(recorded?.aims[aim])} > ${percent(unchanged?.aims[aim])} > ${percent(planned?.aims[aim])}`,
   );
 const percentilePair = (q: Fared['finishS'] | undefined): string => (q ? `${q.p50} / ${q.p95}` : '-');
+/** Formats a row as recorded > unchanged > planned. */
 const threeSides = (row: Row, format: (f: Fared) => string): string =>
   row
     .slice(1)
@@ -144,6 +147,7 @@
 const CHART_WIDTH_PX = 860;
 
 const chartBase = { $schema: 'https://vega.github.io/schema/vega-lite/v5.json', width: CHART_WIDTH_PX } as const;
+/** The two replays that the charts compare. */
 const SIDES = ['unchanged', 'planned'] as const;
 
 /** Renders the charts of the HTML page as SVG. */
