--- a/packages/whatif/src/answer/report.ts
+++ b/packages/whatif/src/answer/report.ts
@@ -68,7 +68,7 @@
 /** Renders a forecast as text tables for a terminal. */
 export function forecastTable(forecast: Forecast, facts: ReportContext): string {
   const groups = new Table({
-    head: ['', 'jobs', 'finish time s', 'wait s', 'restarts', 'objectives met'],
+    head: ['', 'jobs', 'turnaround s', 'wait s', 'restarts', 'objectives met'],
     style: { head: [], border: [] },
   });
   for (const kind of ['classes', 'teams'] as const)
@@ -106,7 +106,7 @@
   const effect =
     forecast.fromS === null ? 'it changes nothing' : `its first difference is at ${formatClock(forecast.fromS, facts)}`;
   return [
-    `${forecast.plan}: ${effect}; ${forecast.seeds.length} replays with and without the plan; times of day in ${facts.zone}`,
+    `${forecast.plan}: ${effect}; ${forecast.seeds.length} replays each with and without the plan; times of day in ${facts.zone}`,
     groups.toString(),
     'recorded > replayed unchanged > planned; times in seconds (50th / 95th percentile)',
     `cost of machines: ${forecast.money.unchanged.toFixed(2)} unchanged, ${forecast.money.planned.toFixed(2)} planned`,
@@ -241,7 +241,7 @@
 <% if (it.forecast.fromS === null) { %>The plan changes nothing.<% } else { %>The plan first makes a difference at <%= it.formatClock(it.forecast.fromS) %>; up to then the replays follow the record.<% } %></p>
 <h2>Classes and teams</h2>
 <p class="dim">Recorded &gt; replayed unchanged &gt; planned. Times in seconds (50th / 95th percentile).</p>
-<table><tr><th></th><th>jobs</th><th>finish time s</th><th>wait s</th><th>restarts</th><th>objectives met</th></tr>
+<table><tr><th></th><th>jobs</th><th>turnaround s</th><th>wait s</th><th>restarts</th><th>objectives met</th></tr>
 <% for (const r of it.groups) { %><tr><td><b><%= r.name %></b></td><td><%= r.jobs %></td><td><%= r.finish %></td><td><%= r.wait %></td><td><%= r.restarts %></td><td><% for (const a of r.aims) { %><%= a %><br><% } %></td></tr><% } %>
 </table>
 <p>Cost of machines: <%= it.forecast.money.unchanged.toFixed(2) %> unchanged, <%= it.forecast.money.planned.toFixed(2) %> planned.</p>
