--- a/packages/region/src/controller.ts
+++ b/packages/region/src/controller.ts
@@ -2,19 +2,22 @@
 import { THIS, type Running } from './releases/index.js';
 import type { Host, SimProcess } from './sim/index.js';
 
-/** One controller's machine: the service runs on it, ends, and is started again, maybe as another release. */
+/** A simulated controller machine. Its process can crash and be started again, possibly as another release. */
 export class Controller {
+  /** The running process; null while the controller is down. */
   process: SimProcess | null = null;
+  /** Number of starts so far. */
   starts = 0;
 
   constructor(
     readonly seat: ControllerSeat,
     readonly host: Host,
     private readonly launch: (controller: Controller) => { process: SimProcess; service: Running },
-    /** Which release its next life is of. */
+    /** The release that the next start runs. */
     public release: string = THIS,
   ) {}
 
+  /** Starts a process unless one is running. */
   start(): void {
     if (this.process) return;
     this.starts += 1;
@@ -23,7 +26,7 @@
     service.start();
   }
 
-  /** Ends without a signal, as a crash does. */
+  /** Kills the process without notice, as a crash does. */
   crash(): void {
     this.process?.kill();
     this.process = null;
--- a/packages/region/src/daybook.ts
+++ b/packages/region/src/daybook.ts
@@ -2,30 +2,37 @@
 import type { Aim, Day, DayClass } from './day/index.js';
 import type { Cause, JobTruth, Machine, TaskWatch, UserView } from './models/index.js';
 
-interface JobLine {
+/** What has happened to one job so far. Times in milliseconds of true time. */
+interface JobHistory {
   readonly view: UserView;
-  /** First start of each task. */
-  readonly firstRun: Map<number, number>;
+  /** Time of each task's first start, by task index. */
+  readonly firstStartAt: Map<number, number>;
   completedAt: number | null;
+  /** Starts beyond each task's first. */
   restarts: number;
-  runningNow: number;
-  /** Replica time inside the window that the class's aim counts, in milliseconds. */
+  /** Tasks that run now. */
+  runningCount: number;
+  /** Uptime of all replicas inside the window that the class's availability objective counts, in milliseconds. */
   upMs: number;
+  /** When each running replica started, by task index; services only. */
   readonly upSince: Map<number, number>;
 }
 
+/** Percentiles of a duration, in seconds. */
 export interface Quantiles {
   readonly p50: number;
   readonly p95: number;
   readonly p99: number;
 }
 
+/** How well a job class met one of its objectives. */
 export interface AimResult {
   readonly aim: Aim;
-  /** null: nothing to count. */
+  /** Share of tasks, jobs or replica time that met the objective, 0 to 1; null when there was nothing to count. */
   readonly share: number | null;
 }
 
+/** The figures of one job class for a whole day. */
 export interface ClassResult {
   readonly name: string;
   readonly shape: DayClass['shape'];
@@ -34,171 +41,190 @@
   readonly done: number;
   readonly cancelled: number;
   readonly refused: number;
-  /** Accepted, and neither done nor cancelled when the day ended. */
+  /** Jobs that were accepted and neither done nor cancelled when the day ended. */
   readonly open: number;
+  /** Tasks that started at least once. */
   readonly tasksStarted: number;
   /** Starts beyond each task's first. */
   readonly restarts: number;
-  /** Seconds from submission, or from the end of the last job that it needs, to a task's first start; null: none started. */
+  /**
+   * Seconds from a job's submission, or from the completion of its last dependency, to a task's first start; null when
+   * no task started.
+   */
   readonly waitS: Quantiles | null;
-  /** Seconds from there to the last task's completion. */
+  /** Seconds from the same moment to the completion of the job's last task; null when none completed. */
   readonly finishS: Quantiles | null;
   readonly aims: readonly AimResult[];
-  /** Of its jobs that could have begun four minutes before the day's end, and of the largest tenth of these: how many were
-   * served, which is to say all their tasks have started; null: there were none. */
+  /**
+   * Share of the jobs that were served, which means that all their tasks have started at some time. Counts the jobs
+   * that could have started at least four minutes before the day's end; null when there were none.
+   */
   readonly served: number | null;
+  /** The same share among the largest tenth of these jobs. */
   readonly largestServed: number | null;
 }
 
-/** Within what time the largest jobs of a class have to begin, from when they could; in milliseconds. */
-export const LARGEST_BEGIN_MS = 240_000;
-const LARGEST_SHARE = 0.1;
-/** Of a class, a team, and a class's largest jobs: less than this served, and the day has failed. */
-const LEAST_SERVED = 0.5;
+/** Time within which a job has to start, counted from the moment when it can. */
+export const START_LIMIT_MS = 240_000;
+/** Share of a class's jobs, the largest ones, that are checked separately. */
+const LARGEST_JOBS_SHARE = 0.1;
+/** The day fails when a smaller share than this is served of a class's jobs, its largest jobs or a team's jobs. */
+const MIN_SERVED_SHARE = 0.5;
 
-/** Tenths of a second up to a day, three digits. */
+/** A histogram of durations in milliseconds, up to one day, with three significant digits. */
 const histogram = (): Histogram =>
   build({ lowestDiscernibleValue: 1, highestTrackableValue: 86_400_000, numberOfSignificantValueDigits: 3 });
 
+/** Percentiles of a histogram in seconds, rounded to tenths; null when the histogram is empty. */
 function quantiles(h: Histogram): Quantiles | null {
   if (h.totalCount === 0) return null;
-  const at = (p: number): number => Math.round(h.getValueAtPercentile(p) / 100) / 10;
-  return { p50: at(50), p95: at(95), p99: at(99) };
+  const secondsAt = (p: number): number => Math.round(h.getValueAtPercentile(p) / 100) / 10;
+  return { p50: secondsAt(50), p95: secondsAt(95), p99: secondsAt(99) };
 }
 
-/** How things stood at one moment, by class. */
-export interface Moment {
+/** Counts of running and waiting tasks by job class at one moment. */
+export interface TaskCounts {
+  /** Seconds since the day began. */
   readonly atS: number;
-  /** Tasks that run. */
+  /** Running tasks. */
   readonly running: Readonly<Record<string, number>>;
   /** Tasks of accepted jobs that neither run nor have completed. */
   readonly waiting: Readonly<Record<string, number>>;
 }
 
-/** All its tasks have started at some time. */
-const wholly = ({ view, firstRun }: JobLine): boolean => firstRun.size >= view.job.spec.pieces || view.job.complete;
+/** Whether all tasks of a job have started at some time. */
+const hasFullyStarted = ({ view, firstStartAt }: JobHistory): boolean =>
+  firstStartAt.size >= view.job.spec.pieces || view.job.complete;
 
-const served = (lines: readonly JobLine[]): number | null =>
-  lines.length === 0 ? null : lines.filter(wholly).length / lines.length;
+/** Share of some jobs that have fully started; null when there are no jobs. */
+const servedShare = (entries: readonly JobHistory[]): number | null =>
+  entries.length === 0 ? null : entries.filter(hasFullyStarted).length / entries.length;
 
-/** Keeps what becomes of every job, and says at the end how the day went, class by class. */
-export class Daybook implements TaskWatch {
-  private readonly jobs = new Map<string, JobLine>();
-  private readonly runs = new Set<string>();
+/** Tracks the outcome of every job and computes the day's figures by job class. */
+export class JobStatistics implements TaskWatch {
+  private readonly jobs = new Map<string, JobHistory>();
+  /** Running tasks, as `job/index`. */
+  private readonly runningTasks = new Set<string>();
 
   constructor(
     private readonly day: Day,
     private readonly now: () => number,
   ) {}
 
-  arrived(view: UserView): void {
+  /** Adds a job that a user has submitted. */
+  addJob(view: UserView): void {
     this.jobs.set(view.job.spec.ref, {
-      ...{ view, firstRun: new Map<number, number>(), completedAt: null, restarts: 0, runningNow: 0 },
+      ...{ view, firstStartAt: new Map<number, number>(), completedAt: null, restarts: 0, runningCount: 0 },
       ...{ upMs: 0, upSince: new Map<number, number>() },
     });
   }
 
   entered(): void {
-    // Waiting for a gang is no start.
+    // A task that waits for its gang has not started.
   }
 
   running(_machine: Machine, { spec }: JobTruth, index: number): void {
-    const line = this.jobs.get(spec.ref);
-    if (!line) return;
-    this.runs.add(`${spec.ref}/${index}`);
-    line.runningNow += 1;
-    if (line.firstRun.has(index)) line.restarts += 1;
-    else line.firstRun.set(index, this.now());
-    if (spec.shape === 'daemon') line.upSince.set(index, this.now());
+    const entry = this.jobs.get(spec.ref);
+    if (!entry) return;
+    this.runningTasks.add(`${spec.ref}/${index}`);
+    entry.runningCount += 1;
+    if (entry.firstStartAt.has(index)) entry.restarts += 1;
+    else entry.firstStartAt.set(index, this.now());
+    if (spec.shape === 'daemon') entry.upSince.set(index, this.now());
   }
 
   left(_machine: Machine, job: JobTruth, index: number, _attempt: number, cause: Cause | 'killed'): void {
-    const line = this.jobs.get(job.spec.ref);
-    if (!line) return;
-    if (this.runs.delete(`${job.spec.ref}/${index}`)) line.runningNow -= 1;
-    this.lastUp(line, index);
-    if (cause === 'done' && job.complete) line.completedAt ??= this.now();
+    const entry = this.jobs.get(job.spec.ref);
+    if (!entry) return;
+    if (this.runningTasks.delete(`${job.spec.ref}/${index}`)) entry.runningCount -= 1;
+    this.endUptime(entry, index);
+    if (cause === 'done' && job.complete) entry.completedAt ??= this.now();
   }
 
-  /** Counts a replica's time up to now, inside the window of its class's aim. */
-  private lastUp(line: JobLine, index: number): void {
-    const since = line.upSince.get(index);
+  /** Ends a replica's uptime now and adds the part inside the window of its class's availability objective. */
+  private endUptime(entry: JobHistory, index: number): void {
+    const since = entry.upSince.get(index);
     if (since === undefined) return;
-    line.upSince.delete(index);
-    const { from, to } = this.window(line);
-    line.upMs += Math.max(0, Math.min(to, this.now()) - Math.max(from, since));
+    entry.upSince.delete(index);
+    const { from, to } = this.uptimeWindow(entry);
+    entry.upMs += Math.max(0, Math.min(to, this.now()) - Math.max(from, since));
   }
 
-  private window({ view }: JobLine): { from: number; to: number } {
-    const c = this.day.classes.find(({ name }) => name === view.job.spec.jobclass);
-    const aim = c?.aims.find(({ kind }) => kind === 'up');
+  /** The time span in which a job's uptime counts: from the objective's start allowance to the user's cancellation. */
+  private uptimeWindow({ view }: JobHistory): { from: number; to: number } {
+    const jobClass = this.day.classes.find(({ name }) => name === view.job.spec.jobclass);
+    const aim = jobClass?.aims.find(({ kind }) => kind === 'up');
     const withinMs = aim && 'within_s' in aim ? aim.within_s * 1000 : 0;
     return { from: view.submittedAt + withinMs, to: view.cancelAskedAt ?? Number.POSITIVE_INFINITY };
   }
 
-  moment(): Moment {
+  /** Counts running and waiting tasks by class now. */
+  taskCounts(): TaskCounts {
     const running: Record<string, number> = {};
     const waiting: Record<string, number> = {};
     for (const { name } of this.day.classes) running[name] = waiting[name] = 0;
-    for (const { view, runningNow } of this.jobs.values()) {
+    for (const { view, runningCount } of this.jobs.values()) {
       const { job, acceptedAt, cancelAskedAt } = view;
       const { jobclass, pieces } = job.spec;
-      running[jobclass] = (running[jobclass] ?? 0) + runningNow;
+      running[jobclass] = (running[jobclass] ?? 0) + runningCount;
       if (acceptedAt === null || cancelAskedAt !== null || job.complete) continue;
-      waiting[jobclass] = (waiting[jobclass] ?? 0) + Math.max(0, pieces - job.finished.size - runningNow);
+      waiting[jobclass] = (waiting[jobclass] ?? 0) + Math.max(0, pieces - job.finished.size - runningCount);
     }
     return { atS: this.now() / 1000, running, waiting };
   }
 
-  /** The whole day's figures; afterwards nothing more may be counted. */
+  /** Returns the figures of the whole day. Nothing may be recorded after this. */
   close(): ClassResult[] {
-    for (const line of this.jobs.values()) for (const index of [...line.upSince.keys()]) this.lastUp(line, index);
+    for (const entry of this.jobs.values()) for (const index of [...entry.upSince.keys()]) this.endUptime(entry, index);
     return this.day.classes.map((c) => this.result(c));
   }
 
   private result(c: DayClass): ClassResult {
-    const lines = [...this.jobs.values()].filter(({ view }) => view.job.spec.jobclass === c.name);
+    const entries = [...this.jobs.values()].filter(({ view }) => view.job.spec.jobclass === c.name);
     const [waits, finishes] = [histogram(), histogram()];
-    const count = (holds: (view: UserView) => boolean): number => lines.filter(({ view }) => holds(view)).length;
-    for (const line of lines) {
-      const { view, firstRun, completedAt } = line;
-      const from = this.couldAt(line) ?? view.submittedAt;
-      for (const at of firstRun.values()) waits.recordValue(Math.max(1, Math.round(at - from)));
+    const count = (holds: (view: UserView) => boolean): number => entries.filter(({ view }) => holds(view)).length;
+    for (const entry of entries) {
+      const { view, firstStartAt, completedAt } = entry;
+      const from = this.startableAt(entry) ?? view.submittedAt;
+      for (const at of firstStartAt.values()) waits.recordValue(Math.max(1, Math.round(at - from)));
       if (completedAt !== null) finishes.recordValue(Math.max(1, Math.round(completedAt - from)));
     }
     return {
       name: c.name,
       shape: c.shape,
-      submitted: lines.length,
+      submitted: entries.length,
       accepted: count((view) => view.acceptedAt !== null),
       done: count((view) => view.toldDone),
       cancelled: count((view) => view.toldCancelled),
       refused: count((view) => view.refused),
       open: count((view) => view.acceptedAt !== null && !view.toldDone && !view.toldCancelled),
-      tasksStarted: lines.reduce((sum, line) => sum + line.firstRun.size, 0),
-      restarts: lines.reduce((sum, line) => sum + line.restarts, 0),
+      tasksStarted: entries.reduce((sum, entry) => sum + entry.firstStartAt.size, 0),
+      restarts: entries.reduce((sum, entry) => sum + entry.restarts, 0),
       waitS: quantiles(waits),
       finishS: quantiles(finishes),
-      served: served(this.counted(lines)),
-      largestServed: served(this.largest(this.counted(lines))),
-      aims: c.aims.map((aim) => ({ aim, share: this.share(aim, lines) })),
+      served: servedShare(this.eligible(entries)),
+      largestServed: servedShare(this.largest(this.eligible(entries))),
+      aims: c.aims.map((aim) => ({ aim, share: this.share(aim, entries) })),
     };
   }
 
-  /** Only jobs whose time was up before the day ended count, and none that its user took back before. */
-  private share(aim: Aim, all: readonly JobLine[]): number | null {
+  /**
+   * The share that met an objective; null when nothing counts. Except for uptime, a job counts only if its time limit
+   * passed before the day ended and its user did not cancel it before that limit.
+   */
+  private share(aim: Aim, all: readonly JobHistory[]): number | null {
     const end = this.now();
     let [met, counted] = [0, 0];
-    for (const line of all) {
-      const { job, cancelAskedAt } = line.view;
-      const from = aim.kind === 'deadline' ? line.view.submittedAt : this.couldAt(line);
-      // It needs jobs that aren't done: its time has not begun.
+    for (const entry of all) {
+      const { job, cancelAskedAt } = entry.view;
+      const from = aim.kind === 'deadline' ? entry.view.submittedAt : this.startableAt(entry);
+      // A dependency is not done yet, so the job's time limit has not started.
       if (from === null) continue;
-      if (job.mistaken || line.view.refused) continue;
+      if (job.mistaken || entry.view.refused) continue;
       if (aim.kind === 'up') {
-        const { from, to } = this.window(line);
+        const { from, to } = this.uptimeWindow(entry);
         counted += Math.max(0, Math.min(to, end) - from) * job.spec.pieces;
-        met += line.upMs;
+        met += entry.upMs;
         continue;
       }
       const withinMs = (aim.kind === 'deadline' ? (job.spec.due_s ?? 0) : aim.within_s) * 1000;
@@ -206,74 +232,79 @@
       if (dueAt > end || (cancelAskedAt !== null && cancelAskedAt < dueAt)) continue;
       if (aim.kind === 'wait') {
         counted += job.spec.pieces;
-        for (const at of line.firstRun.values()) if (at <= dueAt) met += 1;
+        for (const at of entry.firstStartAt.values()) if (at <= dueAt) met += 1;
       } else {
         counted += 1;
-        if (line.completedAt !== null && line.completedAt <= dueAt && line.view.toldDone) met += 1;
+        if (entry.completedAt !== null && entry.completedAt <= dueAt && entry.view.toldDone) met += 1;
       }
     }
     return counted === 0 ? null : met / counted;
   }
 
-  /** When a job could begin, as far as those go that it needs; null: not yet, or never. */
-  private couldAt({ view }: JobLine): number | null {
+  /** The time from which a job's dependencies allow it to start; null while one of them is not complete. */
+  private startableAt({ view }: JobHistory): number | null {
     let at = view.submittedAt;
-    for (const before of view.job.spec.awaits ?? []) {
-      const done = this.jobs.get(before)?.completedAt ?? null;
-      if (done === null) return null;
-      at = Math.max(at, done);
+    for (const dependency of view.job.spec.awaits ?? []) {
+      const doneAt = this.jobs.get(dependency)?.completedAt ?? null;
+      if (doneAt === null) return null;
+      at = Math.max(at, doneAt);
     }
     return at;
   }
 
-  /** Of some jobs, those that count when it is asked who was served. */
-  private counted(lines: readonly JobLine[]): JobLine[] {
+  /**
+   * The jobs on which the served share is based: accepted, submitted without a mistake, and with complete dependencies.
+   * Of these, a job that has fully started always counts; any other counts only if its start limit has passed and its
+   * user did not cancel it before that limit.
+   */
+  private eligible(entries: readonly JobHistory[]): JobHistory[] {
     const end = this.now();
-    return lines.filter((line) => {
-      const { job, acceptedAt, cancelAskedAt, toldCancelled } = line.view;
+    return entries.filter((entry) => {
+      const { job, acceptedAt, cancelAskedAt, toldCancelled } = entry.view;
       if (acceptedAt === null || job.mistaken) return false;
-      const could = this.couldAt(line);
-      if (could === null) return false;
-      const limit = could + LARGEST_BEGIN_MS;
-      if (wholly(line)) return true;
+      const startableAt = this.startableAt(entry);
+      if (startableAt === null) return false;
+      const limit = startableAt + START_LIMIT_MS;
+      if (hasFullyStarted(entry)) return true;
       return limit <= end && !toldCancelled && (cancelAskedAt === null || cancelAskedAt > limit);
     });
   }
 
-  private largest(lines: readonly JobLine[]): JobLine[] {
-    const bySize = [...lines].sort((a, b) => b.view.job.spec.pieces - a.view.job.spec.pieces);
-    return bySize.slice(0, Math.max(1, Math.ceil(bySize.length * LARGEST_SHARE)));
+  /** The largest tenth of some jobs by task count, at least one if there are any. */
+  private largest(entries: readonly JobHistory[]): JobHistory[] {
+    const bySize = [...entries].sort((a, b) => b.view.job.spec.pieces - a.view.job.spec.pieces);
+    return bySize.slice(0, Math.max(1, Math.ceil(bySize.length * LARGEST_JOBS_SHARE)));
   }
 
-  /** Why the day has failed, apart from rules. */
+  /** Why the day has failed, apart from rule violations: one text per cause. */
   get failures(): string[] {
-    const found: string[] = [];
+    const failures: string[] = [];
     const all = [...this.jobs.values()];
-    const look = (what: string, lines: readonly JobLine[]): void => {
-      const share = served(lines);
-      if (share !== null && share < LEAST_SERVED)
-        found.push(`${what}: ${(share * 100).toFixed(0)} % of ${lines.length} served`);
+    const checkServed = (what: string, entries: readonly JobHistory[]): void => {
+      const share = servedShare(entries);
+      if (share !== null && share < MIN_SERVED_SHARE)
+        failures.push(`${what}: ${(share * 100).toFixed(0)} % of ${entries.length} served`);
     };
     for (const { name } of this.day.classes) {
-      const lines = this.counted(all.filter(({ view }) => view.job.spec.jobclass === name));
-      const largest = this.largest(lines);
-      look(`class ${name}`, lines);
-      look(`largest of ${name}`, largest);
-      for (const line of largest) {
-        const could = this.couldAt(line);
-        const first = Math.min(...line.firstRun.values());
-        if (could !== null && first - could > LARGEST_BEGIN_MS)
-          found.push(
-            `largest of ${name}: ${line.view.job.spec.ref} (${line.view.job.spec.pieces} tasks) had not begun after four minutes`,
+      const entries = this.eligible(all.filter(({ view }) => view.job.spec.jobclass === name));
+      const largest = this.largest(entries);
+      checkServed(`class ${name}`, entries);
+      checkServed(`largest of ${name}`, largest);
+      for (const entry of largest) {
+        const startableAt = this.startableAt(entry);
+        const firstStartAt = Math.min(...entry.firstStartAt.values());
+        if (startableAt !== null && firstStartAt - startableAt > START_LIMIT_MS)
+          failures.push(
+            `largest of ${name}: ${entry.view.job.spec.ref} (${entry.view.job.spec.pieces} tasks) had no task started within four minutes`,
           );
       }
     }
     for (const { name } of this.day.teams)
-      look(`team ${name}`, this.counted(all.filter(({ view }) => view.job.spec.owner === name)));
-    return found;
+      checkServed(`team ${name}`, this.eligible(all.filter(({ view }) => view.job.spec.owner === name)));
+    return failures;
   }
 
-  /** Jobs that can end by themselves and have not. */
+  /** Number of jobs that can end by themselves and have not ended. */
   get batchLeft(): number {
     let left = 0;
     for (const { view } of this.jobs.values()) {
@@ -283,7 +314,7 @@
     return left;
   }
 
-  /** Jobs that were accepted and are neither done nor cancelled. */
+  /** References of the jobs that were accepted and are neither done nor cancelled. */
   get open(): string[] {
     const open = [...this.jobs.values()].filter(
       ({ view }) => view.acceptedAt !== null && !view.toldDone && !view.toldCancelled,
--- a/packages/region/src/ending.ts
+++ b/packages/region/src/ending.ts
@@ -7,14 +7,15 @@
   type Timer,
 } from '../../../src/kernel/index.js';
 
-/** Bytes of payload that TCP carried, and connections opened. */
+/** Payload bytes carried over TCP, and the number of connections. */
 export interface Traffic {
+  /** Connections established so far, closed ones included. */
   readonly connections: number;
   readonly bytesIn: number;
   readonly bytesOut: number;
 }
 
-/** Traffic by who opened the connections. */
+/** Traffic by the side that opened the connections. */
 export interface DirectedTraffic {
   /** On connections that this runtime opened. */
   readonly opened: Traffic;
@@ -22,26 +23,27 @@
   readonly accepted: Traffic;
 }
 
-interface Counted {
+/** Byte counters that a socket of the operating system has; a `Connection` need not have them. */
+interface ByteCounters {
   readonly bytesRead?: number;
   readonly bytesWritten?: number;
 }
 
-/** Counts what a set of sockets has carried, those that are closed included. */
+/** Sums the traffic of a set of sockets, closed ones included. */
 class TrafficCounter {
   private readonly open = new Set<Connection>();
   private connections = 0;
-  private closedIn = 0;
-  private closedOut = 0;
+  private closedBytesIn = 0;
+  private closedBytesOut = 0;
 
   add(socket: Connection): void {
     this.connections += 1;
     this.open.add(socket);
     socket.on('close', () => {
-      const { bytesRead = 0, bytesWritten = 0 } = socket as Counted;
+      const { bytesRead = 0, bytesWritten = 0 } = socket as ByteCounters;
       this.open.delete(socket);
-      this.closedIn += bytesRead;
-      this.closedOut += bytesWritten;
+      this.closedBytesIn += bytesRead;
+      this.closedBytesOut += bytesWritten;
     });
   }
 
@@ -50,9 +52,9 @@
   }
 
   get total(): Traffic {
-    let [bytesIn, bytesOut] = [this.closedIn, this.closedOut];
+    let [bytesIn, bytesOut] = [this.closedBytesIn, this.closedBytesOut];
     for (const socket of this.open) {
-      const { bytesRead = 0, bytesWritten = 0 } = socket as Counted;
+      const { bytesRead = 0, bytesWritten = 0 } = socket as ByteCounters;
       bytesIn += bytesRead;
       bytesOut += bytesWritten;
     }
@@ -60,7 +62,7 @@
   }
 }
 
-/** The machine's own runtime, with all that it opened ended at once, and with its traffic counted. */
+/** The system runtime with traffic counters. `end` cancels every timer and closes every listener and socket at once. */
 export class EndingRuntime implements Runtime {
   private readonly timers = new Set<Timer>();
   private readonly opened = new TrafficCounter();
@@ -74,34 +76,36 @@
   readonly uniqueId = systemRuntime.uniqueId;
   readonly scheduler = systemRuntime.scheduler;
 
+  /** Traffic since the runtime was created. */
   get traffic(): DirectedTraffic {
     return { opened: this.opened.total, accepted: this.accepted.total };
   }
 
-  private keep(timer: Timer): Timer {
-    const kept = {
+  /** Registers a timer so that `end` cancels it. */
+  private track(timer: Timer): Timer {
+    const tracked = {
       cancel: () => {
-        this.timers.delete(kept);
+        this.timers.delete(tracked);
         timer.cancel();
       },
     };
-    this.timers.add(kept);
-    return kept;
+    this.timers.add(tracked);
+    return tracked;
   }
 
   after(ms: number, work: () => void): Timer {
     if (this.ended) return { cancel: () => undefined };
-    const kept = this.keep(
+    const tracked = this.track(
       systemRuntime.after(ms, () => {
-        this.timers.delete(kept);
+        this.timers.delete(tracked);
         work();
       }),
     );
-    return kept;
+    return tracked;
   }
 
   every(ms: number, work: () => void): Timer {
-    return this.ended ? { cancel: () => undefined } : this.keep(systemRuntime.every(ms, work));
+    return this.ended ? { cancel: () => undefined } : this.track(systemRuntime.every(ms, work));
   }
 
   sleep(ms: number): Promise<void> {
@@ -109,22 +113,24 @@
   }
 
   connect(to: Endpoint): Connection {
-    return this.keepSocket(systemRuntime.connect(to), this.opened);
+    return this.trackSocket(systemRuntime.connect(to), this.opened);
   }
 
-  private keepSocket(socket: Connection, counter: TrafficCounter): Connection {
+  /** Counts a socket and registers it for `end`; destroys it at once if the runtime has already ended. */
+  private trackSocket(socket: Connection, counter: TrafficCounter): Connection {
     counter.add(socket);
     if (this.ended) socket.destroy();
     return socket;
   }
 
   listen(options: Parameters<Runtime['listen']>[0]): Listening {
-    const accept = (socket: Connection): void => options.accept(this.keepSocket(socket, this.accepted));
+    const accept = (socket: Connection): void => options.accept(this.trackSocket(socket, this.accepted));
     const listening = systemRuntime.listen({ ...options, accept });
     this.listeners.add(listening);
     return listening;
   }
 
+  /** Cancels all timers and closes all listeners and sockets. Later timers never fire; later sockets are destroyed. */
   end(): void {
     this.ended = true;
     for (const timer of [...this.timers]) timer.cancel();
--- a/packages/region/src/index.ts
+++ b/packages/region/src/index.ts
@@ -1,3 +1,4 @@
+/** The simulated region: models, fault injection, rule checker and reports. */
 export * from './checker/index.js';
 export * from './day/index.js';
 export * from './ending.js';
--- a/packages/region/src/parts.ts
+++ b/packages/region/src/parts.ts
@@ -3,7 +3,7 @@
 import { ROLLOUT_WISHES } from '../../../src/state/index.js';
 import { RuleChecker, type Breach, type Room } from './checker/index.js';
 import type { Day } from './day/index.js';
-import { Daybook } from './daybook.js';
+import { JobStatistics } from './daybook.js';
 import { Balancer, CloudModel, GangBook, JobBook, StateModel, UserModel, WorkerModel } from './models/index.js';
 import type {
   Cause,
@@ -17,120 +17,131 @@
 } from './models/index.js';
 import type { Luck } from './sim/index.js';
 
-/** Where a model runs: a simulated host, or this machine's loopback. */
+/** Where a model runs: a simulated host, or the loopback interface of this machine. */
 export interface Seat {
   readonly runtime: Runtime;
-  /** Goes on while `runtime` stands still. */
+  /** Keeps running while `runtime` is paused. */
   readonly watchdog: Runtime;
+  /** The address on which the model listens. */
   readonly at: Endpoint;
-  /** The machine is gone, without a word. */
+  /** Removes the host abruptly: nothing is sent or closed in an orderly way. */
   close(): void;
 }
 
+/** Creates the hosts of the models and tells the time. */
 export interface Place {
+  /** Creates the host of a model. A null zone means that the model belongs to no zone. */
   seat(name: string, zone: string | null): Seat;
   /** True time in milliseconds since the day began. */
   now(): number;
 }
 
+/** Name, zone and listen addresses of one controller. */
 export interface ControllerSeat {
   readonly name: string;
   readonly zone: string;
+  /** Address for users, workers and operators. */
   readonly serveOn: Endpoint;
+  /** Address for other controllers. */
   readonly peerOn: Endpoint;
 }
 
-export interface HeldWorker {
+/** A worker model and the host that it runs on. */
+export interface HostedWorker {
   readonly model: WorkerModel;
-  readonly seat: Seat;
+  readonly host: Seat;
 }
 
-/** Gives machines their workers somewhere else than in this process. */
+/** Runs the workers outside this process. */
 export interface WorkerHosts {
-  /** The machine is up: a worker is to report for it, and its address is to be set. */
+  /** The machine is up: starts a worker that reports for it, and sets the machine's address. */
   up(machine: Machine): void;
-  /** The machine is gone, and its worker with it. */
+  /** The machine is gone: ends its worker. */
   gone(machine: Machine): void;
 }
 
-/** Told of what truly happens to tasks, and of every job that its user has uploaded. */
+/** Observes the true state of tasks, and every job that a user submits. */
 export interface RegionObserver extends TaskWatch {
+  /** A user has submitted a job. */
   arrived(view: UserView): void;
 }
 
+/** Options of `RegionParts`. */
 export interface PartsOptions {
   readonly day: Day;
   readonly luck: Luck;
+  /** Creates the hosts of the models and tells the time. */
   readonly place: Place;
   readonly log: Logger;
   readonly controllers: readonly ControllerSeat[];
-  /** Told of everything that happens, in words. */
+  /** Called with one line of text for each event. */
   readonly note: (what: string) => void;
+  /** Called for each violated rule. */
   readonly broken?: (breach: Breach) => void;
-  /** Who comes and what happens to machines, instead of what the day would draw. */
+  /** Jobs and the fates of machines, instead of those drawn at random for the day. */
   readonly script?: Script;
-  /** Workers live elsewhere; none is made here. */
+  /** Runs the workers outside this process; when given, no worker models are created here. */
   readonly hosts?: WorkerHosts;
-  /** Told of every task's start command, start and end, and of every job, beside the checker. */
+  /** Observes every task's start command, start and end, and every job, in addition to the checker. */
   readonly observer?: RegionObserver;
-  /** Finds the description of a job that somebody else has submitted. */
-  readonly uploaded?: (ref: string, state: StateModel) => JobTruth | undefined;
+  /** Looks up a job that no simulated user submitted; undefined if there is none. */
+  readonly findJob?: (ref: string, state: StateModel) => JobTruth | undefined;
 }
 
-/** What a day's workers keep to. */
+/** Intervals and limits of a day's workers, in seconds. */
 export const workerFacts = ({ workers: w }: Day): WorkerFacts => ({
   ...{ reportS: w.report_s, leaseS: w.lease_s, cancelS: w.cancel_s },
   ...{ gangWaitS: w.gang_wait_s, gangPeerS: w.gang_peer_s },
 });
 
-/** All models of a region but its controllers, put together; in simulated time or on real sockets. */
+/** All models of a region except its controllers, in simulated time or on real sockets. */
 export class RegionParts implements TaskWatch {
   readonly state: StateModel;
   readonly cloud: CloudModel;
   readonly users: UserModel;
   readonly balancer: Balancer;
   readonly checker: RuleChecker;
-  readonly daybook: Daybook;
+  readonly daybook: JobStatistics;
   readonly jobs: JobBook;
-  /** By machine. */
-  readonly workers = new Map<string, HeldWorker>();
-  /** Copies of reports come late. */
-  copies: ReportCopies | null = null;
-  readonly stateSeat: Seat;
-  readonly cloudSeat: Seat;
-  readonly userSeat: Seat;
+  /** The worker models that run, by machine ID. */
+  readonly workers = new Map<string, HostedWorker>();
+  /** Makes workers send delayed duplicates of their reports; null while none are sent. */
+  duplicateReports: ReportCopies | null = null;
+  readonly stateHost: Seat;
+  readonly cloudHost: Seat;
+  readonly userHost: Seat;
   private readonly gangs: GangBook;
   private readonly facts: WorkerFacts;
 
   constructor(private readonly options: PartsOptions) {
-    const { day, luck, place } = options;
+    const { day, luck: rng, place } = options;
     this.facts = workerFacts(day);
-    // A job that no user of ours uploaded is taken from its record, where that is wished.
-    this.jobs = new JobBook(options.uploaded && ((ref) => options.uploaded?.(ref, this.state)));
-    this.stateSeat = place.seat('state', null);
-    this.cloudSeat = place.seat('cloud', null);
-    this.userSeat = place.seat('users', null);
-    const { runtime } = this.userSeat;
+    // A job that no simulated user submitted is looked up with `findJob`, if given.
+    this.jobs = new JobBook(options.findJob && ((ref) => options.findJob?.(ref, this.state)));
+    this.stateHost = place.seat('state', null);
+    this.cloudHost = place.seat('cloud', null);
+    this.userHost = place.seat('users', null);
+    const { runtime } = this.userHost;
     const now = (): number => place.now();
     this.checker = new RuleChecker(
       now,
       new Map(day.teams.map((team) => [team.name, { cpusMax: team.cpus_max, gpusMax: team.gpus_max }])),
       this.facts.cancelS,
       (ms, work) => runtime.after(ms, work),
-      (breach) => {
-        options.note(`broken ${breach.rule}: ${breach.what}`);
-        options.broken?.(breach);
+      (violation) => {
+        options.note(`broken ${violation.rule}: ${violation.what}`);
+        options.broken?.(violation);
       },
     );
-    this.daybook = new Daybook(day, now);
+    this.daybook = new JobStatistics(day, now);
     const { state, cloud } = day;
-    this.state = new StateModel(this.stateSeat.runtime, luck.fork('state'), {
+    this.state = new StateModel(this.stateHost.runtime, rng.fork('state'), {
       ...{ rps: state.rps, writeRps: state.write_rps, valueKb: state.value_kb },
       ...{ txnOps: state.txn_ops, latencyMs: state.latency_ms },
     });
     this.cloud = new CloudModel(
-      this.cloudSeat.runtime,
-      luck.fork('cloud'),
+      this.cloudHost.runtime,
+      rng.fork('cloud'),
       {
         ...{ rps: cloud.rps, latencyMs: cloud.latency_ms, listLagS: cloud.list_lag_s },
         spot: {
@@ -146,9 +157,9 @@
         capacity: day.capacity,
         ...(options.script ? { script: options.script.machine } : {}),
       },
-      { up: (machine) => this.up(machine), gone: (machine) => this.gone(machine) },
+      { up: (machine) => this.startWorker(machine), gone: (machine) => this.endWorker(machine) },
     );
-    this.gangs = new GangBook(this.cloudSeat.runtime, luck.fork('gangs'), {
+    this.gangs = new GangBook(this.cloudHost.runtime, rng.fork('gangs'), {
       ...{ waitS: this.facts.gangWaitS, peerS: this.facts.gangPeerS },
     });
     this.balancer = new Balancer(
@@ -156,12 +167,12 @@
       options.controllers.map(({ serveOn }) => serveOn),
     );
     this.users = new UserModel({
-      ...{ runtime, now, luck: luck.fork('users'), day, balancer: this.balancer, jobs: this.jobs },
+      ...{ runtime, now, luck: rng.fork('users'), day, balancer: this.balancer, jobs: this.jobs },
       checker: this.checker,
       arrived: (view) => {
         const { ref, jobclass, pieces } = view.job.spec;
         options.note(`arrives ${ref} ${jobclass} ${pieces}`);
-        this.daybook.arrived(view);
+        this.daybook.addJob(view);
         options.observer?.arrived(view);
       },
       nodes: options.controllers.map(({ serveOn }) => serveOn),
@@ -169,71 +180,77 @@
     });
   }
 
-  /** Opens the services' listeners and brings the first machines up. Resolves to the ports of state and cloud. */
+  /**
+   * Starts the listeners of the state and cloud services and creates the machines that exist when the day begins.
+   * Resolves to the ports of state and cloud, in this order.
+   */
   start(): Promise<readonly number[]> {
     const { log, day } = this.options;
-    const wish = { wish: 'allow', at: wallMillis(0) } as const;
-    const allowed = day.controllers.allow.map((feature) => [feature, wish] as const);
-    if (allowed.length > 0) this.state.put(ROLLOUT_WISHES, encodeWishes({ ...NO_WISHES, features: new Map(allowed) }));
-    const state = this.state.listen(this.stateSeat.at, log);
-    const cloud = this.cloud.listen(this.cloudSeat.at, log);
+    const request = { wish: 'allow', at: wallMillis(0) } as const;
+    const allowedFeatures = day.controllers.allow.map((feature) => [feature, request] as const);
+    if (allowedFeatures.length > 0)
+      this.state.put(ROLLOUT_WISHES, encodeWishes({ ...NO_WISHES, features: new Map(allowedFeatures) }));
+    const state = this.state.listen(this.stateHost.at, log);
+    const cloud = this.cloud.listen(this.cloudHost.at, log);
     for (const { type, zone, spot, count } of day.machines) this.cloud.begin(type, zone, spot, count);
     return Promise.all([state.ready, cloud.ready]);
   }
 
-  /** Users come, and the balancer looks after the nodes. */
+  /** Starts the users, and the load balancer's health checks of the controllers. */
   open(): void {
     this.balancer.start();
     this.users.start();
   }
 
-  // ---- machines
+  // ---- Machines
 
-  private up(machine: Machine): void {
-    const { place, luck, log, controllers, note, hosts } = this.options;
-    if (hosts) {
-      note(`up ${machine.id} ${machine.type.name} ${machine.zone}`);
-      hosts.up(machine);
+  /** Starts the worker of a machine that has come up. */
+  private startWorker(machine: Machine): void {
+    const { place, luck: rng, log, controllers, note: logEvent, hosts: externalWorkers } = this.options;
+    if (externalWorkers) {
+      logEvent(`up ${machine.id} ${machine.type.name} ${machine.zone}`);
+      externalWorkers.up(machine);
       return;
     }
-    const seat = place.seat(machine.id, machine.zone);
+    const host = place.seat(machine.id, machine.zone);
     const model = new WorkerModel(machine, {
-      runtime: seat.runtime,
-      watchdog: seat.watchdog,
-      luck: luck.fork(machine.id),
+      runtime: host.runtime,
+      watchdog: host.watchdog,
+      luck: rng.fork(machine.id),
       log,
       facts: this.facts,
       controllers: controllers.map(({ name, serveOn }) => ({ name, at: serveOn })),
       jobs: this.jobs,
       gangs: this.gangs,
       watch: this,
-      copies: () => this.copies,
+      copies: () => this.duplicateReports,
       noticeS: () =>
-        machine.takenAt === null ? null : Math.max(0, machine.takenAt - this.cloudSeat.runtime.now()) / 1000,
+        machine.takenAt === null ? null : Math.max(0, machine.takenAt - this.cloudHost.runtime.now()) / 1000,
     });
-    this.workers.set(machine.id, { model, seat });
+    this.workers.set(machine.id, { model, host });
     if (machine.script) {
       model.tasks.slowness = machine.script.slowness;
       const { failsFromS } = machine.script;
       if (failsFromS !== null)
-        seat.watchdog.after(Math.max(0, failsFromS * 1000 - place.now()), () => (model.tasks.failsTasks = true));
+        host.watchdog.after(Math.max(0, failsFromS * 1000 - place.now()), () => (model.tasks.failsTasks = true));
     }
-    note(`up ${machine.id} ${machine.type.name} ${machine.zone}${machine.spot ? ' spot' : ''}`);
-    const { ready } = model.listen(seat.at);
-    void ready.then((port) => model.start(`${seat.at.host}:${port}`));
+    logEvent(`up ${machine.id} ${machine.type.name} ${machine.zone}${machine.spot ? ' spot' : ''}`);
+    const { ready } = model.listen(host.at);
+    void ready.then((port) => model.start(`${host.at.host}:${port}`));
   }
 
-  private gone(machine: Machine): void {
+  /** Ends the worker of a machine that is gone. */
+  private endWorker(machine: Machine): void {
     this.options.hosts?.gone(machine);
-    const held = this.workers.get(machine.id);
-    if (!held) return;
+    const hosted = this.workers.get(machine.id);
+    if (!hosted) return;
     this.workers.delete(machine.id);
     this.options.note(`gone ${machine.id} ${machine.fate}`);
-    held.seat.close();
-    held.model.end();
+    hosted.host.close();
+    hosted.model.end();
   }
 
-  // ---- tasks
+  // ---- Tasks
 
   entered(machine: Machine, job: JobTruth, index: number, attempt: number): void {
     this.options.note(`on ${job.spec.ref}/${index} ${attempt} ${machine.id}`);
@@ -259,19 +276,19 @@
     if (cause === 'done' && job.complete) this.users.close.completed(job);
   }
 
-  /** A copy of a report reaches every controller; nobody reads what is answered. */
+  /** Sends a duplicate of a report to every controller and ignores the responses. */
   deliverReport(body: unknown): void {
-    const { runtime } = this.cloudSeat;
+    const { runtime } = this.cloudHost;
     for (const { serveOn } of this.options.controllers) {
       const client = new HttpClient(serveOn, 1, runtime);
-      const sent = client.call({ method: 'POST', path: '/v1/report', body, timeoutMs: 4000 });
-      void sent.finally(() => client.close());
+      const response = client.call({ method: 'POST', path: '/v1/report', body, timeoutMs: 4000 });
+      void response.finally(() => client.close());
     }
   }
 
-  /** Machines that are up and not on their way out, with what no task on them takes. */
-  get rooms(): Room[] {
-    const rooms: Room[] = [];
+  /** The free resources of each machine that is up and not about to be taken back. */
+  get freeResources(): Room[] {
+    const free: Room[] = [];
     for (const { model } of this.workers.values()) {
       const { machine, tasks } = model;
       if (machine.takenAt !== null) continue;
@@ -282,12 +299,12 @@
         gpus -= job.spec.accelerators;
         memoryGb -= job.spec.ram_gb;
       }
-      rooms.push({ machine, cpus, gpus, memoryGb });
+      free.push({ machine, cpus, gpus, memoryGb });
     }
-    return rooms;
+    return free;
   }
 
-  /** The machines that a job's tasks are on. */
+  /** The workers of the machines that hold tasks of a job. */
   machinesOf(ref: string): WorkerModel[] {
     const found: WorkerModel[] = [];
     for (const { model } of this.workers.values())
@@ -295,21 +312,25 @@
     return found;
   }
 
-  /** What the useful work of all jobs costs at the lowest nominal price that its class allows. */
+  /**
+   * The cost of the useful work of all jobs. Each job is charged at the lowest list price among the machine types that
+   * it may use and that one of its tasks fits on, by the share of the machine that the task takes.
+   */
   usefulCost(): number {
     let cost = 0;
     for (const { spec, usefulS } of this.jobs.all) {
-      let least = Number.POSITIVE_INFINITY;
+      let lowestPerHour = Number.POSITIVE_INFINITY;
       for (const type of this.options.day.machine_types) {
         if (spec.hulls && !spec.hulls.includes(type.name)) continue;
-        const part = Math.max(
+        const machineShare = Math.max(
           spec.vcpus / type.cpus,
           spec.ram_gb / type.memory_gb,
           spec.accelerators === 0 ? 0 : type.gpus === 0 ? Number.POSITIVE_INFINITY : spec.accelerators / type.gpus,
         );
-        if (part <= 1) least = Math.min(least, part * (spec.flotsam ? type.spot_price : type.price));
+        if (machineShare <= 1)
+          lowestPerHour = Math.min(lowestPerHour, machineShare * (spec.flotsam ? type.spot_price : type.price));
       }
-      if (Number.isFinite(least)) cost += (usefulS / 3600) * least;
+      if (Number.isFinite(lowestPerHour)) cost += (usefulS / 3600) * lowestPerHour;
     }
     return cost;
   }
--- a/packages/region/src/real.ts
+++ b/packages/region/src/real.ts
@@ -7,22 +7,30 @@
 import { RegionParts, type ControllerSeat, type Place, type Seat } from './parts.js';
 import { Luck } from './sim/index.js';
 
-/** Where everything of a real region listens. */
+/** The address on which all services of a region on loopback listen. */
 export const LOOPBACK = '127.0.0.1';
 
-const SHAPES = { array: 'sweep', gang: 'ensemble', service: 'daemon' } as const;
-const URGENCIES = ['low', 'standard', 'urgent', 'production'] as const;
+/** The users' word for each kind of job. */
+const SHAPE_BY_KIND = { array: 'sweep', gang: 'ensemble', service: 'daemon' } as const;
+/** The users' words for the priorities, indexed by numeric priority. */
+const URGENCY_BY_PRIORITY = ['low', 'standard', 'urgent', 'production'] as const;
 
 /**
- * A job that was submitted by hand: its description as its record has it, and its owner's estimate for the truth.
- * Users upload descriptions for the workers; here nobody but the controllers has seen it.
+ * Describes a job that was submitted by hand, from its stored record; undefined if there is no such record. The
+ * owner's estimate serves as the true run time. Simulated users hand their descriptions to the worker models directly,
+ * but a job submitted by hand is known to the controllers only.
  */
-export function uploadedByHand(ref: string, state: StateModel): JobTruth | undefined {
+export function jobFromStoredRecord(ref: string, state: StateModel): JobTruth | undefined {
   const spec = decodeRecord(state.get(jobKey(jobId(ref))))?.spec;
   if (!spec) return undefined;
   const submission: Submission = {
-    ...{ ref, jobclass: spec.jobClass, owner: spec.team, shape: SHAPES[spec.kind], pieces: spec.tasks },
-    ...{ urgency: URGENCIES[spec.priority], vcpus: spec.cpus, accelerators: spec.gpus, ram_gb: spec.memoryGb },
+    ...{ ref, jobclass: spec.jobClass, owner: spec.team, shape: SHAPE_BY_KIND[spec.kind], pieces: spec.tasks },
+    ...{
+      urgency: URGENCY_BY_PRIORITY[spec.priority],
+      vcpus: spec.cpus,
+      accelerators: spec.gpus,
+      ram_gb: spec.memoryGb,
+    },
     ...{ bundle: spec.image, pull_gb: spec.imageGb, hulls: spec.types, berth: spec.zone },
     ...{ same_place: spec.oneZone, scatter: spec.spread, flotsam: spec.spot, expected_s: spec.estimateS },
     ...{ mark_every_s: spec.checkpointS, mark_cost_s: spec.saveS, due_s: spec.deadlineS },
@@ -30,15 +38,16 @@
   return new JobTruth(submission, () => spec.estimateS, false);
 }
 
-export interface RealRegion {
+/** A region on loopback sockets, without its controllers. */
+export interface LoopbackRegion {
   readonly parts: RegionParts;
   readonly state: Endpoint;
   readonly cloud: Endpoint;
-  /** Ends every model. */
+  /** Stops every model. */
   close(): void;
 }
 
-/** Seats on loopback for a day's controllers, two ports each from `basePort` on. */
+/** Loopback addresses of a day's controllers; each takes two consecutive ports, from `basePort` on. */
 export const loopbackSeats = (day: Day, basePort: number): ControllerSeat[] =>
   Array.from({ length: day.controllers.count }, (_, i) => ({
     name: `node-${i}`,
@@ -47,23 +56,34 @@
     peerOn: { host: LOOPBACK, port: basePort + 2 * i + 1 },
   }));
 
-/** The same models on loopback sockets in real time, on ports that the system chooses. Starts no controllers. */
+/**
+ * Runs the models of a simulated region on loopback sockets in real time, on ports that the operating system chooses.
+ * Starts no controllers.
+ */
 export async function serveRegion(
   day: Day,
   seed: number,
   controllers: readonly ControllerSeat[],
   log: Logger,
-  note: (what: string) => void,
-): Promise<RealRegion> {
+  logEvent: (what: string) => void,
+): Promise<LoopbackRegion> {
   const runtime = new EndingRuntime();
-  const began = runtime.now();
+  const startedAt = runtime.now();
   const at = { host: LOOPBACK, port: 0 };
   const place: Place = {
     seat: (): Seat => ({ runtime, watchdog: runtime, at, close: () => undefined }),
-    now: () => runtime.now() - began,
+    now: () => runtime.now() - startedAt,
   };
-  const luck = new Luck(seed, day.name);
-  const parts = new RegionParts({ day, luck, place, log, controllers, note, uploaded: uploadedByHand });
+  const rng = new Luck(seed, day.name);
+  const parts = new RegionParts({
+    day,
+    luck: rng,
+    place,
+    log,
+    controllers,
+    note: logEvent,
+    findJob: jobFromStoredRecord,
+  });
   const [state = 0, cloud = 0] = await parts.start();
   return {
     parts,
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -5,114 +5,131 @@
 import type { Breach } from './checker/index.js';
 import { Controller } from './controller.js';
 import type { Day, Trouble } from './day/index.js';
-import type { ClassResult, Moment } from './daybook.js';
+import type { ClassResult, TaskCounts } from './daybook.js';
 import { RegionParts, type ControllerSeat, type Place, type Seat } from './parts.js';
 import type { Script } from './models/index.js';
 import { Releases, THIS, type Running } from './releases/index.js';
 import { settingsFor } from './settings.js';
 import { DAY_BEGINS, Luck, Network, rest, SimProcess, World } from './sim/index.js';
-import { KEPT_FOR_S, lateCopiesS, playTrouble, type Troubled } from './troubles.js';
+import { HELD_REPORT_RETENTION_S, defaultDuplicateDelayS, injectFault, type FaultTarget } from './troubles.js';
 
-const STATE = { host: '10.2.0.1', port: 2379 };
-const CLOUD = { host: '10.2.0.2', port: 8443 };
-const USERS = { host: '10.3.0.1', port: 80 };
+const STATE_ADDRESS = { host: '10.2.0.1', port: 2379 };
+const CLOUD_ADDRESS = { host: '10.2.0.2', port: 8443 };
+const USERS_ADDRESS = { host: '10.3.0.1', port: 80 };
 const WORKER_PORT = 9000;
-const LOOK_EVERY_MS = 5000;
-/** Where the repository keeps the controllers of earlier releases. */
-const FROZEN = 'packages/region/frozen';
-const LEAVE_ASKED_MS = 2000;
-const LEFT_LOOKED_MS = 100;
-const LEFT_WITHIN_MS = 20_000;
-const MOST_LOG_BYTES = 64 * 1024 * 1024;
+/** Interval between two snapshots of the region. */
+const SNAPSHOT_INTERVAL_MS = 5000;
+/** The directory in the repository that holds the controllers of earlier releases. */
+const RELEASES_DIR = 'packages/region/frozen';
+/** Timeout of one request to a controller's leave endpoint. */
+const LEAVE_REQUEST_TIMEOUT_MS = 2000;
+/** Interval at which a controller is asked whether it has left. */
+const LEAVE_POLL_INTERVAL_MS = 100;
+/** Time after which a controller that has not left is killed. */
+const LEAVE_TIMEOUT_MS = 20_000;
+/** Lines of the event log beyond this size are still counted and hashed, but no longer passed to `event`. */
+const MAX_EVENT_LOG_BYTES = 64 * 1024 * 1024;
 
+/** Options of a simulated region. */
 export interface RegionOptions {
   readonly day: Day;
-  /** Instead of the day's own. */
+  /** Seed of all random streams; the day's own seed when not given. */
   readonly seed?: number;
-  /** Logs of the controllers; silent when not given. */
+  /** Receives the log lines of the controllers; they log nothing when not given. */
   readonly controllerLog?: { readonly level: string; readonly write: (line: string) => void };
-  /** Each line of the event log. */
+  /** Called with each line of the event log, up to `MAX_EVENT_LOG_BYTES` in total. */
   readonly event?: (line: string) => void;
+  /** Called for each violated rule. */
   readonly broken?: (breach: Breach) => void;
-  /** Who comes and what happens to machines and controllers, instead of what the day would draw. */
+  /** Jobs and the fates of machines and controllers, instead of those drawn at random for the day. */
   readonly script?: Script;
-  /** Controllers keep so many of their last events for those who record them. */
+  /** How many of its latest events each controller keeps for recorders to fetch. */
   readonly trailEvents?: number;
-  /** Where the controllers of earlier releases are kept, for days that play them. */
+  /** The controllers of earlier releases, for days that run them; those in the repository when not given. */
   readonly releases?: Releases;
-  /** For tests: what the controllers are told, instead of what is true. */
+  /** For tests: rewrites the settings file (TOML) that a controller gets. */
   readonly settings?: (toml: string) => string;
 }
 
+/** Options of a simulation run. */
 export interface PlayOptions {
-  /** Called when simulated time has moved on; may wait, to keep to a pace. */
+  /** Called when simulated time has advanced. The run waits for the returned promise, which can throttle it. */
   readonly moved?: (nowMs: number) => Promise<void> | undefined;
+  /** Ends the run early once it returns true. */
   readonly stop?: () => boolean;
 }
 
-/** How the region stood at one moment. */
-export interface RegionMoment extends Moment {
+/** Counts of tasks, machines and controllers at one moment. */
+export interface RegionSnapshot extends TaskCounts {
   readonly machinesUp: number;
   readonly controllersUp: number;
 }
 
+/** The result of a simulated day. */
 export interface DayResult {
   readonly day: string;
   readonly seed: number;
   readonly simulatedS: number;
   readonly classes: readonly ClassResult[];
+  /** `price` is the money spent per unit of useful cost; null without useful work. */
   readonly money: { readonly spent: number; readonly usefulCost: number; readonly price: number | null };
   readonly machines: CloudCounts;
   readonly state: { readonly requests: number; readonly changes: number; readonly refused: number };
   readonly controllerStarts: number;
-  /** Every few seconds, from the day's beginning. */
-  readonly timeline: readonly RegionMoment[];
+  /** Snapshots at intervals of a few seconds, from the day's beginning. */
+  readonly timeline: readonly RegionSnapshot[];
+  /** Violated rules. */
   readonly breaches: readonly Breach[];
-  /** Starts of tasks whose user had been told that the job is cancelled, and how long after that the last was. */
+  /** Task starts after the user was told that the job is cancelled, and how long after that the latest of them came. */
   readonly startsAfterCancel: { readonly count: number; readonly latestMs: number };
+  /** Errors that the simulated programs threw, with their stacks. */
   readonly defects: readonly string[];
+  /** References of jobs that were accepted and are neither done nor cancelled. */
   readonly open: readonly string[];
-  /** Why the day has failed although every rule was kept: classes, teams or large jobs that were not served. */
+  /** Why the day has failed even if no rule was violated: classes, teams or large jobs that were not served. */
   readonly failures: readonly string[];
+  /** Number of lines of the event log. */
   readonly events: number;
-  /** SHA-256 of the event log. */
+  /** SHA-256 of the event log, in hex. The same day, seed and program give the same digest. */
   readonly digest: string;
 }
 
 type CloudCounts = RegionParts['cloud']['counts'];
 
-/** A whole region in simulated time: wooddrift's own controllers, unchanged, among models of all else. */
-export class Region implements Troubled {
+/** A whole region in simulated time. The controllers are the real program, unchanged; everything else is a model. */
+export class Region implements FaultTarget {
   readonly world = new World();
   readonly network: Network;
   readonly parts: RegionParts;
   readonly controllers: readonly Controller[];
-  readonly luck: Luck;
+  readonly rng: Luck;
   readonly day: Day;
   readonly seed: number;
+  /** Processes of the models, by name; a worker's is named after its machine. */
   private readonly processes = new Map<string, SimProcess>();
   private readonly log: Logger = pino({ level: 'silent' });
-  private readonly hash = sha256.create();
-  private events = 0;
-  private bytes = 0;
-  private nextWorker = 0;
-  private bystanders = 0;
-  private readonly timeline: RegionMoment[] = [];
+  /** Hash of the event log. */
+  private readonly eventHash = sha256.create();
+  private eventCount = 0;
+  private eventLogBytes = 0;
+  private nextWorkerNumber = 0;
+  private externalProcessCount = 0;
+  private readonly timeline: RegionSnapshot[] = [];
   private readonly releases: Releases;
 
   constructor(private readonly options: RegionOptions) {
     const { day } = options;
-    this.releases = options.releases ?? new Releases(FROZEN);
+    this.releases = options.releases ?? new Releases(RELEASES_DIR);
     this.day = day;
     this.seed = options.seed ?? day.seed;
-    this.luck = new Luck(this.seed, day.name);
-    const { network: n } = day;
+    this.rng = new Luck(this.seed, day.name);
+    const { network: latencies } = day;
     this.network = new Network(
       this.world,
-      { sameZoneMs: n.same_zone_ms, crossZoneMs: n.cross_zone_ms, jitter: n.jitter },
-      this.luck.fork('network'),
+      { sameZoneMs: latencies.same_zone_ms, crossZoneMs: latencies.cross_zone_ms, jitter: latencies.jitter },
+      this.rng.fork('network'),
     );
-    const seats = Array.from({ length: day.controllers.count }, (_, i): ControllerSeat => {
+    const specs = Array.from({ length: day.controllers.count }, (_, i): ControllerSeat => {
       const host = `10.0.0.${i + 1}`;
       return {
         name: `node-${i}`,
@@ -122,56 +139,55 @@
       };
     });
     const place: Place = {
-      seat: (name, zone) => this.seat(name, zone),
+      seat: (name, zone) => this.createHost(name, zone),
       now: () => this.world.now,
     };
     this.parts = new RegionParts({
-      ...{ day, luck: this.luck, place, log: this.log, controllers: seats },
-      note: (what) => this.note(what),
+      ...{ day, luck: this.rng, place, log: this.log, controllers: specs },
+      note: (what) => this.logEvent(what),
       ...(options.broken ? { broken: options.broken } : {}),
       ...(options.script ? { script: options.script } : {}),
     });
-    this.controllers = seats.map((seat, i) => {
-      const host = this.network.host(seat.serveOn.host, seat.zone);
-      const made = new Controller(
-        seat,
-        host,
-        (controller) => this.launch(controller, seats),
-        day.controllers.releases[i],
-      );
-      // A release that isn't there is said before the day begins.
-      this.releases.of(made.release);
-      return made;
+    this.controllers = specs.map((spec, i) => {
+      const host = this.network.host(spec.serveOn.host, spec.zone);
+      const controller = new Controller(spec, host, (self) => this.launch(self, specs), day.controllers.releases[i]);
+      // Throws before the day begins if the release does not exist.
+      this.releases.of(controller.release);
+      return controller;
     });
     for (const trouble of day.troubles) if (trouble.kind === 'rollout') this.releases.of(trouble.to);
-    const played = day.troubles.flatMap((trouble) => (trouble.kind === 'rollout' ? [trouble.to] : []));
-    this.parts.checker.judgesOdd = [...day.controllers.releases, ...played].every((release) => release === THIS);
+    const rolloutTargets = day.troubles.flatMap((trouble) => (trouble.kind === 'rollout' ? [trouble.to] : []));
+    this.parts.checker.judgesOdd = [...day.controllers.releases, ...rolloutTargets].every(
+      (release) => release === THIS,
+    );
   }
 
+  /** Simulated true time in milliseconds since the day began. */
   get now(): number {
     return this.world.now;
   }
 
-  /** One line of the event log. */
-  note(what: string): void {
-    this.events += 1;
+  /** Appends a line to the event log. */
+  logEvent(what: string): void {
+    this.eventCount += 1;
     const line = `${this.world.now.toFixed(3)} ${what}\n`;
-    this.hash.update(utf8ToBytes(line));
-    this.bytes += line.length;
-    if (this.bytes <= MOST_LOG_BYTES) this.options.event?.(line);
+    this.eventHash.update(utf8ToBytes(line));
+    this.eventLogBytes += line.length;
+    if (this.eventLogBytes <= MAX_EVENT_LOG_BYTES) this.options.event?.(line);
   }
 
-  private seat(name: string, zone: string | null): Seat {
-    const fixed = { state: STATE, cloud: CLOUD, users: USERS }[name];
-    const n = fixed ? 0 : this.nextWorker++;
-    const at = fixed ?? { host: `10.1.${n >> 8}.${n & 255}`, port: WORKER_PORT };
+  /** Creates the host of a model: at a fixed address for the services and users, at the next free one for a worker. */
+  private createHost(name: string, zone: string | null): Seat {
+    const fixedAddress = { state: STATE_ADDRESS, cloud: CLOUD_ADDRESS, users: USERS_ADDRESS }[name];
+    const workerNumber = fixedAddress ? 0 : this.nextWorkerNumber++;
+    const at = fixedAddress ?? { host: `10.1.${workerNumber >> 8}.${workerNumber & 255}`, port: WORKER_PORT };
     const host = this.network.host(at.host, zone);
-    const luck = this.luck.fork(`process ${name}`);
-    // The models' clocks are true, but for the workers', which drift as those of all machines do.
-    const drift = fixed ? 0 : luck.between(-1, 1) * this.day.controllers.drift;
+    const rng = this.rng.fork(`process ${name}`);
+    // The clocks of the services and users are exact. Those of the workers drift, as they do on real machines.
+    const drift = fixedAddress ? 0 : rng.between(-1, 1) * this.day.controllers.drift;
     const clocks = { drift, wanderMs: 0 };
-    const process = new SimProcess(name, host, this.world, this.network, luck, clocks);
-    const watchdog = new SimProcess(`${name} watchdog`, host, this.world, this.network, luck, clocks);
+    const process = new SimProcess(name, host, this.world, this.network, rng, clocks);
+    const watchdog = new SimProcess(`${name} watchdog`, host, this.world, this.network, rng, clocks);
     this.processes.set(name, process);
     return {
       ...{ runtime: process, watchdog, at },
@@ -184,33 +200,34 @@
     };
   }
 
-  /** The time of day at which a day begins, in milliseconds. */
+  /** Wall-clock time at which the day begins, in milliseconds since the Unix epoch. */
   readonly wallAt0 = DAY_BEGINS;
 
-  /** A process beside the region, such as an operator's tool, on a machine of its own. */
+  /** Creates a process outside the region, such as an operator's tool, on a host of its own. */
   bystander(name: string): SimProcess {
-    const host = this.network.host(`10.4.0.${++this.bystanders}`, null);
-    return new SimProcess(name, host, this.world, this.network, this.luck.fork(name));
+    const host = this.network.host(`10.4.0.${++this.externalProcessCount}`, null);
+    return new SimProcess(name, host, this.world, this.network, this.rng.fork(name));
   }
 
-  /** The process of a machine's worker. */
-  processOf(machine: string): SimProcess | undefined {
+  /** The process of a machine's worker; undefined when the machine is not up. */
+  workerProcessOf(machine: string): SimProcess | undefined {
     return this.processes.get(machine);
   }
 
-  private launch(controller: Controller, seats: readonly ControllerSeat[]): { process: SimProcess; service: Running } {
+  /** Starts the program of a controller's release in a new process. */
+  private launch(controller: Controller, specs: readonly ControllerSeat[]): { process: SimProcess; service: Running } {
     const { day, settings, controllerLog, trailEvents } = this.options;
-    const { seat, host, starts, release } = controller;
-    const luck = this.luck.fork(`${seat.name} ${starts}`);
-    const clocks = { drift: luck.between(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
-    const { max_connections: most } = day.controllers;
-    const process = new SimProcess(seat.name, host, this.world, this.network, luck, clocks, most);
-    const toml = settingsFor(day, seat, seats, { state: STATE, cloud: CLOUD });
+    const { seat: spec, host, starts, release } = controller;
+    const rng = this.rng.fork(`${spec.name} ${starts}`);
+    const clocks = { drift: rng.between(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
+    const { max_connections: maxConnections } = day.controllers;
+    const process = new SimProcess(spec.name, host, this.world, this.network, rng, clocks, maxConnections);
+    const toml = settingsFor(day, spec, specs, { state: STATE_ADDRESS, cloud: CLOUD_ADDRESS });
     const log: Logger = controllerLog
       ? pino(
           {
             level: controllerLog.level,
-            base: { node: seat.name },
+            base: { node: spec.name },
             timestamp: () => `,"time":${(this.world.now / 1000).toFixed(3)}`,
           },
           { write: (line: string) => controllerLog.write(line) },
@@ -218,114 +235,118 @@
       : this.log;
     const options = trailEvents === undefined ? {} : { trailEvents };
     const service = this.releases.of(release).make(settings ? settings(toml) : toml, log, process, options);
-    this.note(`starts ${seat.name}${release === THIS ? '' : ` as ${release}`}`);
+    this.logEvent(`starts ${spec.name}${release === THIS ? '' : ` as ${release}`}`);
     return { process, service };
   }
 
-  /** Ends a controller, and starts it again after so long. */
+  /** Crashes a controller and starts it again after `downS` seconds. Does nothing if it is already down. */
   crash(controller: Controller, downS: number): void {
     if (!controller.process) return;
-    this.note(`ends ${controller.seat.name}`);
+    this.logEvent(`ends ${controller.seat.name}`);
     controller.crash();
     this.world.plan(this.world.now + downS * 1000, () => controller.start());
   }
 
   /**
-   * Ends a controller and starts it again as another release. It is asked to leave first where that is wanted; one
-   * that doesn't know the request, or hasn't left in time, is ended all the same.
+   * Kills a controller and starts it again as another release after `downS` seconds. With `leave` it is first asked to
+   * leave; a controller that does not know the request, or has not left in time, is killed anyway.
    */
   replace(controller: Controller, to: string, downS: number, leave: boolean): void {
-    const end = (): void => {
+    const restart = (): void => {
       controller.release = to;
       this.crash(controller, downS);
     };
-    if (!leave || !controller.process) end();
-    else void this.leaves(controller).then(end);
+    if (!leave || !controller.process) restart();
+    else void this.requestLeave(controller).then(restart);
   }
 
-  private async leaves({ seat }: Controller): Promise<void> {
-    const operator = this.bystander(`operator of ${seat.name}`);
-    const client = new HttpClient(seat.serveOn, 1, operator);
-    const ask = async (method: 'GET' | 'POST', path: string): Promise<unknown> => {
-      const answer = await client.call({
+  /** Asks a controller to leave, and waits until it has left or `LEAVE_TIMEOUT_MS` is over. */
+  private async requestLeave({ seat: spec }: Controller): Promise<void> {
+    const operator = this.bystander(`operator of ${spec.name}`);
+    const client = new HttpClient(spec.serveOn, 1, operator);
+    const request = async (method: 'GET' | 'POST', path: string): Promise<unknown> => {
+      const response = await client.call({
         method,
         path,
-        timeoutMs: LEAVE_ASKED_MS,
+        timeoutMs: LEAVE_REQUEST_TIMEOUT_MS,
         ...(method === 'POST' ? { body: {} } : {}),
       });
-      return answer.kind === 'answered' && answer.status < 300 ? answer.body : null;
+      return response.kind === 'answered' && response.status < 300 ? response.body : null;
     };
-    const until = operator.now() + LEFT_WITHIN_MS;
-    if ((await ask('POST', '/admin/v1/leave')) !== null) {
-      this.note(`leaves ${seat.name}`);
-      while (operator.now() < until) {
-        const said = await ask('GET', '/admin/v1/leave');
-        if (isObject(said) && said['left'] === true) break;
-        await operator.sleep(LEFT_LOOKED_MS);
+    const deadline = operator.now() + LEAVE_TIMEOUT_MS;
+    if ((await request('POST', '/admin/v1/leave')) !== null) {
+      this.logEvent(`leaves ${spec.name}`);
+      while (operator.now() < deadline) {
+        const status = await request('GET', '/admin/v1/leave');
+        if (isObject(status) && status['left'] === true) break;
+        await operator.sleep(LEAVE_POLL_INTERVAL_MS);
       }
     }
     client.close();
   }
 
-  /** The controller that leads, by what the state service holds. */
+  /** The controller that the state service holds as the leader. */
   get leader(): Controller | undefined {
     const value = this.parts.state.get('live/leader');
     const name = isObject(value) ? value['node'] : undefined;
-    return this.controllers.find(({ seat }) => seat.name === name);
+    return this.controllers.find(({ seat: spec }) => spec.name === name);
   }
 
-  /** Notes how things stand, again and again; it takes no luck and no simulated time. */
-  private look(): void {
+  /** Takes snapshots at regular intervals. They draw no random numbers and take no simulated time. */
+  private takeSnapshot(): void {
     this.timeline.push({
-      ...this.parts.daybook.moment(),
+      ...this.parts.daybook.taskCounts(),
       machinesUp: this.parts.cloud.up.length,
       controllersUp: this.controllers.filter(({ process }) => process?.running === true).length,
     });
-    this.parts.checker.look(this.parts.rooms);
-    this.world.plan(this.world.now + LOOK_EVERY_MS, () => this.look());
+    this.parts.checker.look(this.parts.freeResources);
+    this.world.plan(this.world.now + SNAPSHOT_INTERVAL_MS, () => this.takeSnapshot());
   }
 
-  private begin(): void {
+  /** Starts the models and controllers and schedules the day's faults. */
+  private startDay(): void {
     void this.parts.start();
     for (const controller of this.controllers) controller.start();
     this.parts.open();
-    this.look();
+    this.takeSnapshot();
     for (const { controller, atS, downS } of this.options.script?.crashes ?? []) {
-      const crashed = this.controllers[controller];
-      if (crashed) this.world.plan(atS * 1000, () => this.crash(crashed, downS));
+      const target = this.controllers[controller];
+      if (target) this.world.plan(atS * 1000, () => this.crash(target, downS));
     }
-    // A rollout's last replacement is a trouble, too, and whatever ends needs a moment until users ask again.
-    const ends = this.day.troubles.map((trouble) =>
+    // A rollout lasts until its last replacement is back. Every fault's end includes the time for which a controller or
+    // machine is down after it, or in which duplicate reports still arrive, so that users have time to poll again.
+    const faultEndsS = this.day.troubles.map((trouble) =>
       'for_s' in trouble
-        ? trouble.at_s + trouble.for_s + (trouble.kind === 'reports_again' ? this.lateS(trouble) : 0)
-        : trouble.at_s + ('gap_s' in trouble ? trouble.gap_s * this.controllers.length : 0) + this.downOf(trouble),
+        ? trouble.at_s + trouble.for_s + (trouble.kind === 'reports_again' ? this.maxDuplicateDelayS(trouble) : 0)
+        : trouble.at_s + ('gap_s' in trouble ? trouble.gap_s * this.controllers.length : 0) + this.downtimeS(trouble),
     );
-    this.parts.checker.quietFrom = Math.max(0, ...ends) * 1000;
-    for (const trouble of this.day.troubles) this.world.plan(trouble.at_s * 1000, () => playTrouble(trouble, this));
+    this.parts.checker.quietFrom = Math.max(0, ...faultEndsS) * 1000;
+    for (const trouble of this.day.troubles) this.world.plan(trouble.at_s * 1000, () => injectFault(trouble, this));
   }
 
-  /** How late copies of reports come: well over a lease, where the day doesn't say. */
-  private lateS({ late_s, for_next }: Extract<Trouble, { kind: 'reports_again' }>): number {
-    return late_s ?? lateCopiesS(this.day) + (for_next === true ? KEPT_FOR_S : 0);
+  /** The longest delay of duplicate reports in seconds. */
+  private maxDuplicateDelayS({ late_s, for_next }: Extract<Trouble, { kind: 'reports_again' }>): number {
+    return late_s ?? defaultDuplicateDelayS(this.day) + (for_next === true ? HELD_REPORT_RETENTION_S : 0);
   }
 
-  private downOf(trouble: Trouble): number {
+  /** Seconds for which a fault leaves a controller down, or machines hung, after its last action. */
+  private downtimeS(trouble: Trouble): number {
     if (trouble.kind === 'cancel_now') return trouble.hang_s ?? 0;
     return ('down_s' in trouble ? trouble.down_s : undefined) ?? this.day.controllers.restart_s;
   }
 
-  private begun = false;
+  private started = false;
 
-  /** Plays up to a moment, in seconds of true time since the day began. */
+  /** Simulates up to a moment, in seconds of true time since the day began. The first call starts the day. */
   async play(untilS = this.day.duration_s, options: PlayOptions = {}): Promise<void> {
-    if (!this.begun) {
-      this.begun = true;
-      this.world.plan(0, () => this.begin());
+    if (!this.started) {
+      this.started = true;
+      this.world.plan(0, () => this.startDay());
     }
     await this.world.run(untilS * 1000, { rest, ...options });
   }
 
-  /** The day's figures. Nothing can be played after this. */
+  /** Ends the day and returns its figures. Nothing can be simulated after this. */
   close(): DayResult {
     const { parts } = this;
     parts.users.stop();
@@ -352,8 +373,8 @@
       ),
       open,
       failures,
-      events: this.events,
-      digest: bytesToHex(this.hash.digest()),
+      events: this.eventCount,
+      digest: bytesToHex(this.eventHash.digest()),
     };
   }
 }
--- a/packages/region/src/settings.ts
+++ b/packages/region/src/settings.ts
@@ -3,8 +3,10 @@
 import type { Day } from './day/index.js';
 import type { ControllerSeat } from './parts.js';
 
-const text = ({ host, port }: Endpoint): string => `${host}:${port}`;
+/** Formats an address as `host:port`. */
+const formatEndpoint = ({ host, port }: Endpoint): string => `${host}:${port}`;
 
+/** The objectives of all job classes of a day, as the settings file lists them. */
 const objectives = (day: Day): unknown[] =>
   day.classes.flatMap((c) =>
     c.aims.map((aim) => ({
@@ -15,7 +17,7 @@
     })),
   );
 
-/** The settings file (TOML) that the platform hands to one controller. */
+/** Builds the settings file (TOML) of one controller. `all` holds every controller, including `self`. */
 export function settingsFor(
   day: Day,
   self: ControllerSeat,
@@ -25,12 +27,12 @@
   return stringify({
     node: self.name,
     area: self.zone,
-    serve_on: text(self.serveOn),
-    cluster_listen: text(self.peerOn),
+    serve_on: formatEndpoint(self.serveOn),
+    cluster_listen: formatEndpoint(self.peerOn),
     seeds: all
       .filter((other) => other !== self)
-      .map((other) => ({ node: other.name, area: other.zone, peer_addr: text(other.peerOn) })),
-    services: { cloud: text(services.cloud), state: text(services.state) },
+      .map((other) => ({ node: other.name, area: other.zone, peer_addr: formatEndpoint(other.peerOn) })),
+    services: { cloud: formatEndpoint(services.cloud), state: formatEndpoint(services.state) },
     facts: {
       nodes: all.length,
       zones: day.zones,
--- a/packages/region/src/troubles.ts
+++ b/packages/region/src/troubles.ts
@@ -1,3 +1,5 @@
+/** Fault injection: starts and ends the faults that a day schedules. */
+
 import { isObject } from '../../../src/kernel/index.js';
 import type { Day, Trouble } from './day/index.js';
 import type { Machine, WorkerModel } from './models/index.js';
@@ -5,58 +7,66 @@
 import type { RegionParts } from './parts.js';
 import type { Cut, CutKind, Host, Luck, Network, SimProcess, World } from './sim/index.js';
 
-type Of<K extends Trouble['kind']> = Extract<Trouble, { kind: K }>;
+/** The fault of a given kind. */
+type FaultOf<K extends Trouble['kind']> = Extract<Trouble, { kind: K }>;
 
 const isWorker = (host: Host): boolean => host.ip.startsWith('10.1.');
 const isController = (host: Host): boolean => host.ip.startsWith('10.0.');
 
-/** What troubles reach into. */
-export interface Troubled {
+/** The region as fault injection sees it: everything that a fault can act on. */
+export interface FaultTarget {
   readonly day: Day;
   readonly parts: RegionParts;
   readonly network: Network;
   readonly world: World;
-  readonly luck: Luck;
+  readonly rng: Luck;
   readonly controllers: readonly Controller[];
   readonly leader: Controller | undefined;
-  note(what: string): void;
+  /** Appends a line to the event log. */
+  logEvent(what: string): void;
   /** The process of a machine's worker. */
-  processOf(machine: string): SimProcess | undefined;
-  /** Ends a controller, and starts it again after so many seconds. */
+  workerProcessOf(machine: string): SimProcess | undefined;
+  /** Crashes a controller and starts it again after `downS` seconds. */
   crash(controller: Controller, downS: number): void;
-  /** Ends it and starts it again as another release, after it was asked to leave where that is wanted. */
+  /** Kills a controller and starts it again as another release; with `leave` it is first asked to leave. */
   replace(controller: Controller, to: string, downS: number, leave: boolean): void;
 }
 
-const MOST_HANG = 8;
+/** At most this many machines hang after a `cancel_now` fault. */
+const MAX_HUNG_WORKERS = 8;
 
-/** Machines hang: their lease ends all the same, and they may go on within it. */
-export function hang(region: Troubled, chosen: readonly WorkerModel[], forS: number): void {
+/**
+ * Hangs the workers of some machines for `forS` seconds. Their leases still run out on time; a worker that resumes
+ * before its lease expires continues its tasks.
+ */
+export function hangWorkers(region: FaultTarget, chosen: readonly WorkerModel[], forS: number): void {
   const { parts, world } = region;
   const hung = chosen.filter(({ machine }) => parts.workers.has(machine.id));
   for (const worker of hung) {
     worker.pause();
-    region.processOf(worker.machine.id)?.freeze();
+    region.workerProcessOf(worker.machine.id)?.freeze();
   }
   world.plan(world.now + forS * 1000, () => {
     for (const worker of hung) {
       if (!parts.workers.has(worker.machine.id)) continue;
       worker.resume();
-      region.processOf(worker.machine.id)?.thaw();
+      region.workerProcessOf(worker.machine.id)?.thaw();
     }
   });
 }
 
-/** Copies that are kept for the next leader are given to it for so long after the last was made. */
-export const KEPT_FOR_S = 40;
-const MOST_KEPT = 400;
-const KEPT_LOOK_MS = 50;
+/** Time after the end of the fault in which held reports are still delivered when a leader or shard holder changes. */
+export const HELD_REPORT_RETENTION_S = 40;
+/** At most this many duplicates of reports are held; the oldest are dropped first. */
+const MAX_HELD_REPORTS = 400;
+/** Interval at which leader and shard holders are compared while reports are held. */
+const ROLE_POLL_INTERVAL_MS = 50;
 
-/** How late copies of reports come at most, where a day doesn't say: well over a lease. */
-export const lateCopiesS = (day: Day): number => 1.7 * day.workers.lease_s;
+/** The longest delay of duplicate reports in seconds when the day sets none: well over the duration of a lease. */
+export const defaultDuplicateDelayS = (day: Day): number => 1.7 * day.workers.lease_s;
 
-/** Who leads and who holds which shard, as far as it is told by lives. */
-function rolesIn(region: Troubled): string {
+/** The leader and the holder of each shard with its incarnation, as a string that can be compared. */
+function currentRoles(region: FaultTarget): string {
   const { state } = region.parts;
   const shards = state.under('live/shards/').map((key) => state.get(key));
   return JSON.stringify([
@@ -65,36 +75,39 @@
   ]);
 }
 
-/** Copies of reports wait until another leads or holds a shard, and then reach every controller. */
-function keepReports(region: Troubled, share: number, forS: number): void {
-  const { parts, world, luck } = region;
-  const kept: unknown[] = [];
+/**
+ * Holds duplicates of reports until the leader or a shard's holder changes, and then delivers each of them to every
+ * controller within 1.5 s.
+ */
+function holdReportsUntilTakeover(region: FaultTarget, share: number, forS: number): void {
+  const { parts, world, rng } = region;
+  const held: unknown[] = [];
   const keep = (body: unknown): void => {
-    kept.push(body);
-    if (kept.length > MOST_KEPT) kept.shift();
+    held.push(body);
+    if (held.length > MAX_HELD_REPORTS) held.shift();
   };
-  const copies = { share, lateMs: 0, keep };
-  parts.copies = copies;
+  const duplicates = { share, lateMs: 0, keep };
+  parts.duplicateReports = duplicates;
   const endAt = world.now + forS * 1000;
   world.plan(endAt, () => {
-    if (parts.copies === copies) parts.copies = null;
+    if (parts.duplicateReports === duplicates) parts.duplicateReports = null;
   });
-  let roles = rolesIn(region);
-  const look = (): void => {
-    const now = rolesIn(region);
-    if (now !== roles) {
-      roles = now;
-      for (const body of kept.splice(0)) {
-        world.plan(world.now + luck.between(0, 1500), () => parts.deliverReport(body));
+  let roles = currentRoles(region);
+  const pollRoles = (): void => {
+    const latest = currentRoles(region);
+    if (latest !== roles) {
+      roles = latest;
+      for (const body of held.splice(0)) {
+        world.plan(world.now + rng.between(0, 1500), () => parts.deliverReport(body));
       }
     }
-    if (world.now < endAt + KEPT_FOR_S * 1000) world.plan(world.now + KEPT_LOOK_MS, look);
+    if (world.now < endAt + HELD_REPORT_RETENTION_S * 1000) world.plan(world.now + ROLE_POLL_INTERVAL_MS, pollRoles);
   };
-  look();
+  pollRoles();
 }
 
-/** What a controller is cut off from. */
-const SIDES: Record<Of<'controller_cut'>['from'], (other: Host) => boolean> = {
+/** The hosts that a controller is cut off from, by the value of `from`. */
+const CUT_FROM: Record<FaultOf<'controller_cut'>['from'], (other: Host) => boolean> = {
   all: () => true,
   state: (other) => other.ip === '10.2.0.1',
   users: (other) => other.ip === '10.3.0.1',
@@ -103,75 +116,82 @@
   'state and controllers': (other) => other.ip === '10.2.0.1' || isController(other),
 };
 
-interface Drawn {
+/** Which machines a fault affects. */
+interface MachineSelection {
   readonly count?: number | undefined;
   readonly share?: number | undefined;
   readonly zone?: string | undefined;
 }
 
-/** Machines of those that are up, drawn by count or share, of one zone where that is named. */
-export function chooseMachines(all: readonly Machine[], luck: Luck, { count, share, zone }: Drawn): Machine[] {
-  const up = all.filter((machine) => zone === undefined || machine.zone === zone);
-  return luck.some(up, count ?? Math.round(up.length * (share ?? 0)));
+/** Chooses machines at random, by count or else by share, from one zone if given. `all` holds the machines up. */
+export function chooseMachines(
+  all: readonly Machine[],
+  rng: Luck,
+  { count, share, zone }: MachineSelection,
+): Machine[] {
+  const candidates = all.filter((machine) => zone === undefined || machine.zone === zone);
+  return rng.some(candidates, count ?? Math.round(candidates.length * (share ?? 0)));
 }
 
-const drawn = (region: Troubled, which: Drawn): Machine[] =>
-  chooseMachines(region.parts.cloud.up, region.luck.fork(`drawn ${region.world.now}`), which);
+/** Chooses the machines that a fault affects, with a random stream for this moment. */
+const selectMachines = (region: FaultTarget, which: MachineSelection): Machine[] =>
+  chooseMachines(region.parts.cloud.up, region.rng.fork(`drawn ${region.world.now}`), which);
 
-function controllersOf(region: Troubled, which: number | 'leader' | 'all'): readonly Controller[] {
+/** The controllers that a fault affects; none while there is no leader. */
+function controllersOf(region: FaultTarget, which: number | 'leader' | 'all'): readonly Controller[] {
   if (which === 'all') return region.controllers;
-  const one = which === 'leader' ? region.leader : region.controllers[which];
-  return one ? [one] : [];
+  const controller = which === 'leader' ? region.leader : region.controllers[which];
+  return controller ? [controller] : [];
 }
 
-/** Lets a trouble begin, and plans its end. */
-export function playTrouble(trouble: Trouble, region: Troubled): void {
+/** Starts a fault and schedules its end. */
+export function injectFault(trouble: Trouble, region: FaultTarget): void {
   const { day, parts, network, world } = region;
-  region.note(`trouble ${trouble.kind}`);
-  const after = (seconds: number, work: () => void): void => {
+  region.logEvent(`trouble ${trouble.kind}`);
+  const scheduleEnd = (seconds: number, work: () => void): void => {
     world.plan(world.now + seconds * 1000, () => {
-      region.note(`over ${trouble.kind}`);
+      region.logEvent(`over ${trouble.kind}`);
       work();
     });
   };
   const cutFor = (seconds: number, kind: CutKind, between: Cut['between']): void => {
     const cut: Cut = { kind, between };
     network.cut(cut);
-    after(seconds, () => network.heal(cut));
+    scheduleEnd(seconds, () => network.heal(cut));
   };
-  /** The state service does something to controllers alone, until the trouble is over. */
-  const stateTreats = (
-    { controller, for_s }: Of<'controller_refused' | 'watch_held'>,
-    treat: (ip: string, on: boolean) => void,
+  /** Applies a fault of the state service to some controllers only, until the fault is over. */
+  const applyToControllers = (
+    { controller, for_s }: FaultOf<'controller_refused' | 'watch_held'>,
+    apply: (ip: string, on: boolean) => void,
   ): void => {
     const chosen = controllersOf(region, controller).map(({ host }) => host.ip);
-    for (const ip of chosen) treat(ip, true);
-    after(for_s, () => {
-      for (const ip of chosen) treat(ip, false);
+    for (const ip of chosen) apply(ip, true);
+    scheduleEnd(for_s, () => {
+      for (const ip of chosen) apply(ip, false);
     });
   };
   const workersOf = (chosen: readonly Machine[]) =>
     chosen.flatMap((machine) => {
-      const held = parts.workers.get(machine.id);
-      return held ? [held.model] : [];
+      const hosted = parts.workers.get(machine.id);
+      return hosted ? [hosted.model] : [];
     });
 
   switch (trouble.kind) {
     case 'burst':
       parts.users.burst(trouble.class, trouble.times);
-      after(trouble.for_s, () => parts.users.burst(trouble.class, 1));
+      scheduleEnd(trouble.for_s, () => parts.users.burst(trouble.class, 1));
       break;
     case 'machines_die':
-      for (const machine of drawn(region, trouble)) parts.cloud.die(machine);
+      for (const machine of selectMachines(region, trouble)) parts.cloud.die(machine);
       break;
     case 'machines_hang': {
-      hang(region, workersOf(drawn(region, trouble)), trouble.for_s);
+      hangWorkers(region, workersOf(selectMachines(region, trouble)), trouble.for_s);
       break;
     }
     case 'machines_cut': {
       const hosts = new Set(
-        drawn(region, trouble).flatMap((machine) => {
-          const process = region.processOf(machine.id);
+        selectMachines(region, trouble).flatMap((machine) => {
+          const process = region.workerProcessOf(machine.id);
           return process ? [process.host] : [];
         }),
       );
@@ -179,25 +199,25 @@
       break;
     }
     case 'machines_fail_tasks': {
-      const chosen = workersOf(drawn(region, trouble));
+      const chosen = workersOf(selectMachines(region, trouble));
       for (const worker of chosen) worker.tasks.failsTasks = true;
-      after(trouble.for_s, () => {
+      scheduleEnd(trouble.for_s, () => {
         for (const worker of chosen) worker.tasks.failsTasks = false;
       });
       break;
     }
     case 'machines_slow': {
-      const chosen = workersOf(drawn(region, trouble));
+      const chosen = workersOf(selectMachines(region, trouble));
       for (const worker of chosen) worker.tasks.slowness = trouble.times;
-      after(trouble.for_s, () => {
+      scheduleEnd(trouble.for_s, () => {
         for (const worker of chosen) worker.tasks.slowness = 1;
       });
       break;
     }
     case 'spot_wave': {
       const spot = parts.cloud.up.filter((machine) => machine.spot);
-      const luck = region.luck.fork(`wave ${region.world.now}`);
-      for (const machine of luck.some(spot, Math.round(spot.length * trouble.share)))
+      const rng = region.rng.fork(`wave ${region.world.now}`);
+      for (const machine of rng.some(spot, Math.round(spot.length * trouble.share)))
         parts.cloud.takeBack(machine, trouble.notice);
       break;
     }
@@ -208,22 +228,22 @@
     case 'controller_pause': {
       const chosen = controllersOf(region, trouble.controller).flatMap(({ process }) => (process ? [process] : []));
       for (const process of chosen) process.freeze();
-      after(trouble.for_s, () => {
+      scheduleEnd(trouble.for_s, () => {
         for (const process of chosen) process.thaw();
       });
       break;
     }
     case 'controller_cut': {
       const hosts = new Set(controllersOf(region, trouble.controller).map(({ host }) => host));
-      const side = SIDES[trouble.from];
-      cutFor(trouble.for_s, trouble.manner, (a, b) => hosts.has(a) && !hosts.has(b) && side(b));
+      const isCutFrom = CUT_FROM[trouble.from];
+      cutFor(trouble.for_s, trouble.manner, (a, b) => hosts.has(a) && !hosts.has(b) && isCutFrom(b));
       break;
     }
     case 'controller_refused':
-      stateTreats(trouble, (ip, on) => parts.state.refuse(ip, on));
+      applyToControllers(trouble, (ip, on) => parts.state.refuse(ip, on));
       break;
     case 'watch_held':
-      stateTreats(trouble, (ip, on) => parts.state.holdWatches(ip, on));
+      applyToControllers(trouble, (ip, on) => parts.state.holdWatches(ip, on));
       break;
     case 'rolling_restart':
       for (const [i, controller] of region.controllers.entries())
@@ -231,8 +251,8 @@
       break;
     case 'rollout': {
       const order = trouble.order ?? region.controllers.map((_, i) => i);
-      for (const [i, which] of order.entries()) {
-        const controller = region.controllers[which];
+      for (const [i, number] of order.entries()) {
+        const controller = region.controllers[number];
         if (!controller) continue;
         world.plan(world.now + i * trouble.gap_s * 1000, () =>
           region.replace(controller, trouble.to, trouble.down_s ?? day.controllers.restart_s, trouble.leave),
@@ -249,25 +269,25 @@
       break;
     }
     case 'machines_deaf': {
-      const chosen = workersOf(drawn(region, trouble));
+      const chosen = workersOf(selectMachines(region, trouble));
       for (const worker of chosen) worker.deaf = true;
-      after(trouble.for_s, () => {
+      scheduleEnd(trouble.for_s, () => {
         for (const worker of chosen) worker.deaf = false;
       });
       break;
     }
     case 'machines_mute': {
-      const chosen = workersOf(drawn(region, trouble));
+      const chosen = workersOf(selectMachines(region, trouble));
       for (const worker of chosen) worker.mute = true;
-      after(trouble.for_s, () => {
+      scheduleEnd(trouble.for_s, () => {
         for (const worker of chosen) worker.mute = false;
       });
       break;
     }
     case 'commands_held': {
-      const chosen = workersOf(drawn(region, trouble));
+      const chosen = workersOf(selectMachines(region, trouble));
       for (const worker of chosen) worker.holdsCommands = true;
-      after(trouble.for_s, () => {
+      scheduleEnd(trouble.for_s, () => {
         for (const worker of chosen) worker.holdsCommands = false;
       });
       break;
@@ -277,77 +297,78 @@
       const { hang_s } = trouble;
       if (hang_s === undefined) break;
       const machines = new Set(views.flatMap(({ job }) => parts.machinesOf(job.spec.ref)));
-      // Within the fifth of a second in which their jobs are cancelled: some before, some after.
-      for (const worker of [...machines].slice(0, MOST_HANG))
-        world.plan(world.now + region.luck.between(0, 250), () => hang(region, [worker], hang_s));
+      // The jobs are cancelled within 200 ms. Spreading the hangs over 250 ms makes some machines hang before the
+      // cancellation and some after it.
+      for (const worker of [...machines].slice(0, MAX_HUNG_WORKERS))
+        world.plan(world.now + region.rng.between(0, 250), () => hangWorkers(region, [worker], hang_s));
       break;
     }
     case 'cancel_at_end':
       parts.users.close.habits.cancelsAtEnd = trouble.share;
-      after(trouble.for_s, () => (parts.users.close.habits.cancelsAtEnd = 0));
+      scheduleEnd(trouble.for_s, () => (parts.users.close.habits.cancelsAtEnd = 0));
       break;
     case 'odd_requests':
       parts.users.close.habits.odd = true;
-      after(trouble.for_s, () => (parts.users.close.habits.odd = false));
+      scheduleEnd(trouble.for_s, () => (parts.users.close.habits.odd = false));
       break;
     case 'close_looks':
       parts.users.close.habits.looks = true;
-      after(trouble.for_s, () => (parts.users.close.habits.looks = false));
+      scheduleEnd(trouble.for_s, () => (parts.users.close.habits.looks = false));
       break;
     case 'answers_held':
       parts.state.heldAnswers = trouble.share;
-      after(trouble.for_s, () => (parts.state.heldAnswers = 0));
+      scheduleEnd(trouble.for_s, () => (parts.state.heldAnswers = 0));
       break;
     case 'boots_at_once':
       parts.cloud.bootsAtOnce = true;
-      after(trouble.for_s, () => (parts.cloud.bootsAtOnce = false));
+      scheduleEnd(trouble.for_s, () => (parts.cloud.bootsAtOnce = false));
       break;
     case 'reports_again': {
       if (trouble.for_next === true) {
-        keepReports(region, trouble.share, trouble.for_s);
+        holdReportsUntilTakeover(region, trouble.share, trouble.for_s);
         break;
       }
-      const again = { share: trouble.share, lateMs: (trouble.late_s ?? lateCopiesS(day)) * 1000 };
-      parts.copies = again;
-      after(trouble.for_s, () => {
-        if (parts.copies === again) parts.copies = null;
+      const duplicates = { share: trouble.share, lateMs: (trouble.late_s ?? defaultDuplicateDelayS(day)) * 1000 };
+      parts.duplicateReports = duplicates;
+      scheduleEnd(trouble.for_s, () => {
+        if (parts.duplicateReports === duplicates) parts.duplicateReports = null;
       });
       break;
     }
     case 'machines_restart':
-      for (const worker of workersOf(drawn(region, trouble))) worker.restart(trouble.down_s);
+      for (const worker of workersOf(selectMachines(region, trouble))) worker.restart(trouble.down_s);
       break;
     case 'state_outage':
       parts.state.outage(true);
-      after(trouble.for_s, () => parts.state.outage(false));
+      scheduleEnd(trouble.for_s, () => parts.state.outage(false));
       break;
     case 'state_slow':
       parts.state.slowness = trouble.times;
-      after(trouble.for_s, () => (parts.state.slowness = 1));
+      scheduleEnd(trouble.for_s, () => (parts.state.slowness = 1));
       break;
     case 'late_writes':
       parts.state.lateWrites = trouble.share;
       parts.state.lateAtOnce = trouble.at_once === true;
-      after(trouble.for_s, () => (parts.state.lateWrites = 0));
+      scheduleEnd(trouble.for_s, () => (parts.state.lateWrites = 0));
       break;
     case 'watch_forgets':
       parts.state.forget();
       break;
     case 'cloud_outage':
       parts.cloud.outage(true);
-      after(trouble.for_s, () => parts.cloud.outage(false));
+      scheduleEnd(trouble.for_s, () => parts.cloud.outage(false));
       break;
     case 'capacity_drop':
       parts.cloud.capacityShare = 1 - trouble.share;
-      after(trouble.for_s, () => (parts.cloud.capacityShare = 1));
+      scheduleEnd(trouble.for_s, () => (parts.cloud.capacityShare = 1));
       break;
     case 'boots_late':
       parts.cloud.bootFactor = trouble.times;
-      after(trouble.for_s, () => (parts.cloud.bootFactor = 1));
+      scheduleEnd(trouble.for_s, () => (parts.cloud.bootFactor = 1));
       break;
     case 'boots_never':
       parts.cloud.neverShare = trouble.share;
-      after(trouble.for_s, () => (parts.cloud.neverShare = 0));
+      scheduleEnd(trouble.for_s, () => (parts.cloud.neverShare = 0));
       break;
     case 'zone_cut':
       cutFor(trouble.for_s, trouble.manner, (a, b) => a.zone === trouble.zone && b.zone !== trouble.zone);
--- a/packages/region/test/limits.test.ts
+++ b/packages/region/test/limits.test.ts
@@ -3,7 +3,7 @@
 import { isObject } from '../../../src/kernel/index.js';
 import { decodeShard } from '../../../src/membership/index.js';
 import { Region, type Day } from '../src/index.js';
-import { hang } from '../src/troubles.js';
+import { hangWorkers } from '../src/troubles.js';
 import { shortDay } from './days.js';
 
 /** By then the answer to a command has left the machine. */
@@ -81,7 +81,7 @@
       if (worker.highestToken === tokens.get(worker)) continue;
       left.delete(worker);
       hung += 1;
-      region.world.plan(region.now + ANSWERED_MS, () => hang(region, [worker], 16));
+      region.world.plan(region.now + ANSWERED_MS, () => hangWorkers(region, [worker], 16));
     }
   }
   for (const worker of tokens.keys()) worker.mute = false;
