--- a/packages/region/src/parts.ts
+++ b/packages/region/src/parts.ts
@@ -67,7 +67,7 @@
 }
 
 /** Options of `RegionParts`. */
-export interface PartsOptions {
+export interface RegionPartsOptions {
   readonly day: Day;
   readonly luck: Luck;
   /** Creates the hosts of the models and tells the time. */
@@ -113,7 +113,7 @@
   private readonly gangs: GangBook;
   private readonly facts: WorkerFacts;
 
-  constructor(private readonly options: PartsOptions) {
+  constructor(private readonly options: RegionPartsOptions) {
     const { day, luck: rng, place } = options;
     this.facts = workerFacts(day);
     // A job that no simulated user submitted is looked up with `findJob`, if given.
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -94,6 +94,7 @@
   readonly digest: string;
 }
 
+/** Counters of the cloud model. */
 type CloudCounts = RegionParts['cloud']['counts'];
 
 /** A whole region in simulated time. The controllers are the real program, unchanged; everything else is a model. */
@@ -313,8 +314,8 @@
       const target = this.controllers[controller];
       if (target) this.world.plan(atS * 1000, () => this.crash(target, downS));
     }
-    // A rollout lasts until its last replacement is back. Every fault's end includes the time for which a controller or
-    // machine is down after it, or in which duplicate reports still arrive, so that users have time to poll again.
+    // The last replacement of a rollout is a fault, too. A fault without a duration gets the downtime of a controller or
+    // the hang of a machine on top, which also gives users the time to poll again.
     const faultEndsS = this.day.troubles.map((trouble) =>
       'for_s' in trouble
         ? trouble.at_s + trouble.for_s + (trouble.kind === 'reports_again' ? this.maxDuplicateDelayS(trouble) : 0)
--- a/packages/region/test/adopted.test.ts
+++ b/packages/region/test/adopted.test.ts
@@ -3,12 +3,13 @@
 import { Region, type Day } from '../src/index.js';
 import { shortDay } from './days.js';
 
-test('after a restart of all, no machine is taken for slow by the runs of tasks that it found running', async () => {
-  // Counted from when the new holder first saw them, such runs seemed short, and every later one slow.
+test('after a restart of all controllers, runs that the new holders find in progress make no machine count as slow', async () => {
+  // Guards against timing such a run from when the new holder first saw it: the run then seems short, and every later
+  // run on the machine seems slow.
   const base = shortDay(140, [{ kind: 'controller_crash', at_s: 40, controller: 'all' }]);
   const day: Day = {
     ...base,
-    // Long queues of equal tasks: most run on the same machines before, across and after the restart.
+    // Long queues of equal tasks, so that most machines run such tasks before, during and after the restart.
     classes: base.classes
       .filter(({ name }) => name === 'letters')
       .map((c) => ({
@@ -22,12 +23,12 @@
         aims: [],
       })),
   };
-  const said: string[] = [];
-  const region = new Region({ day, controllerLog: { level: 'info', write: (line) => said.push(line) } });
+  const logLines: string[] = [];
+  const region = new Region({ day, controllerLog: { level: 'info', write: (line) => logLines.push(line) } });
   await region.play();
-  const condemned = said.filter((line) => /lost or faulty|a straggler is restarted/.test(line));
+  const slownessLogs = logLines.filter((line) => /lost or faulty|a straggler is restarted/.test(line));
   const result = region.close();
   assert.deepEqual([result.breaches, result.defects], [[], []]);
   assert.ok((result.classes[0]?.tasksStarted ?? 0) > 300);
-  assert.deepEqual(condemned, []);
+  assert.deepEqual(slownessLogs, []);
 });
--- a/packages/region/test/days.ts
+++ b/packages/region/test/days.ts
@@ -2,12 +2,14 @@
 import { join } from 'node:path';
 import { readDay, Region, type Day, type DayResult, type RegionOptions, type Trouble } from '../src/index.js';
 
+/** Reads the TOML text of a day in packages/region/days. */
 export const dayText = (name: string): string =>
   readFileSync(join(process.cwd(), 'packages/region/days', `${name}.toml`), 'utf8');
 
+/** Reads and validates a day in packages/region/days. */
 export const shippedDay = (name: string): Day => readDay(dayText(name), `${name}.toml`);
 
-/** The quiet day's fleet on a shorter day of ours. */
+/** The fleet and job classes of the day `quiet`, with another duration and these faults. */
 export const shortDay = (durationS: number, troubles: readonly Trouble[], seed = 7): Day => ({
   ...shippedDay('quiet'),
   name: 'short',
@@ -17,20 +19,22 @@
   troubles: [...troubles],
 });
 
-/** One-task jobs come four a second for minutes, a quarter of them cancelled, beside little else. */
+/** A day on which four one-task jobs arrive per second, a quarter of which are cancelled, and little else. */
 export const swarmDay = (durationS: number, troubles: readonly Trouble[], seed = 7): Day => {
   const day = shortDay(durationS, troubles, seed);
-  const one = { sizes: [1], weights: [1] };
-  const often = { per_minute: 240, cancel_share: 0.25, cancel_within_s: 12 };
+  const oneTask = { sizes: [1], weights: [1] };
+  const arrivals = { per_minute: 240, cancel_share: 0.25, cancel_within_s: 12 };
   return {
     ...day,
     classes: day.classes.map((c) =>
-      c.name === 'letters' ? { ...c, ...often, tasks: one, run_s: { median: 6, p95: 10, max: 12 }, initial: 0 } : c,
+      c.name === 'letters'
+        ? { ...c, ...arrivals, tasks: oneTask, run_s: { median: 6, p95: 10, max: 12 }, initial: 0 }
+        : c,
     ),
   };
 };
 
-/** For 70 s every controller is cut off from everything, and packets come late. */
+/** A night in which every controller is cut off from all hosts for 70 s; packets are held and delivered afterwards. */
 export const cutOffNight = (seed: number): Day => ({
   ...shippedDay('night'),
   seed,
@@ -39,21 +43,22 @@
   troubles: [{ kind: 'controller_cut', at_s: 50, for_s: 70, controller: 'all', from: 'all', manner: 'hold' }],
 });
 
+/** Simulates a whole day and returns its result. */
 export async function played(day: Day, options: Omit<RegionOptions, 'day'> = {}): Promise<DayResult> {
   const region = new Region({ day, ...options });
   await region.play();
   return region.close();
 }
 
-/** What somebody does at a moment of a day, in seconds. */
-export type Act = readonly [atS: number, act: (region: Region) => void];
+/** An action on the region at a moment of the day, in seconds. */
+export type TimedAction = readonly [atS: number, action: (region: Region) => void];
 
-/** Plays a day to its end, with what is done at moments of it; the region is still open. */
-export async function playedThrough(options: RegionOptions, acts: readonly Act[] = []): Promise<Region> {
+/** Simulates a day to its end with actions at given moments. The caller closes the region. */
+export async function playWithActions(options: RegionOptions, actions: readonly TimedAction[] = []): Promise<Region> {
   const region = new Region(options);
-  for (const [atS, act] of acts) {
+  for (const [atS, action] of actions) {
     await region.play(atS);
-    act(region);
+    action(region);
   }
   await region.play();
   return region;
--- a/packages/region/test/lab.ts
+++ b/packages/region/test/lab.ts
@@ -2,11 +2,13 @@
 import { HttpClient, type Answer, type Call, type Endpoint, type Logger } from '../../../src/kernel/index.js';
 import { Luck, Network, rest, SimProcess, StateModel, World, type ClockFaults, type StateFacts } from '../src/index.js';
 
-const STATE: Endpoint = { host: '10.2.0.1', port: 2379 };
-const PATIENCE_MS = 600_000;
-const GENEROUS: StateFacts = { rps: 1000, writeRps: 1000, valueKb: 32, txnOps: 16, latencyMs: 2 };
+const STATE_ADDRESS: Endpoint = { host: '10.2.0.1', port: 2379 };
+/** Simulated time within which a promise has to settle. */
+const SETTLE_TIMEOUT_MS = 600_000;
+/** Limits of the state service for tests that set none of their own. */
+const DEFAULT_FACTS: StateFacts = { rps: 1000, writeRps: 1000, valueKb: 32, txnOps: 16, latencyMs: 2 };
 
-/** A small simulated network for tests of single parts: processes on hosts, and time that passes when told to. */
+/** A small simulated network for tests of single components, with processes on hosts and time that tests advance. */
 export class Lab {
   readonly world = new World();
   readonly luck: Luck;
@@ -22,42 +24,43 @@
     );
   }
 
+  /** Creates a process on a host of its own. */
   process(ip: string, zone: string | null = null, clocks?: ClockFaults, maxSockets?: number): SimProcess {
     const host = this.network.host(ip, zone);
     return new SimProcess(ip, host, this.world, this.network, this.luck.fork(ip), clocks, maxSockets);
   }
 
-  /** A state service that listens, and where. */
+  /** Starts a state service; returns its model and address. */
   state(facts: Partial<StateFacts> = {}): { readonly model: StateModel; readonly at: Endpoint } {
-    const process = this.process(STATE.host);
-    const model = new StateModel(process, this.luck.fork('state'), { ...GENEROUS, ...facts });
-    model.listen(STATE, this.log);
-    return { model, at: STATE };
+    const process = this.process(STATE_ADDRESS.host);
+    const model = new StateModel(process, this.luck.fork('state'), { ...DEFAULT_FACTS, ...facts });
+    model.listen(STATE_ADDRESS, this.log);
+    return { model, at: STATE_ADDRESS };
   }
 
-  /** Lets so much time pass. */
+  /** Advances simulated time by `ms` milliseconds. */
   pass(ms: number): Promise<void> {
     return this.world.run(this.world.now + ms, { rest });
   }
 
-  /** Lets time pass until a promise has settled; fails when it hasn't within ten minutes. */
+  /** Advances simulated time until a promise has settled. Throws if it has not settled within ten minutes. */
   async settle<T>(promise: Promise<T>): Promise<T> {
     let settled = false;
-    const note = (): void => {
+    const markSettled = (): void => {
       settled = true;
     };
-    promise.then(note, note);
+    promise.then(markSettled, markSettled);
     await rest();
-    await this.world.run(this.world.now + PATIENCE_MS, { rest, stop: () => settled });
-    if (!settled) throw new Error('nothing came of it in ten minutes of simulated time');
+    await this.world.run(this.world.now + SETTLE_TIMEOUT_MS, { rest, stop: () => settled });
+    if (!settled) throw new Error('the promise did not settle within ten minutes of simulated time');
     return promise;
   }
 
-  /** One request from a process, on a connection of its own. */
+  /** Sends one request from a process, on a connection of its own. */
   async ask(from: SimProcess, to: Endpoint, call: Omit<Call, 'timeoutMs'>, timeoutMs = 5000): Promise<Answer> {
     const client = new HttpClient(to, 1, from);
-    const answer = await this.settle(client.call({ ...call, timeoutMs }));
+    const response = await this.settle(client.call({ ...call, timeoutMs }));
     client.close();
-    return answer;
+    return response;
   }
 }
--- a/packages/region/test/limits.test.ts
+++ b/packages/region/test/limits.test.ts
@@ -6,13 +6,13 @@
 import { hangWorkers } from '../src/troubles.js';
 import { shortDay } from './days.js';
 
-/** By then the answer to a command has left the machine. */
-const ANSWERED_MS = 0.02;
-/** Finer than any packet takes. */
+/** Time after which the response to a command has left the machine. */
+const RESPONSE_SENT_MS = 0.02;
+/** Shorter than the latency of any packet. */
 const STEP_MS = 0.1;
 
-/** A team that is at its limit all day: long arrays, far more than it may run, and little else. */
-const crowded = (seed: number): Day => {
+/** A day on which one team is always at its limit: its long array jobs need far more than it may use, little else runs. */
+const saturatedDay = (seed: number): Day => {
   const day = shortDay(130, [], seed);
   return {
     ...day,
@@ -31,57 +31,60 @@
   };
 };
 
-/** Who holds the shard in which the team's jobs are, and in which life. */
-function holderOf(region: Region): { readonly shard: string; readonly holder: string; readonly life: string } | null {
+/** The shard of the team's jobs, its holder and the holder's incarnation. */
+function holderOf(
+  region: Region,
+): { readonly shard: string; readonly holder: string; readonly incarnation: string } | null {
   const { state } = region.parts;
   for (const key of state.under('live/jobs/')) {
     const job = state.get(key);
     if (!isObject(job) || !JSON.stringify(job).includes('"letters"')) continue;
     const shard = String(job['shard']);
     const record = decodeShard(state.get(`live/shards/${shard}`));
-    if (record) return { shard, holder: record.holder, life: record.incarnation };
+    if (record) return { shard, holder: record.holder, incarnation: record.incarnation };
   }
   return null;
 }
 
 /**
- * The holder ends, jobs of the team are cancelled before another claims, and each of their machines hangs as soon as its
- * acknowledgement of the claim has left: none has executed the stop by then, and the new holder doesn't know their jobs.
- * Reports would tell it of them before its first command, so none reaches a controller in those seconds; and a command
- * for another session, which the first one is, counts as acknowledged: the protocol leaves open whether it does.
+ * Crashes the holder, cancels jobs of the team before another controller claims the shard, and hangs each of their
+ * machines as soon as its acknowledgement of the claim has left. No machine has executed the stop by then, and the new
+ * holder does not know the jobs. Two conditions keep it so:
+ * - No report reaches a controller in those seconds; a report would name the jobs before the holder's first command.
+ * - The first command is for another session and counts as acknowledged; the protocol leaves open whether it does.
  */
-async function hungAfterClaim(
+async function hangAfterClaim(
   seed: number,
   allow: readonly string[] = [],
-): Promise<{ rules: string[]; held: number; hung: number; started: number }> {
-  let held = 0;
-  const day = crowded(seed);
+): Promise<{ rules: string[]; blocked: number; hung: number; started: number }> {
+  let blocked = 0;
+  const day = saturatedDay(seed);
   const region = new Region({
     day: { ...day, controllers: { ...day.controllers, allow: [...allow] } },
     controllerLog: {
       level: 'info',
-      write: (line) => (held += Number(line.includes('teams with a limit start nothing'))),
+      write: (line) => (blocked += Number(line.includes('teams with a limit start nothing'))),
     },
   });
   await region.play(55);
-  const before = holderOf(region);
-  const controller = region.controllers.find(({ seat }) => seat.name === before?.holder);
-  assert.ok(before && controller);
-  region.crash(controller, 40);
+  const heldBefore = holderOf(region);
+  const oldHolder = region.controllers.find(({ seat }) => seat.name === heldBefore?.holder);
+  assert.ok(heldBefore && oldHolder);
+  region.crash(oldHolder, 40);
   await region.play(56.5);
   const cancelled = region.parts.users.close.cancelNow(12, ({ spec }) => region.parts.machinesOf(spec.ref).length > 0);
   assert.ok(cancelled.length >= 3);
-  const left = new Set(cancelled.flatMap(({ job }) => region.parts.machinesOf(job.spec.ref)));
-  const tokens = new Map([...left].map((worker) => [worker, worker.highestToken]));
-  for (const worker of left) [worker.mute, worker.refusedRaise] = [true, true];
+  const pending = new Set(cancelled.flatMap(({ job }) => region.parts.machinesOf(job.spec.ref)));
+  const tokens = new Map([...pending].map((worker) => [worker, worker.highestToken]));
+  for (const worker of pending) [worker.mute, worker.refusedRaise] = [true, true];
   let hung = 0;
-  while (left.size > 0 && region.now < 62_000) {
+  while (pending.size > 0 && region.now < 62_000) {
     await region.play((region.now + STEP_MS) / 1000);
-    for (const worker of left) {
+    for (const worker of pending) {
       if (worker.highestToken === tokens.get(worker)) continue;
-      left.delete(worker);
+      pending.delete(worker);
       hung += 1;
-      region.world.plan(region.now + ANSWERED_MS, () => hangWorkers(region, [worker], 16));
+      region.world.plan(region.now + RESPONSE_SENT_MS, () => hangWorkers(region, [worker], 16));
     }
   }
   for (const worker of tokens.keys()) worker.mute = false;
@@ -89,29 +92,29 @@
   const { breaches, defects, classes } = region.close();
   assert.deepEqual(defects, []);
   const started = classes.find(({ name }) => name === 'letters')?.tasksStarted ?? 0;
-  return { rules: [...new Set(breaches.map(({ rule }) => rule))], held, hung, started };
+  return { rules: [...new Set(breaches.map(({ rule }) => rule))], blocked, hung, started };
 }
 
-test('a team at its limit, jobs cancelled before a claim, machines that hang once they have acknowledged it', async () => {
-  let held = 0;
+test('a team stays within its limit when jobs are cancelled before a claim and their machines hang after acknowledging it', async () => {
+  let blocked = 0;
   for (const seed of [3, 4, 5, 6]) {
-    const played = await hungAfterClaim(seed);
+    const played = await hangAfterClaim(seed);
     assert.deepEqual(played.rules, [], String(seed));
     assert.ok(played.started > 50);
     assert.ok(played.hung > 0);
-    held += played.held;
+    blocked += played.blocked;
   }
-  // Or the days show nothing: somewhere the new holder has seen tasks of jobs that it doesn't know.
-  assert.ok(held > 0);
+  // Without this the days test nothing: on at least one, the new holder sees tasks of jobs that it does not know.
+  assert.ok(blocked > 0);
 });
 
-test('the same with limits that are shared between shards: shares stay numbers, and the team goes on', async () => {
-  let held = 0;
+test('the same with limits divided into shares of the shards: shares stay valid numbers, and the team continues to start tasks', async () => {
+  let blocked = 0;
   for (const seed of [3, 4, 5]) {
-    const played = await hungAfterClaim(seed, ['quota-shares']);
+    const played = await hangAfterClaim(seed, ['quota-shares']);
     assert.deepEqual(played.rules, [], String(seed));
     assert.ok(played.started > 50, `${played.started} started`);
-    held += played.held;
+    blocked += played.blocked;
   }
-  assert.ok(held > 0);
+  assert.ok(blocked > 0);
 });
--- a/packages/region/test/pipelines.test.ts
+++ b/packages/region/test/pipelines.test.ts
@@ -3,12 +3,12 @@
 import fc from 'fast-check';
 import { drawSchedule, mixReleases } from '../src/hunt/index.js';
 import { Region, type Day, type DayResult, type Trouble } from '../src/index.js';
-import { playedThrough, shippedDay } from './days.js';
+import { playWithActions, shippedDay } from './days.js';
 
 const SHARDS = ['node-0', 'node-1', 'node-2'].map((name) => `live/shards/${name}`);
 const LIMITS: Trouble = { kind: 'state_limits', at_s: 45 };
 
-/** The shipped day of chains, shorter, with its pipelines from the beginning. */
+/** The day `chain` with another duration and faults, and with pipelines that arrive from 15 s on. */
 function chainDay(durationS: number, troubles: readonly Trouble[], releases: readonly string[] = []): Day {
   const day = shippedDay('chain');
   return {
@@ -19,8 +19,8 @@
   };
 }
 
-/** So many machines that a shard's record is longer than the state service takes after the fall. */
-const large = (day: Day): Day => ({
+/** The same day with so many machines that a shard's record exceeds the state service's value limit after the drop. */
+const withLargeFleet = (day: Day): Day => ({
   ...day,
   state: { ...day.state, next: { write_rps: 20, value_kb: 1, txn_ops: 5 } },
   capacity: day.capacity.map((c) => (c.type === 'desk' ? { ...c, ordinary: 80 } : c)),
@@ -33,13 +33,14 @@
   readonly logs: readonly { readonly msg: string; readonly time: number; readonly node: string }[];
 }
 
-async function keepsRules(
+/** Simulates a day with actions and checks that no rule is violated and that shard records have the expected version. */
+async function playKeepingRules(
   day: Day,
-  acts: readonly (readonly [number, (region: Region) => void])[] = [],
+  actions: readonly (readonly [number, (region: Region) => void])[] = [],
 ): Promise<PlayedDay> {
   const logs: string[] = [];
   const controllerLog = { level: 'info', write: (line: string) => logs.push(line) };
-  const region = await playedThrough({ day, controllerLog }, acts);
+  const region = await playWithActions({ day, controllerLog }, actions);
   const stored = SHARDS.map((key) => region.parts.state.get(key) as { readonly v?: number });
   const result = region.close();
   assert.deepEqual([result.breaches, result.defects], [[], []]);
@@ -47,46 +48,47 @@
   return { result, region, logs: logs.map((line) => JSON.parse(line) as PlayedDay['logs'][number]) };
 }
 
+/** Number of completed jobs of a class. */
 const doneOf = ({ result }: PlayedDay, name: string): number => result.classes.find((c) => c.name === name)?.done ?? 0;
 
-test('the day of chains: rolled from production to this release, then the limits fall, and every chain goes on', async () => {
-  // That they have fallen shows by refusals alone, so they have to be low enough that some write is refused for certain.
+test('the day `chain`: after a rollout from production to this release the limits drop, and every pipeline continues', async () => {
+  // Controllers notice the drop only when a write is refused, so the limits are low enough that some write is refused.
   const chain = shippedDay('chain');
-  const day = await keepsRules({
+  const day = await playKeepingRules({
     ...chain,
     state: { ...chain.state, next: { write_rps: 8, value_kb: 2, txn_ops: 5 } },
   });
   assert.ok(doneOf(day, 'close') >= 15, String(doneOf(day, 'close')));
   assert.ok(day.logs.some(({ msg }) => msg === 'job cancelled with a job that it needs'));
   assert.equal(day.logs.filter(({ msg }) => msg === "a shard's machines are in pages now").length, 3);
-  // Nobody is refused once all controllers are new: the last one is back 4 s after 60 s.
+  // No submission is refused once all controllers run this release; the last one is back at 64 s.
   assert.equal(
     day.result.classes.reduce((sum, { refused }) => sum + refused, 0),
     0,
   );
 });
 
-const AROUND_THE_FALL: readonly [name: string, troubles: readonly Trouble[]][] = [
-  ['the leader ends', [{ kind: 'controller_crash', at_s: 45.2, controller: 'leader' }]],
+const FAULTS_AROUND_LIMIT_DROP: readonly [name: string, troubles: readonly Trouble[]][] = [
+  ['the leader crashes', [{ kind: 'controller_crash', at_s: 45.2, controller: 'leader' }]],
   [
-    'one ends just before, and is taken over after it',
+    'one crashes just before the drop, and its shard is taken over after it',
     [{ kind: 'controller_crash', at_s: 44, controller: 1, down_s: 30 }],
   ],
-  ['all end before it and come back after it', [{ kind: 'controller_crash', at_s: 43, controller: 'all' }]],
-  ['all end in the middle of the rewriting', [{ kind: 'controller_crash', at_s: 46.5, controller: 'all' }]],
-  ['in an outage', [{ kind: 'state_outage', at_s: 40, for_s: 12 }]],
+  ['all crash before the drop and restart after it', [{ kind: 'controller_crash', at_s: 43, controller: 'all' }]],
+  ['all crash while records are rewritten', [{ kind: 'controller_crash', at_s: 46.5, controller: 'all' }]],
+  ['the state service is unavailable', [{ kind: 'state_outage', at_s: 40, for_s: 12 }]],
   ['the state service is slow', [{ kind: 'state_slow', at_s: 43, for_s: 20, times: 40 }]],
-  ['one stands still through it', [{ kind: 'controller_pause', at_s: 40, for_s: 15, controller: 2 }]],
+  ['one is paused during the drop', [{ kind: 'controller_pause', at_s: 40, for_s: 15, controller: 2 }]],
   [
-    'one sees nothing of it, and packets come late',
+    'one is cut off during the drop, and its packets are held',
     [{ kind: 'controller_cut', at_s: 37, for_s: 30, controller: 0, from: 'all', manner: 'hold' }],
   ],
 ];
 
-test('around the fall of the limits controllers and the state service fail: every rule is kept, all ends up in pages', async () => {
-  for (const [name, troubles] of AROUND_THE_FALL) {
-    const day = await keepsRules(
-      large(
+test('controllers and the state service fail around the drop of the limits: every rule is kept, all shards end up in pages', async () => {
+  for (const [name, troubles] of FAULTS_AROUND_LIMIT_DROP) {
+    const day = await playKeepingRules(
+      withLargeFleet(
         chainDay(
           170,
           [...troubles, LIMITS].sort((a, b) => a.at_s - b.at_s),
@@ -97,7 +99,7 @@
   }
 });
 
-test('while chains wait: holders end between a final and the next start, machines die, a controller is cut off', async () => {
+test('while jobs wait for dependencies: holders crash between a completion and the next start, machines die, a controller is cut off', async () => {
   const troubles: Trouble[] = [
     { kind: 'controller_crash', at_s: 40, controller: 0 },
     { kind: 'controller_crash', at_s: 55, controller: 'all' },
@@ -105,34 +107,34 @@
     { kind: 'controller_cut', at_s: 80, for_s: 25, controller: 1, from: 'state', manner: 'hold' },
     { kind: 'state_outage', at_s: 115, for_s: 15 },
   ];
-  const day = await keepsRules(chainDay(240, troubles));
+  const day = await playKeepingRules(chainDay(240, troubles));
   assert.ok(doneOf(day, 'close') >= 5, String(doneOf(day, 'close')));
 });
 
-test('earlier releases come back among waiting jobs: none starts too early, and none is forgotten', async () => {
+test('a rollback to earlier releases while jobs wait for dependencies: none starts too early, and none is forgotten', async () => {
   for (const old of ['production', 'before-rollout']) {
-    const roll = (to: string, at_s: number): Trouble => ({ kind: 'rollout', at_s, gap_s: 12, to, leave: false });
-    // Nobody asks an earlier release for a chain: all come before it is back.
-    const day = chainDay(260, [roll(old, 45), roll('this', 110)]);
+    const rolloutTo = (to: string, at_s: number): Trouble => ({ kind: 'rollout', at_s, gap_s: 12, to, leave: false });
+    // Earlier releases do not accept jobs with dependencies, so all pipelines arrive before the rollback.
+    const day = chainDay(260, [rolloutTo(old, 45), rolloutTo('this', 110)]);
     const early = { ...day, pipelines: day.pipelines.map((p) => ({ ...p, per_minute: 0, initial: 12, late: 0 })) };
-    const played = await keepsRules(early);
+    const played = await playKeepingRules(early);
     assert.ok(doneOf(played, 'close') >= 8, `${old}: ${doneOf(played, 'close')}`);
   }
 });
 
-test('drawn schedules with production, pipelines and falling limits keep every rule', async () => {
+test('random fault schedules with the production release, pipelines and dropping limits keep every rule', async () => {
   await fc.assert(
     fc.asyncProperty(fc.integer({ min: 0, max: 2 ** 30 }), async (seed) => {
-      // Nothing new is asked before all have the new release.
+      // Pipelines arrive only after all controllers run this release.
       const early = chainDay(150, []);
       const base = { ...early, pipelines: early.pipelines.map((p) => ({ ...p, start_s: 40 })) };
       const troubles = [...drawSchedule(seed, base), { kind: 'state_limits', at_s: 40 + (seed % 70) } as const];
       const mixed = mixReleases(seed, { ...base, seed, troubles: [] }, 'production');
-      // Production ends up replaced before the limits fall: afterwards it could do nothing with what is stored.
-      const rolled = mixed.troubles.map((trouble) =>
+      // Production is replaced before the limits drop, because it cannot read what is stored afterwards.
+      const withRollout = mixed.troubles.map((trouble) =>
         trouble.kind === 'rollout' ? { ...trouble, to: 'this', at_s: 15, gap_s: 6, order: [0, 1, 2] } : trouble,
       );
-      const day = { ...mixed, troubles: [...rolled, ...troubles].sort((a, b) => a.at_s - b.at_s) };
+      const day = { ...mixed, troubles: [...withRollout, ...troubles].sort((a, b) => a.at_s - b.at_s) };
       const region = new Region({ day });
       await region.play();
       const { breaches, defects } = region.close();
