--- a/packages/region/src/parts.ts
+++ b/packages/region/src/parts.ts
@@ -111,11 +111,11 @@
   readonly cloudHost: Seat;
   readonly userHost: Seat;
   private readonly gangs: GangBook;
-  private readonly facts: WorkerFacts;
+  private readonly timings: WorkerFacts;
 
   constructor(private readonly options: RegionPartsOptions) {
     const { day, luck: rng, place } = options;
-    this.facts = workerFacts(day);
+    this.timings = workerFacts(day);
     // A job that no simulated user submitted is looked up with `findJob`, if given.
     this.jobs = new JobBook(options.findJob && ((ref) => options.findJob?.(ref, this.state)));
     this.stateHost = place.seat('state', null);
@@ -126,7 +126,7 @@
     this.checker = new RuleChecker(
       now,
       new Map(day.teams.map((team) => [team.name, { cpusMax: team.cpus_max, gpusMax: team.gpus_max }])),
-      this.facts.cancelS,
+      this.timings.cancelS,
       (ms, work) => runtime.after(ms, work),
       (violation) => {
         options.note(`broken ${violation.rule}: ${violation.what}`);
@@ -160,7 +160,7 @@
       { up: (machine) => this.startWorker(machine), gone: (machine) => this.endWorker(machine) },
     );
     this.gangs = new GangBook(this.cloudHost.runtime, rng.fork('gangs'), {
-      ...{ waitS: this.facts.gangWaitS, peerS: this.facts.gangPeerS },
+      ...{ waitS: this.timings.gangWaitS, peerS: this.timings.gangPeerS },
     });
     this.balancer = new Balancer(
       runtime,
@@ -218,7 +218,7 @@
       watchdog: host.watchdog,
       luck: rng.fork(machine.id),
       log,
-      facts: this.facts,
+      facts: this.timings,
       controllers: controllers.map(({ name, serveOn }) => ({ name, at: serveOn })),
       jobs: this.jobs,
       gangs: this.gangs,
@@ -286,7 +286,7 @@
     }
   }
 
-  /** The free resources of each machine that is up and not about to be taken back. */
+  /** The free resources of each machine that is up and not about to be reclaimed. */
   get freeResources(): Room[] {
     const free: Room[] = [];
     for (const { model } of this.workers.values()) {
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -11,7 +11,7 @@
 import { Releases, THIS, type Running } from './releases/index.js';
 import { settingsFor } from './settings.js';
 import { DAY_BEGINS, Luck, Network, rest, SimProcess, World } from './sim/index.js';
-import { HELD_REPORT_RETENTION_S, defaultDuplicateDelayS, injectFault, type FaultTarget } from './troubles.js';
+import { HELD_REPORT_RETENTION_S, defaultDuplicateDelayS, startFault, type FaultTarget } from './troubles.js';
 
 const STATE_ADDRESS = { host: '10.2.0.1', port: 2379 };
 const CLOUD_ADDRESS = { host: '10.2.0.2', port: 8443 };
@@ -156,8 +156,8 @@
       this.releases.of(controller.release);
       return controller;
     });
-    for (const trouble of day.troubles) if (trouble.kind === 'rollout') this.releases.of(trouble.to);
-    const rolloutTargets = day.troubles.flatMap((trouble) => (trouble.kind === 'rollout' ? [trouble.to] : []));
+    for (const fault of day.troubles) if (fault.kind === 'rollout') this.releases.of(fault.to);
+    const rolloutTargets = day.troubles.flatMap((fault) => (fault.kind === 'rollout' ? [fault.to] : []));
     this.parts.checker.judgesOdd = [...day.controllers.releases, ...rolloutTargets].every(
       (release) => release === THIS,
     );
@@ -316,13 +316,13 @@
     }
     // The last replacement of a rollout is a fault, too. A fault without a duration gets the downtime of a controller or
     // the hang of a machine on top, which also gives users the time to poll again.
-    const faultEndsS = this.day.troubles.map((trouble) =>
-      'for_s' in trouble
-        ? trouble.at_s + trouble.for_s + (trouble.kind === 'reports_again' ? this.maxDuplicateDelayS(trouble) : 0)
-        : trouble.at_s + ('gap_s' in trouble ? trouble.gap_s * this.controllers.length : 0) + this.downtimeS(trouble),
+    const faultEndsS = this.day.troubles.map((fault) =>
+      'for_s' in fault
+        ? fault.at_s + fault.for_s + (fault.kind === 'reports_again' ? this.maxDuplicateDelayS(fault) : 0)
+        : fault.at_s + ('gap_s' in fault ? fault.gap_s * this.controllers.length : 0) + this.downtimeS(fault),
     );
     this.parts.checker.quietFrom = Math.max(0, ...faultEndsS) * 1000;
-    for (const trouble of this.day.troubles) this.world.plan(trouble.at_s * 1000, () => injectFault(trouble, this));
+    for (const fault of this.day.troubles) this.world.plan(fault.at_s * 1000, () => startFault(fault, this));
   }
 
   /** The longest delay of duplicate reports in seconds. */
@@ -331,9 +331,9 @@
   }
 
   /** Seconds for which a fault leaves a controller down, or machines hung, after its last action. */
-  private downtimeS(trouble: Trouble): number {
-    if (trouble.kind === 'cancel_now') return trouble.hang_s ?? 0;
-    return ('down_s' in trouble ? trouble.down_s : undefined) ?? this.day.controllers.restart_s;
+  private downtimeS(fault: Trouble): number {
+    if (fault.kind === 'cancel_now') return fault.hang_s ?? 0;
+    return ('down_s' in fault ? fault.down_s : undefined) ?? this.day.controllers.restart_s;
   }
 
   private started = false;
--- a/packages/region/src/troubles.ts
+++ b/packages/region/src/troubles.ts
@@ -145,12 +145,12 @@
 }
 
 /** Starts a fault and schedules its end. */
-export function injectFault(trouble: Trouble, region: FaultTarget): void {
+export function startFault(fault: Trouble, region: FaultTarget): void {
   const { day, parts, network, world } = region;
-  region.logEvent(`trouble ${trouble.kind}`);
+  region.logEvent(`trouble ${fault.kind}`);
   const scheduleEnd = (seconds: number, work: () => void): void => {
     world.plan(world.now + seconds * 1000, () => {
-      region.logEvent(`over ${trouble.kind}`);
+      region.logEvent(`over ${fault.kind}`);
       work();
     });
   };
@@ -176,40 +176,40 @@
       return hosted ? [hosted.model] : [];
     });
 
-  switch (trouble.kind) {
+  switch (fault.kind) {
     case 'burst':
-      parts.users.burst(trouble.class, trouble.times);
-      scheduleEnd(trouble.for_s, () => parts.users.burst(trouble.class, 1));
+      parts.users.burst(fault.class, fault.times);
+      scheduleEnd(fault.for_s, () => parts.users.burst(fault.class, 1));
       break;
     case 'machines_die':
-      for (const machine of selectMachines(region, trouble)) parts.cloud.die(machine);
+      for (const machine of selectMachines(region, fault)) parts.cloud.die(machine);
       break;
     case 'machines_hang': {
-      hangWorkers(region, workersOf(selectMachines(region, trouble)), trouble.for_s);
+      hangWorkers(region, workersOf(selectMachines(region, fault)), fault.for_s);
       break;
     }
     case 'machines_cut': {
       const hosts = new Set(
-        selectMachines(region, trouble).flatMap((machine) => {
+        selectMachines(region, fault).flatMap((machine) => {
           const process = region.workerProcessOf(machine.id);
           return process ? [process.host] : [];
         }),
       );
-      cutFor(trouble.for_s, trouble.manner, (a, b) => hosts.has(a) && !hosts.has(b));
+      cutFor(fault.for_s, fault.manner, (a, b) => hosts.has(a) && !hosts.has(b));
       break;
     }
     case 'machines_fail_tasks': {
-      const chosen = workersOf(selectMachines(region, trouble));
+      const chosen = workersOf(selectMachines(region, fault));
       for (const worker of chosen) worker.tasks.failsTasks = true;
-      scheduleEnd(trouble.for_s, () => {
+      scheduleEnd(fault.for_s, () => {
         for (const worker of chosen) worker.tasks.failsTasks = false;
       });
       break;
     }
     case 'machines_slow': {
-      const chosen = workersOf(selectMachines(region, trouble));
-      for (const worker of chosen) worker.tasks.slowness = trouble.times;
-      scheduleEnd(trouble.for_s, () => {
+      const chosen = workersOf(selectMachines(region, fault));
+      for (const worker of chosen) worker.tasks.slowness = fault.times;
+      scheduleEnd(fault.for_s, () => {
         for (const worker of chosen) worker.tasks.slowness = 1;
       });
       break;
@@ -217,51 +217,51 @@
     case 'spot_wave': {
       const spot = parts.cloud.up.filter((machine) => machine.spot);
       const rng = region.rng.fork(`wave ${region.world.now}`);
-      for (const machine of rng.some(spot, Math.round(spot.length * trouble.share)))
-        parts.cloud.takeBack(machine, trouble.notice);
+      for (const machine of rng.some(spot, Math.round(spot.length * fault.share)))
+        parts.cloud.takeBack(machine, fault.notice);
       break;
     }
     case 'controller_crash':
-      for (const controller of controllersOf(region, trouble.controller))
-        region.crash(controller, trouble.down_s ?? day.controllers.restart_s);
+      for (const controller of controllersOf(region, fault.controller))
+        region.crash(controller, fault.down_s ?? day.controllers.restart_s);
       break;
     case 'controller_pause': {
-      const chosen = controllersOf(region, trouble.controller).flatMap(({ process }) => (process ? [process] : []));
+      const chosen = controllersOf(region, fault.controller).flatMap(({ process }) => (process ? [process] : []));
       for (const process of chosen) process.freeze();
-      scheduleEnd(trouble.for_s, () => {
+      scheduleEnd(fault.for_s, () => {
         for (const process of chosen) process.thaw();
       });
       break;
     }
     case 'controller_cut': {
-      const hosts = new Set(controllersOf(region, trouble.controller).map(({ host }) => host));
-      const isCutFrom = CUT_FROM[trouble.from];
-      cutFor(trouble.for_s, trouble.manner, (a, b) => hosts.has(a) && !hosts.has(b) && isCutFrom(b));
+      const hosts = new Set(controllersOf(region, fault.controller).map(({ host }) => host));
+      const isCutFrom = CUT_FROM[fault.from];
+      cutFor(fault.for_s, fault.manner, (a, b) => hosts.has(a) && !hosts.has(b) && isCutFrom(b));
       break;
     }
     case 'controller_refused':
-      applyToControllers(trouble, (ip, on) => parts.state.refuse(ip, on));
+      applyToControllers(fault, (ip, on) => parts.state.refuse(ip, on));
       break;
     case 'watch_held':
-      applyToControllers(trouble, (ip, on) => parts.state.holdWatches(ip, on));
+      applyToControllers(fault, (ip, on) => parts.state.holdWatches(ip, on));
       break;
     case 'rolling_restart':
       for (const [i, controller] of region.controllers.entries())
-        world.plan(world.now + i * trouble.gap_s * 1000, () => region.crash(controller, day.controllers.restart_s));
+        world.plan(world.now + i * fault.gap_s * 1000, () => region.crash(controller, day.controllers.restart_s));
       break;
     case 'rollout': {
-      const order = trouble.order ?? region.controllers.map((_, i) => i);
+      const order = fault.order ?? region.controllers.map((_, i) => i);
       for (const [i, number] of order.entries()) {
         const controller = region.controllers[number];
         if (!controller) continue;
-        world.plan(world.now + i * trouble.gap_s * 1000, () =>
-          region.replace(controller, trouble.to, trouble.down_s ?? day.controllers.restart_s, trouble.leave),
+        world.plan(world.now + i * fault.gap_s * 1000, () =>
+          region.replace(controller, fault.to, fault.down_s ?? day.controllers.restart_s, fault.leave),
         );
       }
       break;
     }
     case 'peers_refuse':
-      cutFor(trouble.for_s, 'refuse', (a, b) => isController(a) && isController(b));
+      cutFor(fault.for_s, 'refuse', (a, b) => isController(a) && isController(b));
       break;
     case 'state_limits': {
       const { next } = day.state;
@@ -269,32 +269,32 @@
       break;
     }
     case 'machines_deaf': {
-      const chosen = workersOf(selectMachines(region, trouble));
+      const chosen = workersOf(selectMachines(region, fault));
       for (const worker of chosen) worker.deaf = true;
-      scheduleEnd(trouble.for_s, () => {
+      scheduleEnd(fault.for_s, () => {
         for (const worker of chosen) worker.deaf = false;
       });
       break;
     }
     case 'machines_mute': {
-      const chosen = workersOf(selectMachines(region, trouble));
+      const chosen = workersOf(selectMachines(region, fault));
       for (const worker of chosen) worker.mute = true;
-      scheduleEnd(trouble.for_s, () => {
+      scheduleEnd(fault.for_s, () => {
         for (const worker of chosen) worker.mute = false;
       });
       break;
     }
     case 'commands_held': {
-      const chosen = workersOf(selectMachines(region, trouble));
+      const chosen = workersOf(selectMachines(region, fault));
       for (const worker of chosen) worker.holdsCommands = true;
-      scheduleEnd(trouble.for_s, () => {
+      scheduleEnd(fault.for_s, () => {
         for (const worker of chosen) worker.holdsCommands = false;
       });
       break;
     }
     case 'cancel_now': {
-      const views = parts.users.close.cancelNow(trouble.count, ({ spec }) => parts.machinesOf(spec.ref).length > 0);
-      const { hang_s } = trouble;
+      const views = parts.users.close.cancelNow(fault.count, ({ spec }) => parts.machinesOf(spec.ref).length > 0);
+      const { hang_s } = fault;
       if (hang_s === undefined) break;
       const machines = new Set(views.flatMap(({ job }) => parts.machinesOf(job.spec.ref)));
       // The jobs are cancelled within 200 ms. Spreading the hangs over 250 ms makes some machines hang before the
@@ -304,74 +304,74 @@
       break;
     }
     case 'cancel_at_end':
-      parts.users.close.habits.cancelsAtEnd = trouble.share;
-      scheduleEnd(trouble.for_s, () => (parts.users.close.habits.cancelsAtEnd = 0));
+      parts.users.close.habits.cancelsAtEnd = fault.share;
+      scheduleEnd(fault.for_s, () => (parts.users.close.habits.cancelsAtEnd = 0));
       break;
     case 'odd_requests':
       parts.users.close.habits.odd = true;
-      scheduleEnd(trouble.for_s, () => (parts.users.close.habits.odd = false));
+      scheduleEnd(fault.for_s, () => (parts.users.close.habits.odd = false));
       break;
     case 'close_looks':
       parts.users.close.habits.looks = true;
-      scheduleEnd(trouble.for_s, () => (parts.users.close.habits.looks = false));
+      scheduleEnd(fault.for_s, () => (parts.users.close.habits.looks = false));
       break;
     case 'answers_held':
-      parts.state.heldAnswers = trouble.share;
-      scheduleEnd(trouble.for_s, () => (parts.state.heldAnswers = 0));
+      parts.state.heldAnswers = fault.share;
+      scheduleEnd(fault.for_s, () => (parts.state.heldAnswers = 0));
       break;
     case 'boots_at_once':
       parts.cloud.bootsAtOnce = true;
-      scheduleEnd(trouble.for_s, () => (parts.cloud.bootsAtOnce = false));
+      scheduleEnd(fault.for_s, () => (parts.cloud.bootsAtOnce = false));
       break;
     case 'reports_again': {
-      if (trouble.for_next === true) {
-        holdReportsUntilTakeover(region, trouble.share, trouble.for_s);
+      if (fault.for_next === true) {
+        holdReportsUntilTakeover(region, fault.share, fault.for_s);
         break;
       }
-      const duplicates = { share: trouble.share, lateMs: (trouble.late_s ?? defaultDuplicateDelayS(day)) * 1000 };
+      const duplicates = { share: fault.share, lateMs: (fault.late_s ?? defaultDuplicateDelayS(day)) * 1000 };
       parts.duplicateReports = duplicates;
-      scheduleEnd(trouble.for_s, () => {
+      scheduleEnd(fault.for_s, () => {
         if (parts.duplicateReports === duplicates) parts.duplicateReports = null;
       });
       break;
     }
     case 'machines_restart':
-      for (const worker of workersOf(selectMachines(region, trouble))) worker.restart(trouble.down_s);
+      for (const worker of workersOf(selectMachines(region, fault))) worker.restart(fault.down_s);
       break;
     case 'state_outage':
       parts.state.outage(true);
-      scheduleEnd(trouble.for_s, () => parts.state.outage(false));
+      scheduleEnd(fault.for_s, () => parts.state.outage(false));
       break;
     case 'state_slow':
-      parts.state.slowness = trouble.times;
-      scheduleEnd(trouble.for_s, () => (parts.state.slowness = 1));
+      parts.state.slowness = fault.times;
+      scheduleEnd(fault.for_s, () => (parts.state.slowness = 1));
       break;
     case 'late_writes':
-      parts.state.lateWrites = trouble.share;
-      parts.state.lateAtOnce = trouble.at_once === true;
-      scheduleEnd(trouble.for_s, () => (parts.state.lateWrites = 0));
+      parts.state.lateWrites = fault.share;
+      parts.state.lateAtOnce = fault.at_once === true;
+      scheduleEnd(fault.for_s, () => (parts.state.lateWrites = 0));
       break;
     case 'watch_forgets':
       parts.state.forget();
       break;
     case 'cloud_outage':
       parts.cloud.outage(true);
-      scheduleEnd(trouble.for_s, () => parts.cloud.outage(false));
+      scheduleEnd(fault.for_s, () => parts.cloud.outage(false));
       break;
     case 'capacity_drop':
-      parts.cloud.capacityShare = 1 - trouble.share;
-      scheduleEnd(trouble.for_s, () => (parts.cloud.capacityShare = 1));
+      parts.cloud.capacityShare = 1 - fault.share;
+      scheduleEnd(fault.for_s, () => (parts.cloud.capacityShare = 1));
       break;
     case 'boots_late':
-      parts.cloud.bootFactor = trouble.times;
-      scheduleEnd(trouble.for_s, () => (parts.cloud.bootFactor = 1));
+      parts.cloud.bootFactor = fault.times;
+      scheduleEnd(fault.for_s, () => (parts.cloud.bootFactor = 1));
       break;
     case 'boots_never':
-      parts.cloud.neverShare = trouble.share;
-      scheduleEnd(trouble.for_s, () => (parts.cloud.neverShare = 0));
+      parts.cloud.neverShare = fault.share;
+      scheduleEnd(fault.for_s, () => (parts.cloud.neverShare = 0));
       break;
     case 'zone_cut':
-      cutFor(trouble.for_s, trouble.manner, (a, b) => a.zone === trouble.zone && b.zone !== trouble.zone);
+      cutFor(fault.for_s, fault.manner, (a, b) => a.zone === fault.zone && b.zone !== fault.zone);
       break;
   }
 }
--- a/packages/region/test/blocks.test.ts
+++ b/packages/region/test/blocks.test.ts
@@ -44,8 +44,8 @@
 /** Removes every second machine from the shard records, as a process with an outdated record would. */
 function removeMachines(region: Region): void {
   const { state } = region.parts;
-  for (const { seat } of region.controllers) {
-    const key = shardKey(shardName(seat.name));
+  for (const { seat: spec } of region.controllers) {
+    const key = shardKey(shardName(spec.name));
     const value = decodeShard(state.get(key));
     if (!value || value.epoch !== null) continue;
     state.put(key, encodeShard({ ...value, machines: value.machines.filter((_, i) => i % 2 === 0) }));
--- a/packages/region/test/lab.ts
+++ b/packages/region/test/lab.ts
@@ -5,8 +5,8 @@
 const STATE_ADDRESS: Endpoint = { host: '10.2.0.1', port: 2379 };
 /** Simulated time within which a promise has to settle. */
 const SETTLE_TIMEOUT_MS = 600_000;
-/** Limits of the state service for tests that set none of their own. */
-const DEFAULT_FACTS: StateFacts = { rps: 1000, writeRps: 1000, valueKb: 32, txnOps: 16, latencyMs: 2 };
+/** Limits and latency of the state service for tests that set none of their own. */
+const DEFAULT_STATE_CONFIG: StateFacts = { rps: 1000, writeRps: 1000, valueKb: 32, txnOps: 16, latencyMs: 2 };
 
 /** A small simulated network for tests of single components, with processes on hosts and time that tests advance. */
 export class Lab {
@@ -31,9 +31,9 @@
   }
 
   /** Starts a state service; returns its model and address. */
-  state(facts: Partial<StateFacts> = {}): { readonly model: StateModel; readonly at: Endpoint } {
+  state(config: Partial<StateFacts> = {}): { readonly model: StateModel; readonly at: Endpoint } {
     const process = this.process(STATE_ADDRESS.host);
-    const model = new StateModel(process, this.luck.fork('state'), { ...DEFAULT_FACTS, ...facts });
+    const model = new StateModel(process, this.luck.fork('state'), { ...DEFAULT_STATE_CONFIG, ...config });
     model.listen(STATE_ADDRESS, this.log);
     return { model, at: STATE_ADDRESS };
   }
--- a/packages/region/test/limits.test.ts
+++ b/packages/region/test/limits.test.ts
@@ -68,7 +68,7 @@
   });
   await region.play(55);
   const heldBefore = holderOf(region);
-  const oldHolder = region.controllers.find(({ seat }) => seat.name === heldBefore?.holder);
+  const oldHolder = region.controllers.find(({ seat: spec }) => spec.name === heldBefore?.holder);
   assert.ok(heldBefore && oldHolder);
   region.crash(oldHolder, 40);
   await region.play(56.5);
--- a/packages/region/test/rollout.test.ts
+++ b/packages/region/test/rollout.test.ts
@@ -134,7 +134,7 @@
     for (let t = 29; t < 50; t += 0.05) {
       await region.play(t);
       const record = region.parts.state.get('live/shards/node-1') as { holder: string; released: boolean };
-      const up = region.controllers.find(({ seat }) => seat.name === record.holder)?.process?.running === true;
+      const up = region.controllers.find(({ seat: spec }) => spec.name === record.holder)?.process?.running === true;
       gap = up && !record.released ? 0 : gap + 0.05;
       longest = Math.max(longest, gap);
     }
--- a/packages/region/test/stays.test.ts
+++ b/packages/region/test/stays.test.ts
@@ -121,10 +121,10 @@
 test('a controller that reaches only its workers fails its health check, and responds to users at once', async () => {
   const region = new Region({ day: dayWith([cut(50, 30, 1)]) });
   await region.play(62);
-  const { seat } = region.controllers[1] ?? assert.fail();
+  const { seat: spec } = region.controllers[1] ?? assert.fail();
   const externalProcess = region.bystander('asker');
   const { HttpClient } = await import('../../../src/kernel/index.js');
-  const client = new HttpClient(seat.serveOn, 1, externalProcess);
+  const client = new HttpClient(spec.serveOn, 1, externalProcess);
   const responses = [
     client.call({ method: 'GET', path: '/healthz', timeoutMs: 2000 }),
     client.call({ method: 'GET', path: '/v1/jobs/j-000001', timeoutMs: 4000 }),
