--- a/packages/region/src/daybook.ts
+++ b/packages/region/src/daybook.ts
@@ -13,7 +13,7 @@
   /** Tasks that run now. */
   runningCount: number;
   /** Uptime of all replicas inside the window that the class's availability objective counts, in milliseconds. */
-  upMs: number;
+  uptimeMs: number;
   /** When each running replica started, by task index; services only. */
   readonly upSince: Map<number, number>;
 }
@@ -64,7 +64,7 @@
   readonly largestServed: number | null;
 }
 
-/** Time within which a job has to start, counted from the moment when it can. */
+/** Time within which a job has to start, counted from the moment when it can. The day fails if a large job exceeds it. */
 export const START_LIMIT_MS = 240_000;
 /** Share of a class's jobs, the largest ones, that are checked separately. */
 const LARGEST_JOBS_SHARE = 0.1;
@@ -115,12 +115,12 @@
   addJob(view: UserView): void {
     this.jobs.set(view.job.spec.ref, {
       ...{ view, firstStartAt: new Map<number, number>(), completedAt: null, restarts: 0, runningCount: 0 },
-      ...{ upMs: 0, upSince: new Map<number, number>() },
+      ...{ uptimeMs: 0, upSince: new Map<number, number>() },
     });
   }
 
   entered(): void {
-    // A task that waits for its gang has not started.
+    // The task's image is on the machine, but the task may still wait for its gang: that is not a start.
   }
 
   running(_machine: Machine, { spec }: JobTruth, index: number): void {
@@ -147,7 +147,7 @@
     if (since === undefined) return;
     entry.upSince.delete(index);
     const { from, to } = this.uptimeWindow(entry);
-    entry.upMs += Math.max(0, Math.min(to, this.now()) - Math.max(from, since));
+    entry.uptimeMs += Math.max(0, Math.min(to, this.now()) - Math.max(from, since));
   }
 
   /** The time span in which a job's uptime counts: from the objective's start allowance to the user's cancellation. */
@@ -224,7 +224,7 @@
       if (aim.kind === 'up') {
         const { from, to } = this.uptimeWindow(entry);
         counted += Math.max(0, Math.min(to, end) - from) * job.spec.pieces;
-        met += entry.upMs;
+        met += entry.uptimeMs;
         continue;
       }
       const withinMs = (aim.kind === 'deadline' ? (job.spec.due_s ?? 0) : aim.within_s) * 1000;
--- a/packages/region/test/limits.test.ts
+++ b/packages/region/test/limits.test.ts
@@ -52,6 +52,8 @@
  * holder does not know the jobs. Two conditions keep it so:
  * - No report reaches a controller in those seconds; a report would name the jobs before the holder's first command.
  * - The first command is for another session and counts as acknowledged; the protocol leaves open whether it does.
+ *
+ * `blocked` counts the log lines of holders that start nothing for teams with a limit.
  */
 async function hangAfterClaim(
   seed: number,
--- a/packages/region/test/pipelines.test.ts
+++ b/packages/region/test/pipelines.test.ts
@@ -6,7 +6,7 @@
 import { playWithActions, shippedDay } from './days.js';
 
 const SHARDS = ['node-0', 'node-1', 'node-2'].map((name) => `live/shards/${name}`);
-const LIMITS: Trouble = { kind: 'state_limits', at_s: 45 };
+const LIMIT_DROP: Trouble = { kind: 'state_limits', at_s: 45 };
 
 /** The day `chain` with another duration and faults, and with pipelines that arrive from 15 s on. */
 function chainDay(durationS: number, troubles: readonly Trouble[], releases: readonly string[] = []): Day {
@@ -27,6 +27,7 @@
   machines: day.machines.map((m) => (m.type === 'desk' ? { ...m, count: 70 } : m)),
 });
 
+/** The result of a day, its region, which is closed, and the controllers' log records. */
 interface PlayedDay {
   readonly result: DayResult;
   readonly region: Region;
@@ -91,7 +92,7 @@
       withLargeFleet(
         chainDay(
           170,
-          [...troubles, LIMITS].sort((a, b) => a.at_s - b.at_s),
+          [...troubles, LIMIT_DROP].sort((a, b) => a.at_s - b.at_s),
         ),
       ),
     );
--- a/packages/region/test/stays.test.ts
+++ b/packages/region/test/stays.test.ts
@@ -17,6 +17,7 @@
   return { ...short, quiet_end_s: QUIET_END_S };
 };
 
+/** The result of a day with its event log and the controllers' logs. */
 interface PlayedDay {
   readonly result: DayResult;
   readonly events: readonly string[];
