--- a/packages/whatif/src/cli/search.ts
+++ b/packages/whatif/src/cli/search.ts
@@ -10,6 +10,7 @@
 import { applyPlan, PlanError, readPlan } from '../plan/index.js';
 import { playDecisions } from '../replay/index.js';
 
+/** Options of `whatif search`. */
 export interface SearchFlags {
   readonly vary: string;
   readonly steps: number;
@@ -19,7 +20,7 @@
   readonly goal?: string;
 }
 
-/** One replay of a search: a plan's text, and a seed. */
+/** One replay of a search: the varied plan as TOML, the seed, and the file of the result. */
 interface Trial {
   readonly file: string;
   readonly dir: string;
@@ -27,9 +28,13 @@
   readonly seed: number;
 }
 
+/** Result of one trial, as stored in its file. */
 interface TrialResult {
   readonly money: number;
-  /** By class: jobs that ended, seconds from submission at the 50th and 95th percentile, the last end. */
+  /**
+   * By class: number of jobs and of finished ones, 50th and 95th percentile of the seconds from submission to finish, and
+   * the time of the last finish.
+   */
   readonly classes: Readonly<
     Record<
       string,
@@ -44,25 +49,26 @@
   >;
 }
 
-const VARY = /^([A-Za-z_]+(?:\[\d+\])?(?:\.[A-Za-z_]+(?:\[\d+\])?)*)=(-?[\d.]+)\.\.(-?[\d.]+)$/;
+const VARY_PATTERN = /^([A-Za-z_]+(?:\[\d+\])?(?:\.[A-Za-z_]+(?:\[\d+\])?)*)=(-?[\d.]+)\.\.(-?[\d.]+)$/;
 
-/** Puts a number where a path such as `move[0].by_s` points. */
+/** Returns the plan with a number set at a path such as `move[0].by_s`. Throws a PlanError if the parent of the field does not exist. */
 export function withValue(toml: string, path: string, value: number): string {
   const plan = parse(toml) as Record<string, unknown>;
   const parts = path.split('.').flatMap((part) => {
     const [, name = part, index] = /^([^[]+)(?:\[(\d+)\])?$/.exec(part) ?? [];
     return index === undefined ? [name] : [name, Number(index)];
   });
-  let at: unknown = plan;
+  let target: unknown = plan;
   for (const part of parts.slice(0, -1)) {
-    at = (at as Record<string | number, unknown> | undefined)?.[part];
-    if (typeof at !== 'object' || at === null) throw new PlanError(`--vary: the plan has no ${path}`);
+    target = (target as Record<string | number, unknown> | undefined)?.[part];
+    if (typeof target !== 'object' || target === null) throw new PlanError(`--vary: the plan has no field ${path}`);
   }
-  (at as Record<string | number, unknown>)[parts[parts.length - 1] ?? ''] = value;
-  // TOML tells whole numbers from others, the plan does not.
+  (target as Record<string | number, unknown>)[parts[parts.length - 1] ?? ''] = value;
+  // TOML distinguishes integers from floats; plans accept both.
   return stringify(plan);
 }
 
+/** Replays one trial and summarizes its outcomes by class. */
 async function runTrial({ dir, toml, seed }: Trial): Promise<TrialResult> {
   const night = readNight(await readTraceIn(dir));
   const scenario = applyPlan(scenarioOf(night), readPlan(toml, 'the varied plan'));
@@ -86,19 +92,20 @@
   return { money, classes };
 }
 
-/** Written beside and renamed: whoever is killed leaves no half result. */
-function keep(file: string, result: TrialResult): void {
+/** Writes a result to a temporary file and renames it, so that a killed process leaves no partial result. */
+function writeResult(file: string, result: TrialResult): void {
   writeFileSync(`${file}.tmp`, JSON.stringify(result));
   renameSync(`${file}.tmp`, file);
 }
 
-const KIND = 'wooddrift-whatif-trial';
+/** Marks the worker threads that this module starts. */
+const WORKER_KIND = 'wooddrift-whatif-trial';
 
-if (!isMainThread && (workerData as { kind?: unknown } | null)?.kind === KIND) {
+if (!isMainThread && (workerData as { kind?: unknown } | null)?.kind === WORKER_KIND) {
   parentPort?.on('message', (trial: Trial) => {
     runTrial(trial).then(
       (result) => {
-        keep(trial.file, result);
+        writeResult(trial.file, result);
         parentPort?.postMessage({ ok: true });
       },
       (error: unknown) =>
@@ -107,22 +114,24 @@
   });
 }
 
-/** Plays all trials on so many threads; the first that fails ends the search with its reason. */
-function playAll(trials: readonly Trial[], threads: number, done: () => void): Promise<void> {
-  const rest = [...trials];
-  // Each thread loads this very bundle once more.
-  const one = (): Promise<void> =>
+/** Runs all trials on a number of threads. The first failure ends the search and rejects with its reason. */
+function runTrials(trials: readonly Trial[], threads: number, done: () => void): Promise<void> {
+  const remaining = [...trials];
+  // Each thread loads the same bundle again.
+  const runThread = (): Promise<void> =>
     new Promise((resolve, reject) => {
-      const worker = new Worker(__filename, { workerData: { kind: KIND } });
+      const worker = new Worker(__filename, { workerData: { kind: WORKER_KIND } });
       const next = (): void => {
-        const trial = rest.shift();
+        const trial = remaining.shift();
         if (trial) worker.postMessage(trial);
         else void worker.terminate().then(() => resolve());
       };
       worker.on('message', (told: { ok: boolean; why?: string }) => {
         if (!told.ok) {
-          rest.length = 0;
-          void worker.terminate().then(() => reject(new PlanError(told.why ?? 'a replay failed')));
+          remaining.length = 0;
+          void worker
+            .terminate()
+            .then(() => reject(new PlanError(told.why ?? 'a replay failed for an unknown reason')));
           return;
         }
         done();
@@ -131,19 +140,20 @@
       worker.on('error', reject);
       next();
     });
-  return Promise.all(Array.from({ length: Math.min(threads, trials.length) }, one)).then(() => undefined);
+  return Promise.all(Array.from({ length: Math.min(threads, trials.length) }, runThread)).then(() => undefined);
 }
 
+/** Replays a plan at several values of one field, keeps the results in a directory and prints them, best value first. */
 export async function search(dir: string, planFile: string, flags: SearchFlags): Promise<void> {
-  const [, path, low, high] = VARY.exec(flags.vary) ?? [];
+  const [, path, low, high] = VARY_PATTERN.exec(flags.vary) ?? [];
   const [from, to] = [Number(low), Number(high)];
   if (path === undefined || !Number.isFinite(from) || !Number.isFinite(to))
-    throw new PlanError('--vary: must be a field and its bounds, such as move[0].by_s=-1800..1800');
+    throw new PlanError('--vary: must be a field and its range, such as move[0].by_s=-1800..1800');
   let toml: string;
   try {
     toml = readFileSync(planFile, 'utf8');
   } catch {
-    throw new PlanError(`${planFile}: cannot be read`);
+    throw new PlanError(`plan ${planFile} cannot be read`);
   }
   readPlan(toml, planFile);
   const night = readNight(await readTraceIn(dir));
@@ -155,7 +165,7 @@
   const manifest = await diskFiles(dir).read('manifest.json');
   const trials = values.flatMap((value) => {
     const varied = withValue(toml, path, value);
-    // Refused before anything is played.
+    // Rejects an invalid plan before any replay starts.
     applyPlan(base, readPlan(varied, `${planFile} with ${path}=${value}`));
     return Array.from({ length: flags.seeds }, (_, seed) => {
       const key = digest(Buffer.from(JSON.stringify([digest(manifest ?? new Uint8Array()), varied, seed])));
@@ -167,18 +177,19 @@
     { format: 'search {bar} {value} of {total} replays', clearOnComplete: true, hideCursor: true },
     Presets.shades_classic,
   );
-  const shown = process.stderr.isTTY;
-  if (shown) bar.start(trials.length, trials.length - missing.length);
-  await playAll(missing, flags.jobs, () => {
-    if (shown) bar.increment();
+  const enabled = process.stderr.isTTY;
+  if (enabled) bar.start(trials.length, trials.length - missing.length);
+  await runTrials(missing, flags.jobs, () => {
+    if (enabled) bar.increment();
   }).finally(() => bar.stop());
   const names = new Set<string>();
   const results = values.map((value) => {
-    const own = trials
+    const valueResults = trials
       .filter((trial) => trial.value === value)
       .map(({ file }) => JSON.parse(readFileSync(file, 'utf8')) as TrialResult);
-    for (const { classes } of own) for (const name of Object.keys(classes)) names.add(name);
-    const mean = (read: (r: TrialResult) => number): number => own.reduce((sum, r) => sum + read(r), 0) / own.length;
+    for (const { classes } of valueResults) for (const name of Object.keys(classes)) names.add(name);
+    const mean = (read: (r: TrialResult) => number): number =>
+      valueResults.reduce((sum, r) => sum + read(r), 0) / valueResults.length;
     const goal = (r: TrialResult): number =>
       flags.goal === undefined
         ? Object.values(r.classes).reduce((sum, c) => sum + c.p95, 0)
@@ -186,20 +197,20 @@
     return { value, money: mean((r) => r.money), goal: mean(goal), mean };
   });
   if (flags.goal !== undefined && !names.has(flags.goal))
-    throw new PlanError(`--goal: no class ${flags.goal} in this night (${[...names].sort().join(', ')})`);
+    throw new PlanError(`--goal: this night has no job class ${flags.goal}; it has ${[...names].sort().join(', ')}`);
   const classes = [...names].sort();
   const table = new Table({ head: [path, ...classes, 'money'], style: { head: [], border: [] } });
   for (const { value, money, mean } of [...results].sort((a, b) => a.goal - b.goal || a.value - b.value))
     table.push([
       String(value),
       ...classes.map((name) => {
-        const figure = (read: (c: TrialResult['classes'][string]) => number): string =>
+        const meanOf = (read: (c: TrialResult['classes'][string]) => number): string =>
           mean((r) => (r.classes[name] ? read(r.classes[name]) : 0)).toFixed(1);
-        return `${figure((c) => c.p50)} / ${figure((c) => c.p95)}\nlast at ${figure((c) => c.lastS)}`;
+        return `${meanOf((c) => c.p50)} / ${meanOf((c) => c.p95)}\nlast at ${meanOf((c) => c.lastS)}`;
       }),
       money.toFixed(2),
     ]);
   process.stdout.write(
-    `${table.toString()}\nbest first; seconds from submission at the 50th / 95th percentile, and when the last job ended; mean of ${flags.seeds} replays; ${missing.length} of ${trials.length} replays were new\n`,
+    `${table.toString()}\nbest value first; seconds from submission to finish at the 50th / 95th percentile, and the time of the last finish; mean of ${flags.seeds} replays; ${missing.length} of ${trials.length} replays were run now, the others were stored\n`,
   );
 }
--- a/packages/whatif/src/measure/index.ts
+++ b/packages/whatif/src/measure/index.ts
@@ -1,1 +1,8 @@
-export { predict, reproduce, replaySpeed, type Predicted, type ReplaySpeed, type Reproduced } from './measure.js';
+export {
+  predict,
+  reproduce,
+  replaySpeed,
+  type PredictReport,
+  type ReplaySpeed,
+  type ReproduceReport,
+} from './measure.js';
--- a/packages/whatif/src/replay/decisions.ts
+++ b/packages/whatif/src/replay/decisions.ts
@@ -12,98 +12,111 @@
 import { chooseRestarts, flagTasks, resourceR, type Flag } from '../../../../src/speculation/index.js';
 import { capacityFor, kindOf, type PlayedMachine, type Scenario } from '../night/index.js';
 import type { Played, ReplayOptions } from './engine.js';
-import { SimMachine, type TypeFacts } from './fleet.js';
+import { SimMachine, type MachineTypeFacts } from './fleet.js';
 import { SimJob } from './job.js';
-import { SimMachines } from './machines.js';
-import { Steered, type Steering } from './steered.js';
-import { JOIN_S, JUDGE_EVERY_S, LEAD_EVERY_S, LOOK_EVERY_S, REFUSED_S, TAIL_S } from './timing.js';
+import { MachineSimulation } from './machines.js';
+import { RecordFollower, type RecordedActions } from './steered.js';
+import {
+  JOIN_S,
+  STRAGGLER_CHECK_INTERVAL_S,
+  LEASE_ROUND_INTERVAL_S,
+  TIMELINE_INTERVAL_S,
+  CAPACITY_BACKOFF_S,
+  MAX_OVERTIME_S,
+} from './timing.js';
 
-const MAX_READY = 100;
-const MAX_STARTS = 200;
-const WAIT_S = 0.15;
-const SHARD = shardName('whole');
+/** Maximum number of tasks of a job that one placement round considers. */
+const MAX_READY_TASKS = 100;
+/** Maximum number of tasks that one placement round starts. */
+const MAX_STARTS_PER_ROUND = 200;
+/** Time for which tasks must have been without room before the job counts as demand for machines. */
+const MIN_UNPLACED_S = 0.15;
+/** The one shard, which holds all machines. */
+const FLEET_SHARD = shardName('whole');
 
 /**
- * The decisions alone: placement, leases and the threshold, in a loop of events without a wire. One block holds
- * all machines, nobody is late, and what is told arrives after the usual time.
+ * Replays a night with the decision functions alone (placement, leases and straggler detection) in an event loop without
+ * a network. One shard holds all machines, no controller is delayed, and messages arrive after the usual delay.
  */
-class Decisions extends SimMachines {
-  play(options: ReplayOptions): Played {
+class DecisionReplay extends MachineSimulation {
+  /** Plays the scenario to its end and returns the outcomes. */
+  replayScenario(options: ReplayOptions): Played {
     const { scenario } = this;
     for (const job of scenario.jobs) {
-      this.plan(Math.max(0, job.atS), () => this.arrive(job));
-      if (job.spec.kind !== 'service' && !job.mistaken) this.batchLeft += 1;
+      this.scheduleAt(Math.max(0, job.atS), () => this.submitJob(job));
+      if (job.spec.kind !== 'service' && !job.mistaken) this.batchJobsLeft += 1;
     }
-    if (scenario.freeFromS > 0) new Steered(scenario, this.steering()).begin();
-    else this.beginFree();
-    if (scenario.freeFromS > 0 && Number.isFinite(scenario.freeFromS)) this.plan(scenario.freeFromS, () => this.free());
-    this.plan(0, () => this.look());
+    if (scenario.freeFromS > 0) new RecordFollower(scenario, this.recordedActions()).scheduleAll();
+    else this.startWithoutRecord();
+    if (scenario.freeFromS > 0 && Number.isFinite(scenario.freeFromS))
+      this.scheduleAt(scenario.freeFromS, () => this.startDeciding());
+    this.scheduleAt(0, () => this.sampleTimeline());
     const endS = scenario.lengthS;
     for (;;) {
       const next = this.queue.peek();
-      if (!next || next.at > endS + TAIL_S || (next.at > endS && this.batchLeft === 0)) break;
+      if (!next || next.at > endS + MAX_OVERTIME_S || (next.at > endS && this.batchJobsLeft === 0)) break;
       this.queue.pop();
-      if (Math.floor(next.at) > Math.floor(this.now)) {
+      if (Math.floor(next.at) > Math.floor(this.nowS)) {
         options.moved?.(next.at);
         if (options.stop?.() === true) break;
       }
-      this.now = next.at;
-      next.work();
+      this.nowS = next.at;
+      next.action();
     }
-    this.now = Math.max(this.now, endS);
-    for (const machine of this.machines.values()) this.charge(machine);
+    this.nowS = Math.max(this.nowS, endS);
+    for (const machine of this.machines.values()) this.chargeMachine(machine);
     return {
       outcomes: new Map([...this.jobs].map(([id, job]) => [id, job.outcome()])),
-      money: this.spent,
+      money: this.moneySpent,
       timeline: this.timeline,
     };
   }
 
-  /** From the beginning on everything is decided here. */
-  private beginFree(): void {
+  /** Starts with the initial machines; the replay makes every decision from the beginning. */
+  private startWithoutRecord(): void {
     for (const m of this.scenario.machines) {
       if (!m.initial || m.upAfterS === null) continue;
-      const { type, zone, spot } = this.partsOf(m);
-      if (type) this.begin(type.name, zone, spot);
+      const { type, zone, spot } = this.parseKind(m);
+      if (type) this.rentMachine(type.name, zone, spot);
     }
-    this.free();
+    this.startDeciding();
   }
 
-  /** The plan makes its first difference: from now on everything is decided here. */
-  private free(): void {
-    if (this.steered) this.letGo();
-    this.plan(this.now + JOIN_S, () => this.lead());
-    this.plan(this.now + JUDGE_EVERY_S, () => this.judge());
-    this.soon();
+  /** From now on the replay makes every decision, because the plan makes its first difference here. */
+  private startDeciding(): void {
+    if (this.followingRecord) this.detachFromRecord();
+    this.scheduleAt(this.nowS + JOIN_S, () => this.leaseRound());
+    this.scheduleAt(this.nowS + STRAGGLER_CHECK_INTERVAL_S, () => this.stragglerRound());
+    this.schedulePlacementRound();
   }
 
-  /** What the record would have gone on with is left to the decisions here. */
-  private letGo(): void {
-    this.steered = false;
-    for (const job of this.open.values()) {
+  /** Stops following the record and hands what is still open to the replay's own decisions. */
+  private detachFromRecord(): void {
+    this.followingRecord = false;
+    for (const job of this.openJobs.values()) {
       for (const task of [...job.active.values()]) {
-        // Of a gang that had not come together, or of a task whose start came to nothing.
-        const idle = task.beganS === null || (job.spec.kind !== 'service' && task.done === null);
-        if (!task.dead && idle) this.leave(task, job);
+        // The task belongs to an incomplete gang, or its start had no result.
+        const idle = task.beganS === null || (job.spec.kind !== 'service' && task.completion === null);
+        if (!task.machineDied && idle) this.removeTask(task, job);
       }
     }
     for (const m of [...this.machines.values()]) {
-      if (!m.alive) this.noticeDeath(m);
-      else if (m.noticeUntilS !== null) this.heedNotice(m);
+      if (!m.alive) this.detectDeath(m);
+      else if (m.noticeUntilS !== null) this.stopTasksOnNotice(m);
     }
   }
 
-  /** What the record may do here, as long as nothing is decided anew. */
-  private steering(): Steering {
+  /** Returns the operations by which the record drives this replay while it is followed. */
+  private recordedActions(): RecordedActions {
     return {
-      at: (atS, work) =>
-        this.plan(atS, () => {
-          if (this.steered) work();
+      scheduleAt: (atS, work) =>
+        this.scheduleAt(atS, () => {
+          if (this.followingRecord) work();
         }),
-      rented: (m) => {
-        const { type, zone, spot } = this.partsOf(m);
+      machineRented: (m) => {
+        const { type, zone, spot } = this.parseKind(m);
         if (!type) return;
-        this.count(m.kind);
+        this.countMachine(m.kind);
         const bootS = m.upAfterS;
         const script = {
           bootS,
@@ -113,84 +126,87 @@
           failsFromS: m.failsFromS,
         };
         const id = machineId(m.id);
-        this.loose.set(id, { id, type, zone, spot, rentedS: this.now, script });
-        this.rentedAt.set(id, this.now);
-        // Past the moment from which all is free it still comes up as it did.
-        if (bootS !== null) this.plan(this.now + bootS + JOIN_S, () => this.join(id));
+        this.bootingMachines.set(id, { id, type, zone, spot, rentedS: this.nowS, script });
+        this.rentedAtS.set(id, this.nowS);
+        // The machine joins as recorded even if the replay has stopped following the record by then.
+        if (bootS !== null) this.scheduleAt(this.nowS + bootS + JOIN_S, () => this.joinMachine(id));
       },
-      joined: (id) => this.join(machineId(id)),
-      returned: (id) => {
+      machineJoined: (id) => this.joinMachine(machineId(id)),
+      machineReturned: (id) => {
         const m = this.machines.get(machineId(id));
-        if (m) this.release(m);
-        const loose = this.loose.get(machineId(id));
-        if (loose) this.drop(loose.id, kindOf({ ...loose, type: loose.type.name }));
+        if (m) this.releaseMachine(m);
+        const loose = this.bootingMachines.get(machineId(id));
+        if (loose) this.dropBootingMachine(loose.id, kindOf({ ...loose, type: loose.type.name }));
       },
-      began: (id, index, attempt, on) => this.follow(id, index, attempt, on),
-      left: (id, index, attempt, why) => {
+      taskStarted: (id, index, attempt, on) => this.startAsRecorded(id, index, attempt, on),
+      taskLeft: (id, index, attempt, why) => {
         const job = this.jobs.get(jobId(id));
         const task = job?.active.get(index);
         if (!job || !task || task.attempt !== attempt) return;
         const { spec } = job;
-        if (spec.checkpointS > 0 && task.beganS !== null && !task.dead) {
+        if (spec.checkpointS > 0 && task.beganS !== null && !task.machineDied) {
           const key = spec.kind === 'gang' ? 0 : index;
-          if (why === 'stopped') this.save(job, task, key, 0, spec.saveS);
-          else this.save(job, task, key, spec.checkpointS);
+          if (why === 'stopped') this.saveWork(job, task, key, 0, spec.saveS);
+          else this.saveWork(job, task, key, spec.checkpointS);
         }
-        if (why === 'error') this.failed(task, job);
-        else this.leave(task, job);
+        if (why === 'error') this.failTask(task, job);
+        else this.removeTask(task, job);
       },
-      done: (id, index) => {
+      taskDone: (id, index) => {
         const job = this.jobs.get(jobId(id));
         const task = job?.active.get(index);
-        // What is at work here ends by itself; what the model has lost ends as it did.
-        if (!job || job.ended || (task?.done && !task.done.cancelled)) return;
-        if (task) this.leave(task, job);
+        // A task that runs in the replay completes by itself; one that the model has lost completes as recorded.
+        if (!job || job.ended || (task?.completion && !task.completion.cancelled)) return;
+        if (task) this.removeTask(task, job);
         job.markDone(index);
-        this.checkDone(job);
+        this.checkJobDone(job);
       },
-      cause: (id, why) => this.jobs.get(jobId(id))?.noteCause(why),
-      waits: (id, missing) => this.jobs.get(jobId(id))?.noteUnplaced(missing),
+      restartCause: (id, why) => this.jobs.get(jobId(id))?.countCause(why),
+      tasksUnplaced: (id, missing) => this.jobs.get(jobId(id))?.recordUnplaced(missing),
     };
   }
 
-  private partsOf(m: PlayedMachine): { type: TypeFacts | undefined; zone: string; spot: boolean } {
+  /** Splits a machine's kind into type, zone and whether it is a spot machine. */
+  private parseKind(m: PlayedMachine): { type: MachineTypeFacts | undefined; zone: string; spot: boolean } {
     const [type = '', zone = '', spot] = m.kind.split(' ');
     return { type: this.types.get(type), zone, spot: spot === 'spot' };
   }
 
-  /** A recorded start, where its machine has room for it here, too. */
-  private follow(id: string, index: number, attempt: number, on: string): void {
+  /** Starts a task as recorded, if its machine is up in the replay too. */
+  private startAsRecorded(id: string, index: number, attempt: number, on: string): void {
     const job = this.jobs.get(jobId(id));
     const machine = this.machines.get(machineId(on));
     if (!job || job.ended || !machine?.alive || job.isDone(index)) return;
     const before = job.active.get(index);
     if (before) {
-      // Nobody told when it left: now, at the latest.
+      // The end of the previous attempt was not recorded; it ended before this start.
       const key = job.spec.kind === 'gang' ? 0 : index;
-      if (before.beganS !== null && !before.dead && job.spec.checkpointS > 0)
-        this.save(job, before, key, job.spec.checkpointS);
-      this.leave(before, job);
+      if (before.beganS !== null && !before.machineDied && job.spec.checkpointS > 0)
+        this.saveWork(job, before, key, job.spec.checkpointS);
+      this.removeTask(before, job);
     }
-    machine.noteImage(job.spec.image);
-    const task = this.start(job, index, machine, attempt);
-    if (job.spec.kind === 'gang') this.followGang(job);
-    else this.run(task, job);
+    machine.recordImageUse(job.spec.image);
+    const task = this.startTask(job, index, machine, attempt);
+    if (job.spec.kind === 'gang') this.startGangAsRecorded(job);
+    else this.runTask(task, job);
   }
 
-  /** A gang runs from the start of its last task on. */
-  private followGang(job: SimJob): void {
+  /** Runs a gang once the last of its tasks has started in the same attempt. */
+  private startGangAsRecorded(job: SimJob): void {
     if (job.active.size < job.spec.tasks) return;
     const tasks = [...job.active.values()];
     if (new Set(tasks.map((task) => task.attempt)).size > 1) return;
     this.runGang(job, tasks);
   }
-  // ---- rounds
 
-  private pendingOf(job: SimJob): PendingJob | null {
+  // ---- placement, leases and stragglers
+
+  /** Returns the tasks of a job that the placement may start now, or null if there are none. */
+  private pendingJobOf(job: SimJob): PendingJob | null {
     const { spec } = job;
-    if (job.missing <= 0 || this.now < job.notBeforeS) return null;
+    if (job.missing <= 0 || this.nowS < job.notBeforeS) return null;
     if (spec.kind === 'gang' && job.active.size > 0) return null;
-    const ready = job.ready(spec.kind === 'gang' ? spec.tasks : job.failsEverywhere ? 1 : MAX_READY);
+    const ready = job.readyTasks(spec.kind === 'gang' ? spec.tasks : job.failsEverywhere ? 1 : MAX_READY_TASKS);
     if (ready.length === 0) return null;
     const zoneUse = new Map<string, number>();
     const machineUse = new Map<MachineId, number>();
@@ -201,46 +217,46 @@
       }
     }
     return {
-      ...{ spec, ready, zoneUse, machineUse, avoid: job.avoided(this.now), suspect: job.failsEverywhere },
-      ...slackOf(spec, this.now - job.submittedS, job.expectedRunS, this.scenario.facts.objectives),
+      ...{ spec, ready, zoneUse, machineUse, avoid: job.machinesToAvoid(this.nowS), suspect: job.failsEverywhere },
+      ...slackOf(spec, this.nowS - job.submittedS, job.expectedRunS, this.scenario.facts.objectives),
       workS: (spec.tasks - job.doneCount) * Math.max(1, job.expectedRunS) * spec.cpus,
     };
   }
 
-  protected round(): void {
+  protected placementRound(): void {
     const pending: PendingJob[] = [];
     let next = Infinity;
-    for (const job of this.open.values()) {
-      const view = this.pendingOf(job);
+    for (const job of this.openJobs.values()) {
+      const view = this.pendingJobOf(job);
       if (view) pending.push(view);
       else {
         job.unplacedSinceS = null;
-        if (job.missing > 0 && job.notBeforeS > this.now) next = Math.min(next, job.notBeforeS);
+        if (job.missing > 0 && job.notBeforeS > this.nowS) next = Math.min(next, job.notBeforeS);
       }
     }
-    if (next < Infinity) this.plan(next, () => this.soon());
+    if (next < Infinity) this.scheduleAt(next, () => this.schedulePlacementRound());
     if (pending.length === 0) return;
     const relevant = relevance(pending.map(({ spec }) => spec));
     const machines: MachineView[] = [];
     for (const m of this.machines.values()) {
       const info = { type: m.type.name, zone: m.zone, spot: m.spot };
-      if (m.usable && !m.faulty && relevant(info, m)) machines.push(m.view(this.now));
+      if (m.usable && !m.faulty && relevant(info, m)) machines.push(m.view(this.nowS));
     }
     const teams = new Map<string, TeamUse>();
-    for (const [name, { cpusMax, gpusMax }] of this.teams)
+    for (const [name, { cpusMax, gpusMax }] of this.teamLimits)
       teams.set(name, { ...(this.teamUse.get(name) ?? { cpus: 0, gpus: 0 }), cpusMax, gpusMax });
-    const plan = planPlacement({ machines, pending, teams, maxStarts: MAX_STARTS, reserve: this.reserve });
+    const plan = planPlacement({ machines, pending, teams, maxStarts: MAX_STARTS_PER_ROUND, reserve: this.reserve });
     for (const { job: id, index, atOnce } of plan.stops) {
       const job = this.jobs.get(id);
       const task = job?.active.get(index);
-      if (job && task) this.stop(task, 'preempted', atOnce || job.spec.checkpointS <= 0 ? 0 : job.spec.saveS + 1);
+      if (job && task) this.stopTask(task, 'preempted', atOnce || job.spec.checkpointS <= 0 ? 0 : job.spec.saveS + 1);
     }
     const gangs = new Map<SimJob, { index: number; machine: SimMachine }[]>();
     for (const { job: id, index, machine: on } of plan.starts) {
       const job = this.jobs.get(id);
       const machine = this.machines.get(on);
       if (!job || !machine) continue;
-      if (job.spec.kind !== 'gang') this.startArray(job, index, machine);
+      if (job.spec.kind !== 'gang') this.startIndependentTask(job, index, machine);
       else gangs.set(job, [...(gangs.get(job) ?? []), { index, machine }]);
     }
     for (const [job, starts] of gangs) this.startGang(job, starts);
@@ -249,69 +265,70 @@
       const job = this.jobs.get(id);
       if (!job || job.failsEverywhere) continue;
       waiting.add(id);
-      job.unplacedSinceS ??= this.now;
-      if (this.now - job.unplacedSinceS >= 1) job.noteUnplaced(count);
+      job.unplacedSinceS ??= this.nowS;
+      if (this.nowS - job.unplacedSinceS >= 1) job.recordUnplaced(count);
     }
-    for (const { spec } of pending) if (!waiting.has(spec.id)) this.clear(spec.id);
-    if (plan.starts.length >= MAX_STARTS) this.soon();
-    else if (waiting.size > 0) this.plan(this.now + LEAD_EVERY_S, () => this.soon());
+    for (const { spec } of pending) if (!waiting.has(spec.id)) this.clearUnplaced(spec.id);
+    if (plan.starts.length >= MAX_STARTS_PER_ROUND) this.schedulePlacementRound();
+    else if (waiting.size > 0) this.scheduleAt(this.nowS + LEASE_ROUND_INTERVAL_S, () => this.schedulePlacementRound());
   }
 
-  private clear(id: JobId): void {
+  /** Records that all tasks of a job have room. */
+  private clearUnplaced(id: JobId): void {
     const job = this.jobs.get(id);
     if (job) job.unplacedSinceS = null;
   }
 
-  /** The leader's round: grants, rents and gives back, by the same decision. */
-  private lead(): void {
-    this.plan(this.now + LEAD_EVERY_S, () => this.lead());
+  /** The leader's lease round: rents and releases machines by the same decision function as the controllers. */
+  private leaseRound(): void {
+    this.scheduleAt(this.nowS + LEASE_ROUND_INTERVAL_S, () => this.leaseRound());
     const demand: ShardSummary['demand'][number][] = [];
     const running: ShardSummary['running'][number][] = [];
-    for (const job of this.open.values()) {
+    for (const job of this.openJobs.values()) {
       const { spec } = job;
       if (spec.kind === 'service') {
         const known = this.headroom.get(spec.jobClass);
         if (!known || spec.tasks * spec.cpus > known.tasks * known.cpus) this.headroom.set(spec.jobClass, spec);
       }
       running.push({ job: spec.id, running: job.active.size, done: job.doneCount });
-      if (job.unplacedSinceS === null || this.now - job.unplacedSinceS < WAIT_S) continue;
-      const { slackS } = slackOf(spec, this.now - job.submittedS, job.expectedRunS, this.scenario.facts.objectives);
+      if (job.unplacedSinceS === null || this.nowS - job.unplacedSinceS < MIN_UNPLACED_S) continue;
+      const { slackS } = slackOf(spec, this.nowS - job.submittedS, job.expectedRunS, this.scenario.facts.objectives);
       demand.push({
         ...{ job: spec.id, priority: spec.priority, missing: job.missing, running: job.active.size, slackS },
         ...{ estimateS: job.expectedRunS, cpus: spec.cpus, gpus: spec.gpus },
       });
     }
-    for (const m of [...this.machines.values()]) if (m.faulty && m.tasks.size === 0) this.release(m);
-    const now = this.now;
-    const loose: LooseMachine[] = [...this.loose.values()].map((l) => ({
+    for (const m of [...this.machines.values()]) if (m.faulty && m.tasks.size === 0) this.releaseMachine(m);
+    const now = this.nowS;
+    const loose: LooseMachine[] = [...this.bootingMachines.values()].map((l) => ({
       ...{ id: l.id, type: l.type.name, zone: l.zone, spot: l.spot, up: false, ageS: now - l.rentedS },
     }));
-    for (const [kind, until] of this.refused) if (until < now) this.refused.delete(kind);
+    for (const [kind, until] of this.refusedUntilS) if (until < now) this.refusedUntilS.delete(kind);
     const summary: ShardSummary = {
-      ...{ shard: SHARD, holder: nodeName('replay'), demand, running },
+      ...{ shard: FLEET_SHARD, holder: nodeName('replay'), demand, running },
       machines: [...this.machines.values()].filter((m) => m.alive).map((m) => m.summary(now)),
     };
     const plan = planLeases({
       ...{ shards: [summary], loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
-      ...{ refused: new Set(this.refused.keys()), headroom: [...this.headroom.values()], ...LEASE_POLICY },
-      ageOf: (id) => now - (this.rentedAt.get(id) ?? now),
+      ...{ refused: new Set(this.refusedUntilS.keys()), headroom: [...this.headroom.values()], ...LEASE_POLICY },
+      ageOf: (id) => now - (this.rentedAtS.get(id) ?? now),
     });
     for (const { machine } of plan.releases) {
       const m = this.machines.get(machine);
-      if (m?.tasks.size === 0) this.release(m);
+      if (m?.tasks.size === 0) this.releaseMachine(m);
     }
     for (const wish of inCalls(plan.rents)) {
       const kind = kindOf(wish);
-      const room = capacityFor(this.scenario, kind) - (this.held.get(kind) ?? 0);
+      const room = capacityFor(this.scenario, kind) - (this.heldPerKind.get(kind) ?? 0);
       const got = Math.min(room, wish.count);
-      for (let i = 0; i < got; i++) this.begin(wish.type, wish.zone, wish.spot);
-      if (got < wish.count) this.refused.set(kindKey(wish.type, wish.zone, wish.spot), now + REFUSED_S);
+      for (let i = 0; i < got; i++) this.rentMachine(wish.type, wish.zone, wish.spot);
+      if (got < wish.count) this.refusedUntilS.set(kindKey(wish.type, wish.zone, wish.spot), now + CAPACITY_BACKOFF_S);
     }
   }
 
-  /** The threshold: stragglers on machines that look faulty are restarted elsewhere, once. */
-  private judge(): void {
-    this.plan(this.now + JUDGE_EVERY_S, () => this.judge());
+  /** Restarts stragglers on machines that look faulty on other machines, each task at most once. */
+  private stragglerRound(): void {
+    this.scheduleAt(this.nowS + STRAGGLER_CHECK_INTERVAL_S, () => this.stragglerRound());
     const late = new Set<string>();
     const booked: { cpu: number; memory: number }[] = [];
     for (const m of this.machines.values()) {
@@ -321,7 +338,7 @@
     const r = resourceR(booked, this.tunables);
     const flags: Flag[] = [];
     const runningPerJob = new Map<string, number>();
-    for (const job of this.open.values()) {
+    for (const job of this.openJobs.values()) {
       const { spec, startedS } = job;
       if (spec.kind !== 'array' || startedS === null || job.active.size === 0) continue;
       const running = [...job.active.values()].flatMap(({ index, machine, beganS, stopping }) =>
@@ -331,7 +348,7 @@
               {
                 index,
                 machine: machine.id,
-                elapsedS: this.now - beganS,
+                elapsedS: this.nowS - beganS,
                 startedAfterS: beganS - startedS,
                 restarted: job.restarted.has(index),
               },
@@ -339,7 +356,7 @@
       );
       runningPerJob.set(spec.id, running.length);
       const deadlineS = spec.deadlineS === null ? null : spec.deadlineS - (startedS - job.submittedS);
-      const snapshot = { job: spec.id, tasks: spec.tasks, finished: job.doneCount, finishedRunsS: job.runsS };
+      const snapshot = { job: spec.id, tasks: spec.tasks, finished: job.doneCount, finishedRunsS: job.recentRunsS };
       flags.push(...flagTasks({ ...snapshot, estimateS: spec.estimateS, deadlineS, running }, r, this.tunables));
     }
     for (const flag of chooseRestarts(flags, runningPerJob, late, this.tunables)) {
@@ -347,23 +364,24 @@
       const task = job?.active.get(flag.index);
       if (!job || !task) continue;
       job.restarted.add(flag.index);
-      job.keepOff(task.machine.id, this.now);
-      this.stop(task, 'straggler', job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0);
+      job.avoidMachine(task.machine.id, this.nowS);
+      this.stopTask(task, 'straggler', job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0);
     }
   }
 
-  private look(): void {
-    this.plan(this.now + LOOK_EVERY_S, () => this.look());
+  /** Adds a sample to the timeline. */
+  private sampleTimeline(): void {
+    this.scheduleAt(this.nowS + TIMELINE_INTERVAL_S, () => this.sampleTimeline());
     const running: Record<string, number> = {};
     const waiting: Record<string, number> = {};
-    for (const { spec, active, missing } of this.open.values()) {
+    for (const { spec, active, missing } of this.openJobs.values()) {
       running[spec.jobClass] = (running[spec.jobClass] ?? 0) + active.size;
       waiting[spec.jobClass] = (waiting[spec.jobClass] ?? 0) + Math.max(0, missing);
     }
-    this.timeline.push({ atS: this.now, machinesUp: this.machines.size, running, waiting });
+    this.timeline.push({ atS: this.nowS, machinesUp: this.machines.size, running, waiting });
   }
 }
 
-/** Replays a night through the decision functions alone. */
+/** Replays a scenario with the decision functions alone, without whole controllers. */
 export const playDecisions = (scenario: Scenario, seed: number, options: ReplayOptions = {}): Promise<Played> =>
-  Promise.resolve(new Decisions(scenario, seed).play(options));
+  Promise.resolve(new DecisionReplay(scenario, seed).replayScenario(options));
--- a/packages/whatif/src/replay/engine.ts
+++ b/packages/whatif/src/replay/engine.ts
@@ -1,12 +1,14 @@
 import type { Outcome } from '../night/index.js';
 
+/** Optional callbacks of a replay. */
 export interface ReplayOptions {
-  /** How far it has come, in seconds since the night began. */
+  /** Reports the progress of the replay, in seconds since the night began. */
   readonly moved?: (atS: number) => void;
+  /** Is called regularly; the replay ends early when it returns true. */
   readonly stop?: () => boolean;
 }
 
-/** How things stood at one moment, by class. */
+/** Number of machines that are up, and of running and waiting tasks by job class, at one time of the replay. */
 export interface Standing {
   readonly atS: number;
   readonly machinesUp: number;
@@ -14,10 +16,11 @@
   readonly waiting: Readonly<Record<string, number>>;
 }
 
-/** One replay. */
+/** Result of one replay. */
 export interface Played {
+  /** Outcomes by job id. */
   readonly outcomes: ReadonlyMap<string, Outcome>;
-  /** Money spent on machines. */
+  /** Cost of all machines. */
   readonly money: number;
   readonly timeline: readonly Standing[];
 }
--- a/packages/whatif/src/replay/fleet.ts
+++ b/packages/whatif/src/replay/fleet.ts
@@ -4,60 +4,67 @@
 import type { MachineView, Stoppable } from '../../../../src/placement/index.js';
 import type { NightFacts } from '../night/index.js';
 
-export type TypeFacts = NightFacts['types'][number];
+/** Properties of a machine type, as recorded. */
+export type MachineTypeFacts = NightFacts['types'][number];
 
-/** How old what stopping a task would lose may be. */
-const LOSS_VALID_S = 1.5;
+/** Maximum age of a cached placement view, whose cost of stopping a task grows with time. */
+const MAX_VIEW_AGE_S = 1.5;
 
-/** One task on a machine, from its order until its holder knows that it left. Times in seconds. */
-export interface Running {
+/** One task on a machine, from its start command until the shard holder knows that it has left. Times are in seconds. */
+export interface SimTask {
   readonly job: { readonly spec: JobSpec };
   readonly index: number;
-  /** The recorded one, while the record is followed; 0: decided here. */
+  /** Recorded attempt number while the record is followed; 0 if the replay decided the start. */
   readonly attempt: number;
   readonly machine: SimMachine;
-  /** null: it fetches its image, or waits for its gang. */
+  /** null while the task fetches its image or waits for its gang. */
   beganS: number | null;
+  /** Reason for which the task was told to stop; null if it was not. */
   stopping: string | null;
-  /** The machine is gone, and nobody has noticed yet. */
-  dead: boolean;
-  /** Called off when it leaves before its time. */
-  done: { cancelled: boolean } | null;
+  /** The machine has died and the holder has not detected it yet. */
+  machineDied: boolean;
+  /** Scheduled completion; it is cancelled when the task leaves early. */
+  completion: { cancelled: boolean } | null;
 }
 
-/** A machine of the replay; room is kept as tasks come and go, so that nothing grows with the fleet. */
+/** A machine of the replay. Free resources are updated as tasks come and go, so that the cost does not grow with the fleet. */
 export class SimMachine {
   readonly id: MachineId;
-  readonly tasks = new Set<Running>();
+  readonly tasks = new Set<SimTask>();
   readonly images: string[] = [];
   freeCpus: number;
   freeGpus: number;
   freeMemoryGb: number;
+  /** Resources of tasks below production priority, which can be preempted. */
   yieldCpus = 0;
   yieldMemoryGb = 0;
-  /** Up, in a block and not on its way out. */
+  /** Up, leased to a shard and neither on notice nor dead. */
   usable = true;
   alive = true;
   noticeUntilS: number | null = null;
-  /** When its fetches so far are through. */
-  fetchFreeS = 0;
+  /** When the image fetches queued so far end. */
+  fetchesEndS = 0;
+  /** Number of image fetches in progress. */
   fetching = 0;
   emptySinceS: number;
+  /** Task failures on this machine. */
   readonly failures: { readonly job: string; readonly atS: number }[] = [];
   faulty = false;
+  /** From this time on all tasks that start here fail; null: never. */
   failsFromS: number | null = null;
-  private known: MachineView | null = null;
-  private knownLoss: number | null = null;
-  private told: MachineSummary | null = null;
+  private cachedView: MachineView | null = null;
+  private cachedViewAtS: number | null = null;
+  private cachedSummary: MachineSummary | null = null;
 
   constructor(
     name: string,
-    readonly type: TypeFacts,
+    readonly type: MachineTypeFacts,
     readonly zone: string,
     readonly spot: boolean,
     readonly upAtS: number,
-    /** Fetches and runs so many times as fast or slow as others of its type. */
-    readonly fetchLuck: number,
+    /** Image fetch speed relative to other machines of its type. */
+    readonly fetchSpeedFactor: number,
+    /** Factor on the run times of tasks, relative to other machines of its type. */
     readonly slowness: number,
   ) {
     this.id = machineId(name);
@@ -67,23 +74,24 @@
     this.emptySinceS = upAtS;
   }
 
-  changed(): void {
-    this.known = null;
-    this.told = null;
+  /** Drops the cached view and summary after a change. */
+  invalidateCaches(): void {
+    this.cachedView = null;
+    this.cachedSummary = null;
   }
 
-  add(task: Running): void {
+  add(task: SimTask): void {
     this.tasks.add(task);
-    this.book(task.job.spec, 1);
+    this.adjustFreeResources(task.job.spec, 1);
   }
 
-  remove(task: Running, nowS: number): void {
+  remove(task: SimTask, nowS: number): void {
     if (!this.tasks.delete(task)) return;
-    this.book(task.job.spec, -1);
+    this.adjustFreeResources(task.job.spec, -1);
     if (!this.inUse) this.emptySinceS = nowS;
   }
 
-  private book(spec: JobSpec, sign: 1 | -1): void {
+  private adjustFreeResources(spec: JobSpec, sign: 1 | -1): void {
     this.freeCpus -= sign * spec.cpus;
     this.freeGpus -= sign * spec.gpus;
     this.freeMemoryGb -= sign * spec.memoryGb;
@@ -91,29 +99,33 @@
       this.yieldCpus += sign * spec.cpus;
       this.yieldMemoryGb += sign * spec.memoryGb;
     }
-    this.changed();
+    this.invalidateCaches();
   }
 
-  /** A machine with accelerators is in use only as long as those are. */
+  /** A machine with GPUs is in use only while a task uses GPUs. */
   get inUse(): boolean {
     if (this.type.gpus <= 0) return this.tasks.size > 0;
     for (const { job } of this.tasks) if (job.spec.gpus > 0) return true;
     return false;
   }
 
-  noteImage(image: string): void {
+  /** Moves an image to the front of the most recently used ones; the machine keeps eight. */
+  recordImageUse(image: string): void {
     if (image === '' || this.images[0] === image) return;
     const at = this.images.indexOf(image);
     if (at >= 0) this.images.splice(at, 1);
     this.images.unshift(image);
     this.images.length = Math.min(this.images.length, 8);
-    this.changed();
+    this.invalidateCaches();
   }
 
-  // Written out field by field: these two are made for every machine, round after round, and spreads cost ten times that.
+  // Views and summaries are created for every machine in every round. Their fields are written out because object spreads
+  // cost ten times as much.
+
+  /** Returns the machine as the placement sees it. */
   view(nowS: number): MachineView {
-    // What stopping a task would lose grows with time: looked at anew now and then.
-    if (this.known && nowS - (this.knownLoss ?? 0) < LOSS_VALID_S) return this.known;
+    // The work lost by stopping a task grows with time, so that the cached view expires.
+    if (this.cachedView && nowS - (this.cachedViewAtS ?? 0) < MAX_VIEW_AGE_S) return this.cachedView;
     const running: Stoppable[] = [];
     for (const { job, index, beganS, stopping } of this.tasks) {
       const { spec } = job;
@@ -130,8 +142,8 @@
       });
     }
     const { type, zone, spot } = this;
-    this.knownLoss = nowS;
-    this.known = {
+    this.cachedViewAtS = nowS;
+    this.cachedView = {
       id: this.id,
       type: type.name,
       zone,
@@ -150,13 +162,14 @@
       suspicion: this.failures.length === 0 ? 0 : this.failures.filter(({ atS }) => nowS - atS < 180).length,
       running,
     };
-    return this.known;
+    return this.cachedView;
   }
 
+  /** Returns the machine as its shard reports it to the leader. */
   summary(nowS: number): MachineSummary {
     const inUse = this.inUse;
-    // Only how long it has been idle grows by itself.
-    if (this.told && inUse) return this.told;
+    // Only the idle time changes without an event, so that the summary of a machine in use can be cached.
+    if (this.cachedSummary && inUse) return this.cachedSummary;
     const made: MachineSummary = {
       id: this.id,
       type: this.type.name,
@@ -174,15 +187,15 @@
       faulty: this.faulty,
       images: this.images,
     };
-    this.told = inUse ? made : null;
+    this.cachedSummary = inUse ? made : null;
     return made;
   }
 
-  /** A task failed here: of several jobs, or again and again, and the machine is at fault. */
-  noteFailure(job: string, atS: number): void {
+  /** Records a failed task. Three failures, or failures of two jobs, within 180 s mark the machine as faulty. */
+  recordTaskFailure(job: string, atS: number): void {
     this.failures.push({ job, atS });
     const recent = this.failures.filter((f) => atS - f.atS < 180);
     if (recent.length >= 3 || new Set(recent.map((f) => f.job)).size >= 2) this.faulty = true;
-    this.changed();
+    this.invalidateCaches();
   }
 }
--- a/packages/whatif/src/replay/job.ts
+++ b/packages/whatif/src/replay/job.ts
@@ -2,54 +2,71 @@
 import type { MachineId } from '../../../../src/kernel/index.js';
 import { median } from '../../../../src/speculation/index.js';
 import type { Outcome, PlayedJob } from '../night/index.js';
-import type { Running } from './fleet.js';
+import type { SimTask } from './fleet.js';
 
-const MAX_RUNS = 100;
-const KEEP_OFF_S = 60;
+/** Number of latest run times from which the median is computed. */
+const MAX_RECENT_RUNS = 100;
+/** Time during which a job is not placed on a machine on which one of its tasks failed or was a straggler. */
+const AVOID_MACHINE_S = 60;
 
-/** One job as the replay runs it. Times in seconds since the night began. */
+/** State of one job in the replay. Times are in seconds since the night began. */
 export class SimJob {
   readonly spec: JobSpec;
-  readonly active = new Map<number, Running>();
+  /** Tasks that are on a machine, by index. */
+  readonly active = new Map<number, SimTask>();
+  /** 1 for each completed task, by index. */
   private readonly done: Uint8Array;
   doneCount = 0;
-  /** Seconds of work saved, by task; a gang's under 0. */
-  readonly saved = new Map<number, number>();
-  private readonly firsts = new Map<number, number>();
-  private starts = 0;
-  /** Of a gang: the start of the run that was saved last, since all its tasks save the same. */
-  gangSavedS: number | null = null;
+  /** Seconds of checkpointed work by task index; a gang has one entry, under 0. */
+  readonly savedWorkS = new Map<number, number>();
+  /** Time of the first start by task index. */
+  private readonly firstStarts = new Map<number, number>();
+  private startCount = 0;
+  /** Start of the gang run whose work was saved last. It prevents saving a run once per task, as all tasks of a gang share it. */
+  lastSavedGangStartS: number | null = null;
+  /** Indices of tasks that were restarted as stragglers, which happens once per task. */
   readonly restarted = new Set<number>();
-  readonly runsS: number[] = [];
-  private typical: number | null = null;
+  readonly recentRunsS: number[] = [];
+  private medianRunS: number | null = null;
   private readonly avoidUntil = new Map<MachineId, number>();
   startedS: number | null = null;
+  /** Since when tasks of the job could not be placed; null if there are none. */
   unplacedSinceS: number | null = null;
-  private waitedFor = 0;
+  /** Highest number of tasks that had no room at once. */
+  private maxUnplaced = 0;
+  /** End of the backoff after a failure; no task is placed before it. */
   notBeforeS = 0;
-  strikes = 0;
+  /** Number of backoffs so far; the backoff doubles with each. */
+  failureRetries = 0;
+  /** Machines on which a task of the job failed. */
   readonly errorMachines = new Set<MachineId>();
   ended: { readonly atS: number; readonly phase: 'done' | 'cancelled' } | null = null;
-  private cursor = 0;
-  private readonly causes = new Map<string, number>();
+  /** All tasks below this index are done. */
+  private firstUnfinished = 0;
+  private readonly restartCauses = new Map<string, number>();
 
   constructor(
     readonly played: PlayedJob,
+    /** Time of submission in the replay. */
     readonly submittedS: number,
+    /** Returns the run time of a task by index. */
     readonly runS: (index: number) => number,
   ) {
     this.spec = played.spec;
     this.done = new Uint8Array(played.spec.tasks);
   }
 
+  /** Number of tasks that are neither done nor on a machine. */
   get missing(): number {
     return this.spec.tasks - this.doneCount - this.active.size;
   }
 
+  /** Median of the recent run times, or the user's estimate before the first task completes. */
   get expectedRunS(): number {
-    return this.typical ?? this.spec.estimateS;
+    return this.medianRunS ?? this.spec.estimateS;
   }
 
+  /** Tasks failed on at least three machines and none completed, so that the fault lies in the job. */
   get failsEverywhere(): boolean {
     return this.errorMachines.size >= 3 && this.doneCount === 0;
   }
@@ -58,11 +75,12 @@
     return this.done[index] === 1;
   }
 
-  ready(most: number): number[] {
+  /** Returns the first tasks that can be placed, up to `limit`. */
+  readyTasks(limit: number): number[] {
     const { tasks } = this.spec;
-    while (this.cursor < tasks && this.done[this.cursor] === 1) this.cursor += 1;
+    while (this.firstUnfinished < tasks && this.done[this.firstUnfinished] === 1) this.firstUnfinished += 1;
     const ready: number[] = [];
-    for (let i = this.cursor; i < tasks && ready.length < most; i++)
+    for (let i = this.firstUnfinished; i < tasks && ready.length < limit; i++)
       if (this.done[i] === 0 && !this.active.has(i)) ready.push(i);
     return ready;
   }
@@ -73,46 +91,53 @@
     this.doneCount += 1;
   }
 
-  noteRun(ranS: number): void {
-    this.runsS.push(ranS);
-    if (this.runsS.length > MAX_RUNS) this.runsS.shift();
-    this.typical = median(this.runsS);
+  /** Adds the run time of a completed task to the median. */
+  recordRun(ranS: number): void {
+    this.recentRunsS.push(ranS);
+    if (this.recentRunsS.length > MAX_RECENT_RUNS) this.recentRunsS.shift();
+    this.medianRunS = median(this.recentRunsS);
   }
 
-  began(index: number, atS: number): void {
-    this.starts += 1;
+  /** Records the start of a task, including restarts. */
+  recordStart(index: number, atS: number): void {
+    this.startCount += 1;
     this.startedS ??= atS;
-    if (!this.firsts.has(index)) this.firsts.set(index, atS);
+    if (!this.firstStarts.has(index)) this.firstStarts.set(index, atS);
   }
 
-  keepOff(machine: MachineId, nowS: number): void {
-    this.avoidUntil.set(machine, nowS + KEEP_OFF_S);
+  /** Excludes a machine from placement of this job for `AVOID_MACHINE_S`. */
+  avoidMachine(machine: MachineId, nowS: number): void {
+    this.avoidUntil.set(machine, nowS + AVOID_MACHINE_S);
   }
 
-  avoided(nowS: number): ReadonlySet<MachineId> {
+  /** Returns the machines on which this job is not placed now. */
+  machinesToAvoid(nowS: number): ReadonlySet<MachineId> {
     for (const [id, until] of this.avoidUntil) if (until < nowS) this.avoidUntil.delete(id);
     return new Set(this.avoidUntil.keys());
   }
 
-  noteCause(cause: string): void {
-    this.causes.set(cause, (this.causes.get(cause) ?? 0) + 1);
+  /** Counts a reason for which a task was stopped or failed. */
+  countCause(cause: string): void {
+    this.restartCauses.set(cause, (this.restartCauses.get(cause) ?? 0) + 1);
   }
 
-  noteUnplaced(count: number): void {
-    this.waitedFor = Math.max(this.waitedFor, count);
+  /** Records that `count` tasks had no room. */
+  recordUnplaced(count: number): void {
+    this.maxUnplaced = Math.max(this.maxUnplaced, count);
   }
 
+  /** Summarizes the job for the forecast, with the factors that decided its finishing time. */
   outcome(): Outcome {
-    const decided = [...this.causes].map(([cause, count]) => `${count} tasks: ${cause}`);
-    if (this.waitedFor > 0 && this.spec.kind === 'gang')
+    const decided = [...this.restartCauses].map(([cause, count]) => `${count} tasks: ${cause}`);
+    if (this.maxUnplaced > 0 && this.spec.kind === 'gang')
       decided.push(`waited for room for its gang of ${this.spec.tasks}`);
-    else if (this.waitedFor > 0)
-      decided.push(`waited for machines (${this.waitedFor} of ${this.spec.tasks} tasks had no room)`);
+    else if (this.maxUnplaced > 0)
+      decided.push(`waited for machines (${this.maxUnplaced} of ${this.spec.tasks} tasks had no room)`);
     return {
       ...{ id: this.spec.id, spec: this.spec, submittedS: this.submittedS, startedS: this.startedS },
       ...{ finishedS: this.ended?.atS ?? null, phase: this.ended?.phase ?? null },
-      restarts: this.starts - this.firsts.size,
-      waitsS: [...this.firsts.values()].map((at) => Math.max(0, at - this.submittedS)),
+      restarts: this.startCount - this.firstStarts.size,
+      waitsS: [...this.firstStarts.values()].map((at) => Math.max(0, at - this.submittedS)),
       decided: decided.length > 0 ? decided : ['its own run time'],
     };
   }
--- a/packages/whatif/src/replay/machines.ts
+++ b/packages/whatif/src/replay/machines.ts
@@ -1,118 +1,125 @@
 import { mustLeave } from '../../../../src/holder/index.js';
 import type { MachineId } from '../../../../src/kernel/index.js';
 import { SimMachine } from './fleet.js';
-import { SimTasks } from './tasks.js';
+import { TaskSimulation } from './tasks.js';
 import { DEAD_S, JOIN_S } from './timing.js';
 import { kindOf } from '../night/index.js';
 
-/** Machines: rented, up, on notice, dead, given back. */
-export abstract class SimMachines extends SimTasks {
+/** Simulates machines: rental, boot, spot reclaim notice, death and return to the cloud. */
+export abstract class MachineSimulation extends TaskSimulation {
   // ---- machines
 
-  protected begin(type: string, zone: string, spot: boolean): MachineId | null {
+  /** Rents a machine, which joins or fails to boot as its script says. Returns null for an unknown type. */
+  protected rentMachine(type: string, zone: string, spot: boolean): MachineId | null {
     const facts = this.types.get(type);
     if (!facts) return null;
     const kind = kindOf({ type, zone, spot });
-    const nth = this.count(kind);
-    const id = `m${String(++this.names).padStart(6, '0')}` as MachineId;
+    const nth = this.countMachine(kind);
+    const id = `m${String(++this.namedMachines).padStart(6, '0')}` as MachineId;
     const script = this.machineScript(kind, nth);
-    this.loose.set(id, { id, type: facts, zone, spot, rentedS: this.now, script });
-    this.rentedAt.set(id, this.now);
-    if (script.bootS === null) this.plan(this.now + facts.bootS * 3.5 + 10, () => this.drop(id, kind));
-    else this.plan(this.now + script.bootS + JOIN_S, () => this.join(id));
+    this.bootingMachines.set(id, { id, type: facts, zone, spot, rentedS: this.nowS, script });
+    this.rentedAtS.set(id, this.nowS);
+    if (script.bootS === null)
+      this.scheduleAt(this.nowS + facts.bootS * 3.5 + 10, () => this.dropBootingMachine(id, kind));
+    else this.scheduleAt(this.nowS + script.bootS + JOIN_S, () => this.joinMachine(id));
     return id;
   }
 
-  /** One more of a kind; how many there were before. */
-  protected count(kind: string): number {
-    const nth = this.made.get(kind) ?? 0;
-    this.made.set(kind, nth + 1);
-    this.held.set(kind, (this.held.get(kind) ?? 0) + 1);
+  /** Counts a new machine of a kind and returns how many were created before it. */
+  protected countMachine(kind: string): number {
+    const nth = this.createdPerKind.get(kind) ?? 0;
+    this.createdPerKind.set(kind, nth + 1);
+    this.heldPerKind.set(kind, (this.heldPerKind.get(kind) ?? 0) + 1);
     return nth;
   }
 
-  protected drop(id: MachineId, kind: string): void {
-    if (this.loose.delete(id)) this.held.set(kind, (this.held.get(kind) ?? 1) - 1);
+  /** Gives up a machine that has not come up. */
+  protected dropBootingMachine(id: MachineId, kind: string): void {
+    if (this.bootingMachines.delete(id)) this.heldPerKind.set(kind, (this.heldPerKind.get(kind) ?? 1) - 1);
   }
 
-  protected join(id: MachineId): void {
-    const loose = this.loose.get(id);
+  /** Makes a booting machine available for placement and schedules its death or its reclaim. */
+  protected joinMachine(id: MachineId): void {
+    const loose = this.bootingMachines.get(id);
     if (!loose) return;
-    this.loose.delete(id);
+    this.bootingMachines.delete(id);
     const { type, zone, spot, script } = loose;
-    const own = this.luck.fork(id);
-    const m = new SimMachine(id, type, zone, spot, loose.rentedS, own.between(0.67, 1.33), script.slowness);
-    m.emptySinceS = this.now;
+    const machineLuck = this.luck.fork(id);
+    const m = new SimMachine(id, type, zone, spot, loose.rentedS, machineLuck.between(0.67, 1.33), script.slowness);
+    m.emptySinceS = this.nowS;
     m.failsFromS = script.failsFromS;
     this.machines.set(id, m);
-    if (script.diesAtS !== null && script.diesAtS >= this.now) this.plan(script.diesAtS, () => this.die(m));
-    const back = script.takenBack;
-    if (back && back.noticeAtS >= this.now) {
-      this.plan(back.noticeAtS, () => {
-        m.noticeUntilS = this.now + back.noticeS;
+    if (script.diesAtS !== null && script.diesAtS >= this.nowS)
+      this.scheduleAt(script.diesAtS, () => this.machineDies(m));
+    const reclaim = script.takenBack;
+    if (reclaim && reclaim.noticeAtS >= this.nowS) {
+      this.scheduleAt(reclaim.noticeAtS, () => {
+        m.noticeUntilS = this.nowS + reclaim.noticeS;
         m.usable = false;
-        m.changed();
-        this.heedNotice(m);
+        m.invalidateCaches();
+        this.stopTasksOnNotice(m);
       });
-      this.plan(back.noticeAtS + back.noticeS, () => this.die(m));
+      this.scheduleAt(reclaim.noticeAtS + reclaim.noticeS, () => this.machineDies(m));
     }
-    this.soon();
+    this.schedulePlacementRound();
   }
 
-  /** Who must leave a machine that is taken back, and when: looked at each second. */
-  protected heedNotice(m: SimMachine): void {
-    if (!m.alive || m.noticeUntilS === null || this.steered) return;
-    const leftS = m.noticeUntilS - this.now;
+  /** Stops the tasks that must leave a machine on reclaim notice. Runs once a second until the machine is gone. */
+  protected stopTasksOnNotice(m: SimMachine): void {
+    if (!m.alive || m.noticeUntilS === null || this.followingRecord) return;
+    const leftS = m.noticeUntilS - this.nowS;
     for (const task of [...m.tasks]) {
       if (task.stopping !== null) continue;
       const job = this.jobs.get(task.job.spec.id);
       if (!job) continue;
-      const restS = job.expectedRunS - (this.now - (task.beganS ?? this.now));
-      if (mustLeave(job.spec, task.beganS !== null, restS, leftS))
-        this.stopWithMates(task, 'notice', job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0);
+      const remainingS = job.expectedRunS - (this.nowS - (task.beganS ?? this.nowS));
+      if (mustLeave(job.spec, task.beganS !== null, remainingS, leftS))
+        this.stopTaskOrGang(task, 'notice', job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0);
     }
-    this.plan(this.now + 1, () => this.heedNotice(m));
+    this.scheduleAt(this.nowS + 1, () => this.stopTasksOnNotice(m));
   }
 
-  /** All that is on it is lost; that is known only when its silence has lasted. */
-  protected die(m: SimMachine): void {
+  /** All tasks on the machine are lost. The controllers detect it only after the machine has been silent for a while. */
+  protected machineDies(m: SimMachine): void {
     if (!m.alive) return;
     m.alive = false;
     m.usable = false;
-    m.changed();
+    m.invalidateCaches();
     for (const task of [...m.tasks]) {
-      task.dead = true;
-      if (task.done) task.done.cancelled = true;
+      task.machineDied = true;
+      if (task.completion) task.completion.cancelled = true;
       const job = this.jobs.get(task.job.spec.id);
       if (!job || task.beganS === null) continue;
       const key = job.spec.kind === 'gang' ? 0 : task.index;
-      if (job.spec.checkpointS > 0) this.save(job, task, key, job.spec.checkpointS);
-      // Its mates leave by themselves, and start again when all are off.
-      if (job.spec.kind === 'gang' && !this.steered)
-        for (const mate of job.active.values()) if (!mate.dead) this.stop(mate, 'regroup', 0);
+      if (job.spec.checkpointS > 0) this.saveWork(job, task, key, job.spec.checkpointS);
+      // The other tasks of the gang stop by themselves, and the gang restarts once all have left.
+      if (job.spec.kind === 'gang' && !this.followingRecord)
+        for (const mate of job.active.values()) if (!mate.machineDied) this.stopTask(mate, 'regroup', 0);
     }
-    // The record says when each of them was given up.
-    if (!this.steered) this.noticeDeath(m);
+    // While the record is followed, it says when each lost task was given up.
+    if (!this.followingRecord) this.detectDeath(m);
   }
 
-  protected noticeDeath(m: SimMachine): void {
+  /** Removes the tasks and the machine after the detection delay: two report intervals and `DEAD_S`. */
+  protected detectDeath(m: SimMachine): void {
     const silentS = (2 * this.scenario.facts.workers.reportMs) / 1000 + DEAD_S;
-    this.plan(this.now + silentS, () => {
+    this.scheduleAt(this.nowS + silentS, () => {
       for (const task of [...m.tasks]) {
         const job = this.jobs.get(task.job.spec.id);
         if (!job) continue;
-        job.noteCause('machine died');
-        this.leave(task, job);
+        job.countCause('machine died');
+        this.removeTask(task, job);
       }
-      this.release(m);
+      this.releaseMachine(m);
     });
   }
 
-  protected release(m: SimMachine): void {
+  /** Gives a machine back to the cloud, and charges for it. */
+  protected releaseMachine(m: SimMachine): void {
     if (!this.machines.delete(m.id)) return;
-    this.charge(m);
+    this.chargeMachine(m);
     m.alive = false;
     const kind = kindOf({ type: m.type.name, zone: m.zone, spot: m.spot });
-    this.held.set(kind, (this.held.get(kind) ?? 1) - 1);
+    this.heldPerKind.set(kind, (this.heldPerKind.get(kind) ?? 1) - 1);
   }
 }
--- a/packages/whatif/src/replay/script.ts
+++ b/packages/whatif/src/replay/script.ts
@@ -1,14 +1,17 @@
 import type { Luck, Script } from '../../../region/src/index.js';
 import type { PlayedJob, PlayedMachine, Scenario } from '../night/index.js';
 
-/** Machines beyond those of the recording boot as those did; the nth of a kind is the nth that was recorded. */
+/**
+ * Returns the behavior of each simulated machine: the nth machine of a kind behaves as the nth recorded one. Machines
+ * beyond the recorded ones take a boot time drawn from the recorded boots. `offsetS` is added to all absolute times.
+ */
 export function scriptMachines(
   scenario: Scenario,
-  leadS: number,
+  offsetS: number,
   luck: Luck,
-): { readonly byKind: ReadonlyMap<string, PlayedMachine[]>; readonly of: Script['machine'] } {
+): { readonly byKind: ReadonlyMap<string, PlayedMachine[]>; readonly scriptOf: Script['machine'] } {
   const byKind = new Map<string, PlayedMachine[]>();
-  // Those of the beginning come first, in the region too.
+  // Machines that are up when the night begins come first, as in the simulated region.
   const order = [...scenario.machines].sort((a, b) => Number(b.initial) - Number(a.initial));
   for (const machine of order) {
     if (machine.initial && machine.upAfterS === null) continue;
@@ -16,7 +19,7 @@
     if (list) list.push(machine);
     else byKind.set(machine.kind, [machine]);
   }
-  const later = (atS: number | null): number | null => (atS === null ? null : atS + leadS);
+  const shifted = (atS: number | null): number | null => (atS === null ? null : atS + offsetS);
   const of: Script['machine'] = (kind, nth) => {
     const m = byKind.get(kind)?.[nth];
     if (!m) {
@@ -28,27 +31,27 @@
     }
     const up = m.upAfterS;
     return {
-      bootS: up !== null && m.initial && up > 0 ? up + leadS : up,
-      diesAtS: later(m.diesAtS),
-      takenBack: m.takenBack && { ...m.takenBack, noticeAtS: m.takenBack.noticeAtS + leadS },
-      ...{ slowness: m.slowness, failsFromS: later(m.failsFromS) },
+      bootS: up !== null && m.initial && up > 0 ? up + offsetS : up,
+      diesAtS: shifted(m.diesAtS),
+      takenBack: m.takenBack && { ...m.takenBack, noticeAtS: m.takenBack.noticeAtS + offsetS },
+      ...{ slowness: m.slowness, failsFromS: shifted(m.failsFromS) },
     };
   };
-  return { byKind, of };
+  return { byKind, scriptOf: of };
 }
 
-/** How long each task of a job runs: as it did, or drawn as others of its class ran. */
+/** Returns the run time of each task of a job in seconds: the recorded one, or one drawn from the runs of the job's class. */
 export function runsOf(job: PlayedJob, scenario: Scenario, luck: Luck): (index: number) => number {
   const { spec, work } = job;
   const { fits } = scenario.runs;
-  const own = luck.fork(spec.id);
-  const typicalS = fits.job(spec, () => own.next());
+  const jobLuck = luck.fork(spec.id);
+  const typicalS = fits.job(spec, () => jobLuck.next());
   const drawn = new Map<number, number>();
   return (index) => {
     const task = spec.kind === 'gang' ? 0 : index;
     const known = work.get(task) ?? drawn.get(task);
     if (known !== undefined) return known;
-    const run = fits.task(spec, typicalS, () => own.fork(String(task)).next());
+    const run = fits.task(spec, typicalS, () => jobLuck.fork(String(task)).next());
     drawn.set(task, run);
     return run;
   };
--- a/packages/whatif/src/replay/tasks.ts
+++ b/packages/whatif/src/replay/tasks.ts
@@ -6,21 +6,22 @@
 import { Luck, type Script, type ScriptedMachine } from '../../../region/src/index.js';
 import type { Scenario } from '../night/index.js';
 import type { Standing } from './engine.js';
-import { SimMachine, type Running, type TypeFacts } from './fleet.js';
+import { SimMachine, type SimTask, type MachineTypeFacts } from './fleet.js';
 import { SimJob } from './job.js';
 import { runsOf, scriptMachines } from './script.js';
-import { ORDER_S, ROUND_S, TOLD_S, WRITE_S } from './timing.js';
+import { COMMAND_DELAY_S, PLACEMENT_ROUND_DELAY_S, REPORT_DELAY_S, JOB_END_WRITE_S } from './timing.js';
 
-interface Happening {
+/** A scheduled action. Events at the same time run in the order in which they were scheduled. */
+interface SimEvent {
   readonly at: number;
   readonly order: number;
-  readonly work: () => void;
+  readonly action: () => void;
 }
 
-/** A machine that is rented and not up yet. */
-export interface Loose {
+/** A machine that is rented and has not joined yet. */
+export interface BootingMachine {
   readonly id: MachineId;
-  readonly type: TypeFacts;
+  readonly type: MachineTypeFacts;
   readonly zone: string;
   readonly spot: boolean;
   readonly rentedS: number;
@@ -28,37 +29,48 @@
 }
 
 /**
- * Jobs and their tasks, from their arrival to their end. Its parts build on each other: tasks, then machines, then the
- * decisions.
+ * Simulates jobs and their tasks from submission to end, and holds the event queue. MachineSimulation extends it by the
+ * machines, and DecisionReplay extends that by the scheduling decisions. Times are in seconds since the night began.
  */
-export abstract class SimTasks {
-  protected readonly queue = new TinyQueue<Happening>([], (a, b) => a.at - b.at || a.order - b.order);
-  protected order = 0;
-  protected now = 0;
+export abstract class TaskSimulation {
+  protected readonly queue = new TinyQueue<SimEvent>([], (a, b) => a.at - b.at || a.order - b.order);
+  protected nextEventOrder = 0;
+  protected nowS = 0;
   protected readonly jobs = new Map<JobId, SimJob>();
-  /** Not over yet. */
-  protected readonly open = new Map<JobId, SimJob>();
+  /** Jobs that have not ended. */
+  protected readonly openJobs = new Map<JobId, SimJob>();
   protected readonly machines = new Map<MachineId, SimMachine>();
-  protected readonly loose = new Map<MachineId, Loose>();
-  protected readonly made = new Map<string, number>();
-  protected readonly held = new Map<string, number>();
-  protected readonly refused = new Map<string, number>();
-  protected readonly types: ReadonlyMap<string, TypeFacts>;
+  /** Machines that are rented and have not joined. */
+  protected readonly bootingMachines = new Map<MachineId, BootingMachine>();
+  /** Number of machines ever created, by kind. */
+  protected readonly createdPerKind = new Map<string, number>();
+  /** Number of machines that are booting or up, by kind. */
+  protected readonly heldPerKind = new Map<string, number>();
+  /** Kinds of which the cloud had too few machines, and until when they are not requested again. */
+  protected readonly refusedUntilS = new Map<string, number>();
+  protected readonly types: ReadonlyMap<string, MachineTypeFacts>;
   protected readonly tunables: Tunables;
   protected readonly luck: Luck;
   protected readonly machineScript: Script['machine'];
   protected readonly timeline: Standing[] = [];
-  protected readonly teams: ReadonlyMap<string, { readonly cpusMax: number; readonly gpusMax: number }>;
+  /** Limits of the teams that have one. */
+  protected readonly teamLimits: ReadonlyMap<string, { readonly cpusMax: number; readonly gpusMax: number }>;
+  /** Resources in use by teams that have a limit. */
   protected readonly teamUse = new Map<string, { cpus: number; gpus: number }>();
-  protected readonly rentedAt = new Map<MachineId, number>();
+  protected readonly rentedAtS = new Map<MachineId, number>();
+  /** The largest service seen of each job class, for which the lease plan keeps headroom. */
   protected readonly headroom = new Map<string, JobSpec>();
+  /** Largest CPU and memory request of any GPU job, which the placement keeps free on GPU machines. */
   protected reserve: Reserve | null = null;
+  /** A placement round is scheduled. */
   protected roundPlanned = false;
-  /** The record says what is started and stopped. */
-  protected steered: boolean;
-  protected batchLeft = 0;
-  protected spent = 0;
-  protected names = 0;
+  /** The record, rather than the replay, decides what is started and stopped. */
+  protected followingRecord: boolean;
+  /** Jobs that can end and have not; the replay may stop at the end of the night once there are none. */
+  protected batchJobsLeft = 0;
+  protected moneySpent = 0;
+  /** Number of machine ids created. */
+  protected namedMachines = 0;
 
   constructor(
     protected readonly scenario: Scenario,
@@ -66,217 +78,243 @@
   ) {
     const { facts } = scenario;
     this.luck = new Luck(seed, 'decisions');
-    this.steered = scenario.freeFromS > 0;
+    this.followingRecord = scenario.freeFromS > 0;
     this.types = new Map(facts.types.map((type) => [type.name, type]));
     this.tunables = { ...DEFAULT_TUNABLES, ...facts.settings.tunables };
-    this.machineScript = scriptMachines(scenario, 0, this.luck.fork('boots')).of;
-    this.teams = new Map(Object.entries(facts.teams).filter(([, t]) => t.cpusMax > 0 || t.gpusMax > 0));
-    for (const name of this.teams.keys()) this.teamUse.set(name, { cpus: 0, gpus: 0 });
+    this.machineScript = scriptMachines(scenario, 0, this.luck.fork('boots')).scriptOf;
+    this.teamLimits = new Map(Object.entries(facts.teams).filter(([, t]) => t.cpusMax > 0 || t.gpusMax > 0));
+    for (const name of this.teamLimits.keys()) this.teamUse.set(name, { cpus: 0, gpus: 0 });
   }
 
-  protected plan(at: number, work: () => void): void {
-    this.queue.push({ at: Math.max(at, this.now), order: this.order++, work });
+  /** Schedules an action, at the earliest now. */
+  protected scheduleAt(at: number, work: () => void): void {
+    this.queue.push({ at: Math.max(at, this.nowS), order: this.nextEventOrder++, action: work });
   }
 
-  protected soon(): void {
-    if (this.steered || this.roundPlanned) return;
+  /** Schedules a placement round unless one is scheduled or the record is followed. */
+  protected schedulePlacementRound(): void {
+    if (this.followingRecord || this.roundPlanned) return;
     this.roundPlanned = true;
-    this.plan(this.now + ROUND_S, () => {
+    this.scheduleAt(this.nowS + PLACEMENT_ROUND_DELAY_S, () => {
       this.roundPlanned = false;
-      this.round();
+      this.placementRound();
     });
   }
 
-  protected abstract round(): void;
+  /** Places waiting tasks on machines. */
+  protected abstract placementRound(): void;
 
   // ---- jobs
 
-  protected arrive(played: Scenario['jobs'][number]): void {
+  /** Adds a job at the time of its submission. */
+  protected submitJob(played: Scenario['jobs'][number]): void {
     const luck = this.luck.fork('runs');
-    const job = new SimJob(played, this.now, runsOf(played, this.scenario, luck));
+    const job = new SimJob(played, this.nowS, runsOf(played, this.scenario, luck));
     const { spec } = job;
     this.jobs.set(spec.id, job);
-    this.open.set(spec.id, job);
+    this.openJobs.set(spec.id, job);
     if (spec.gpus > 0)
       this.reserve = {
         cpus: Math.max(this.reserve?.cpus ?? 0, spec.cpus),
         memoryGb: Math.max(this.reserve?.memoryGb ?? 0, spec.memoryGb),
       };
-    if (played.cancelAtS !== null) this.plan(played.cancelAtS, () => this.end(job, 'cancelled'));
-    this.soon();
+    if (played.cancelAtS !== null) this.scheduleAt(played.cancelAtS, () => this.endJob(job, 'cancelled'));
+    this.schedulePlacementRound();
   }
 
-  protected end(job: SimJob, phase: 'done' | 'cancelled'): void {
+  /** Ends a job and stops the tasks that it still has. */
+  protected endJob(job: SimJob, phase: 'done' | 'cancelled'): void {
     if (job.ended) return;
-    job.ended = { atS: this.now, phase };
-    this.open.delete(job.spec.id);
-    if (job.spec.kind !== 'service' && !job.played.mistaken) this.batchLeft -= 1;
-    for (const task of job.active.values()) this.stop(task, 'cancelled', 0);
-    this.soon();
+    job.ended = { atS: this.nowS, phase };
+    this.openJobs.delete(job.spec.id);
+    if (job.spec.kind !== 'service' && !job.played.mistaken) this.batchJobsLeft -= 1;
+    for (const task of job.active.values()) this.stopTask(task, 'cancelled', 0);
+    this.schedulePlacementRound();
   }
 
   // ---- tasks
 
-  protected charge(machine: SimMachine): void {
+  /** Adds the cost of a machine since it was rented; at least one minute is charged. */
+  protected chargeMachine(machine: SimMachine): void {
     const { type, spot, upAtS } = machine;
-    this.spent += (Math.max(60, this.now - upAtS) / 3600) * (spot ? type.spotPrice : type.price);
+    this.moneySpent += (Math.max(60, this.nowS - upAtS) / 3600) * (spot ? type.spotPrice : type.price);
   }
 
-  protected use(spec: JobSpec, sign: 1 | -1): void {
+  /** Adds a task's resources to the use of its team, or subtracts them. */
+  protected updateTeamUse(spec: JobSpec, sign: 1 | -1): void {
     const use = this.teamUse.get(spec.team);
     if (!use) return;
     use.cpus += sign * spec.cpus;
     use.gpus += sign * spec.gpus;
   }
 
-  protected start(job: SimJob, index: number, machine: SimMachine, attempt = 0): Running {
-    const task: Running = { job, index, attempt, machine, beganS: null, stopping: null, dead: false, done: null };
+  /** Puts a task on a machine and reserves its resources; it does not run yet. */
+  protected startTask(job: SimJob, index: number, machine: SimMachine, attempt = 0): SimTask {
+    const task: SimTask = {
+      job,
+      index,
+      attempt,
+      machine,
+      beganS: null,
+      stopping: null,
+      machineDied: false,
+      completion: null,
+    };
     job.active.set(index, task);
     machine.add(task);
-    this.use(job.spec, 1);
+    this.updateTeamUse(job.spec, 1);
     return task;
   }
 
-  /** When its image is there: fetches of a machine share its line. */
-  protected fetched(spec: JobSpec, machine: SimMachine): number {
-    if (spec.image === '' || machine.images.includes(spec.image)) return this.now + ORDER_S;
-    const gbPerS = machine.type.fetchGbPerS * machine.fetchLuck;
-    const from = Math.max(this.now, machine.fetchFreeS);
-    machine.fetchFreeS = from + spec.imageGb / Math.max(0.001, gbPerS);
+  /** Returns when the task's image is on the machine. The fetches of a machine share its bandwidth and run one after another. */
+  protected fetchImage(spec: JobSpec, machine: SimMachine): number {
+    if (spec.image === '' || machine.images.includes(spec.image)) return this.nowS + COMMAND_DELAY_S;
+    const gbPerS = machine.type.fetchGbPerS * machine.fetchSpeedFactor;
+    const from = Math.max(this.nowS, machine.fetchesEndS);
+    machine.fetchesEndS = from + spec.imageGb / Math.max(0.001, gbPerS);
     machine.fetching += 1;
-    const at = machine.fetchFreeS;
-    machine.noteImage(spec.image);
-    this.plan(at, () => {
+    const at = machine.fetchesEndS;
+    machine.recordImageUse(spec.image);
+    this.scheduleAt(at, () => {
       machine.fetching -= 1;
-      machine.changed();
+      machine.invalidateCaches();
     });
-    return at + ORDER_S;
+    return at + COMMAND_DELAY_S;
   }
 
-  protected startArray(job: SimJob, index: number, machine: SimMachine): void {
-    const task = this.start(job, index, machine);
-    this.plan(this.fetched(job.spec, machine), () => this.run(task, job));
+  /** Starts a task that does not belong to a gang. */
+  protected startIndependentTask(job: SimJob, index: number, machine: SimMachine): void {
+    const task = this.startTask(job, index, machine);
+    this.scheduleAt(this.fetchImage(job.spec, machine), () => this.runTask(task, job));
   }
 
-  protected run(task: Running, job: SimJob): void {
-    if (task.stopping !== null || task.dead || job.active.get(task.index) !== task) return;
+  /** Runs a task whose image is present, and schedules its completion or failure. */
+  protected runTask(task: SimTask, job: SimJob): void {
+    if (task.stopping !== null || task.machineDied || job.active.get(task.index) !== task) return;
     const { machine, index } = task;
-    if (job.played.mistaken || (machine.failsFromS !== null && this.now >= machine.failsFromS)) {
-      this.plan(this.now + TOLD_S, () => this.failed(task, job));
+    if (job.played.mistaken || (machine.failsFromS !== null && this.nowS >= machine.failsFromS)) {
+      this.scheduleAt(this.nowS + REPORT_DELAY_S, () => this.failTask(task, job));
       return;
     }
-    task.beganS = this.now;
-    job.began(index, this.now);
+    task.beganS = this.nowS;
+    job.recordStart(index, this.nowS);
     if (job.spec.kind === 'service') return;
-    const leftS = Math.max(0.05, (job.runS(index) - (job.saved.get(index) ?? 0)) * machine.slowness);
+    const leftS = Math.max(0.05, (job.runS(index) - (job.savedWorkS.get(index) ?? 0)) * machine.slowness);
     const done = { cancelled: false };
-    task.done = done;
-    this.plan(this.now + leftS + TOLD_S, () => {
-      if (!done.cancelled) this.completed(task, job);
+    task.completion = done;
+    this.scheduleAt(this.nowS + leftS + REPORT_DELAY_S, () => {
+      if (!done.cancelled) this.completeTask(task, job);
     });
   }
 
-  protected completed(task: Running, job: SimJob): void {
-    const ranS = this.now - (task.beganS ?? this.now);
-    this.leave(task, job);
+  /** Handles the report of a completed task. */
+  protected completeTask(task: SimTask, job: SimJob): void {
+    const ranS = this.nowS - (task.beganS ?? this.nowS);
+    this.removeTask(task, job);
     job.markDone(task.index);
-    if (job.spec.kind === 'array') job.noteRun(ranS);
-    this.checkDone(job);
+    if (job.spec.kind === 'array') job.recordRun(ranS);
+    this.checkJobDone(job);
   }
 
-  protected checkDone(job: SimJob): void {
+  /** Schedules the end of a job whose tasks are all done. */
+  protected checkJobDone(job: SimJob): void {
     if (job.doneCount >= job.spec.tasks)
-      this.plan(this.now + (job.played.writeS ?? WRITE_S), () => this.end(job, 'done'));
+      this.scheduleAt(this.nowS + (job.played.writeS ?? JOB_END_WRITE_S), () => this.endJob(job, 'done'));
   }
 
+  /** Starts all tasks of a gang; they run together once all their images are present. */
   protected startGang(job: SimJob, starts: readonly { readonly index: number; readonly machine: SimMachine }[]): void {
-    const tasks = starts.map(({ index, machine }) => this.start(job, index, machine));
-    const readyAt = Math.max(...tasks.map(({ machine }) => this.fetched(job.spec, machine)));
-    this.plan(readyAt + TOLD_S, () => {
-      if (tasks.some((task) => task.stopping !== null || task.dead || job.active.get(task.index) !== task)) {
-        for (const task of tasks) this.stop(task, 'regroup', 0);
+    const tasks = starts.map(({ index, machine }) => this.startTask(job, index, machine));
+    const readyAt = Math.max(...tasks.map(({ machine }) => this.fetchImage(job.spec, machine)));
+    this.scheduleAt(readyAt + REPORT_DELAY_S, () => {
+      if (tasks.some((task) => task.stopping !== null || task.machineDied || job.active.get(task.index) !== task)) {
+        for (const task of tasks) this.stopTask(task, 'regroup', 0);
         return;
       }
       if (job.played.mistaken) {
-        for (const task of tasks) this.failed(task, job);
+        for (const task of tasks) this.failTask(task, job);
         return;
       }
       this.runGang(job, tasks);
     });
   }
 
-  protected runGang(job: SimJob, tasks: readonly Running[]): void {
+  /** Runs a gang, at the speed of its slowest machine. */
+  protected runGang(job: SimJob, tasks: readonly SimTask[]): void {
     for (const task of tasks) {
-      task.beganS = this.now;
-      job.began(task.index, this.now);
+      task.beganS = this.nowS;
+      job.recordStart(task.index, this.nowS);
     }
     const slowest = Math.max(...tasks.map(({ machine }) => machine.slowness));
-    const leftS = Math.max(0.05, (job.runS(0) - (job.saved.get(0) ?? 0)) * slowest);
+    const leftS = Math.max(0.05, (job.runS(0) - (job.savedWorkS.get(0) ?? 0)) * slowest);
     const done = { cancelled: false };
-    for (const task of tasks) task.done = done;
-    this.plan(this.now + leftS + TOLD_S, () => {
+    for (const task of tasks) task.completion = done;
+    this.scheduleAt(this.nowS + leftS + REPORT_DELAY_S, () => {
       if (done.cancelled) return;
       for (const task of tasks) {
-        this.leave(task, job);
+        this.removeTask(task, job);
         job.markDone(task.index);
       }
-      this.checkDone(job);
+      this.checkJobDone(job);
     });
   }
 
-  protected failed(task: Running, job: SimJob): void {
+  /** Handles a failed task: its job backs off if it fails everywhere, otherwise the machine is suspected. */
+  protected failTask(task: SimTask, job: SimJob): void {
     if (job.active.get(task.index) !== task) return;
     const { machine } = task;
-    this.leave(task, job);
-    job.noteCause('failed');
+    this.removeTask(task, job);
+    job.countCause('failed');
     job.errorMachines.add(machine.id);
-    job.keepOff(machine.id, this.now);
+    job.avoidMachine(machine.id, this.nowS);
     if (job.failsEverywhere) {
-      job.notBeforeS = this.now + Math.min(60, 2 * 2 ** job.strikes);
-      job.strikes += 1;
-    } else machine.noteFailure(job.spec.id, this.now);
+      job.notBeforeS = this.nowS + Math.min(60, 2 * 2 ** job.failureRetries);
+      job.failureRetries += 1;
+    } else machine.recordTaskFailure(job.spec.id, this.nowS);
   }
 
-  protected leave(task: Running, job: SimJob): void {
-    if (task.done) task.done.cancelled = true;
+  /** Takes a task off its machine and frees its resources. */
+  protected removeTask(task: SimTask, job: SimJob): void {
+    if (task.completion) task.completion.cancelled = true;
     if (job.active.get(task.index) !== task) return;
     job.active.delete(task.index);
-    task.machine.remove(task, this.now);
-    this.use(job.spec, -1);
-    this.soon();
+    task.machine.remove(task, this.nowS);
+    this.updateTeamUse(job.spec, -1);
+    this.schedulePlacementRound();
   }
 
-  /** Tells a task, or its whole gang, to go; what can save does so first. */
-  protected stop(task: Running, why: string, graceS: number): void {
+  /** Tells a task to stop. A running task with checkpoints saves its work first if there is a grace period. */
+  protected stopTask(task: SimTask, why: string, graceS: number): void {
     const job = this.jobs.get(task.job.spec.id);
-    if (!job || task.stopping !== null || task.dead) return;
+    if (!job || task.stopping !== null || task.machineDied) return;
     const { spec } = job;
     task.stopping = why;
-    task.machine.changed();
-    if (why !== 'cancelled' && why !== 'regroup') job.noteCause(why);
+    task.machine.invalidateCaches();
+    if (why !== 'cancelled' && why !== 'regroup') job.countCause(why);
     const running = task.beganS !== null;
     const saves = running && spec.checkpointS > 0 && graceS > 0;
     const saveS = saves ? spec.saveS : 0;
-    if (task.done) task.done.cancelled = true;
+    if (task.completion) task.completion.cancelled = true;
     const key = spec.kind === 'gang' ? 0 : task.index;
-    if (running && spec.checkpointS > 0) this.save(job, task, key, saves ? 0 : spec.checkpointS);
-    this.plan(this.now + ORDER_S + saveS + TOLD_S / 2, () => this.leave(task, job));
+    if (running && spec.checkpointS > 0) this.saveWork(job, task, key, saves ? 0 : spec.checkpointS);
+    this.scheduleAt(this.nowS + COMMAND_DELAY_S + saveS + REPORT_DELAY_S / 2, () => this.removeTask(task, job));
   }
 
-  /** What it has done is kept, all of it or up to the last checkpoint. */
-  protected save(job: SimJob, task: Running, key: number, stepS: number, lessS = 0): void {
-    if (job.spec.kind === 'gang' && job.gangSavedS === task.beganS) return;
-    job.gangSavedS = task.beganS;
-    const ranS = Math.max(0, this.now - lessS - (task.beganS ?? this.now)) / task.machine.slowness;
-    const total = (job.saved.get(key) ?? 0) + ranS;
+  /** Saves the work of a task: up to the last checkpoint if `stepS` is positive, otherwise all of it except the last `lessS` seconds. */
+  protected saveWork(job: SimJob, task: SimTask, key: number, stepS: number, lessS = 0): void {
+    if (job.spec.kind === 'gang' && job.lastSavedGangStartS === task.beganS) return;
+    job.lastSavedGangStartS = task.beganS;
+    const ranS = Math.max(0, this.nowS - lessS - (task.beganS ?? this.nowS)) / task.machine.slowness;
+    const total = (job.savedWorkS.get(key) ?? 0) + ranS;
     const kept = stepS > 0 ? Math.floor(total / stepS) * stepS : total;
-    job.saved.set(key, Math.max(job.saved.get(key) ?? 0, Math.min(kept, job.runS(key))));
+    job.savedWorkS.set(key, Math.max(job.savedWorkS.get(key) ?? 0, Math.min(kept, job.runS(key))));
   }
 
-  protected stopWithMates(task: Running, why: string, graceS: number): void {
+  /** Stops a task, and all other tasks of its gang. */
+  protected stopTaskOrGang(task: SimTask, why: string, graceS: number): void {
     const job = this.jobs.get(task.job.spec.id);
     if (!job) return;
-    if (job.spec.kind !== 'gang') this.stop(task, why, graceS);
-    else for (const mate of [...job.active.values()]) this.stop(mate, why, graceS);
+    if (job.spec.kind !== 'gang') this.stopTask(task, why, graceS);
+    else for (const mate of [...job.active.values()]) this.stopTask(mate, why, graceS);
   }
 }
--- a/packages/whatif/src/replay/timing.ts
+++ b/packages/whatif/src/replay/timing.ts
@@ -1,18 +1,23 @@
-// A replay puts in again what reading the record took out.
+/**
+ * Delays and intervals of the decision replay, in seconds. Reading a trace removes the delays of a real platform from the
+ * recorded times; the replay adds them again.
+ */
 export { DEAD_S, JOIN_S } from '../night/index.js';
-/** A command's way to the worker and its effect. Seconds, as all times here; measured on the region. */
-export const ORDER_S = 0.02;
-/** A report's way back. */
-export const TOLD_S = 0.25;
-/** From a job's last task to its end in the state service. */
-export const WRITE_S = 0.15;
-/** A round after something has changed. */
-export const ROUND_S = 0.25;
-/** Between rounds of the leader, of the threshold, and looks at how things stand. */
-export const LEAD_EVERY_S = 1;
-export const JUDGE_EVERY_S = 2;
-export const LOOK_EVERY_S = 15;
-/** A kind that the cloud had too few of is not asked for again for so long. */
-export const REFUSED_S = 15;
-/** Played on after the night's end, so that what is late can end. */
-export const TAIL_S = 3600;
+/** Delay from sending a command until it takes effect on the worker, as on the simulated region. */
+export const COMMAND_DELAY_S = 0.02;
+/** Delay until a worker's report reaches the controller. */
+export const REPORT_DELAY_S = 0.25;
+/** Delay from the completion of a job's last task until the end of the job is stored in the state service. */
+export const JOB_END_WRITE_S = 0.15;
+/** Delay from a change to the placement round that it triggers. */
+export const PLACEMENT_ROUND_DELAY_S = 0.25;
+/** Interval between the leader's lease rounds. */
+export const LEASE_ROUND_INTERVAL_S = 1;
+/** Interval between straggler checks. */
+export const STRAGGLER_CHECK_INTERVAL_S = 2;
+/** Interval between samples of the timeline. */
+export const TIMELINE_INTERVAL_S = 15;
+/** Time during which a machine kind is not requested again after the cloud had too few machines of it. */
+export const CAPACITY_BACKOFF_S = 15;
+/** Maximum time for which a replay continues past the end of the night, so that late jobs can finish. */
+export const MAX_OVERTIME_S = 3600;
--- a/packages/whatif/src/replay/whole.ts
+++ b/packages/whatif/src/replay/whole.ts
@@ -7,30 +7,33 @@
 import { capacityFor, kindOf, outcomesOf, readNight, type Scenario } from '../night/index.js';
 import type { Played, ReplayOptions } from './engine.js';
 import { runsOf, scriptMachines } from './script.js';
-import { TAIL_S } from './timing.js';
+import { MAX_OVERTIME_S } from './timing.js';
 
-/** Controllers that were up long before the night begins have their shards and machines by then. */
-const LEAD_S = 30;
-const TRAIL = 400_000;
+/** Time before the night in which controllers that were already running acquire their shards and machines. */
+const WARM_UP_S = 30;
+/** Number of events that each controller keeps for the recorder. */
+const TRAIL_EVENTS = 400_000;
 
-const SHAPES = { array: 'sweep', gang: 'ensemble', service: 'daemon' } as const;
-const URGENCIES = ['low', 'standard', 'urgent', 'production'] as const;
+/** Names of job kinds and priorities in the region's submission API. */
+const SHAPE_BY_KIND = { array: 'sweep', gang: 'ensemble', service: 'daemon' } as const;
+const URGENCY_BY_PRIORITY = ['low', 'standard', 'urgent', 'production'] as const;
 
+/** Converts a job specification to the submission that users send. */
 const submissionOf = (spec: JobSpec): Submission => ({
-  ...{ ref: spec.id, jobclass: spec.jobClass, owner: spec.team, shape: SHAPES[spec.kind] },
-  ...{ urgency: URGENCIES[spec.priority], pieces: spec.tasks, vcpus: spec.cpus, accelerators: spec.gpus },
+  ...{ ref: spec.id, jobclass: spec.jobClass, owner: spec.team, shape: SHAPE_BY_KIND[spec.kind] },
+  ...{ urgency: URGENCY_BY_PRIORITY[spec.priority], pieces: spec.tasks, vcpus: spec.cpus, accelerators: spec.gpus },
   ...{ ram_gb: spec.memoryGb, bundle: spec.image, pull_gb: spec.imageGb, hulls: spec.types, berth: spec.zone },
   ...{ same_place: spec.oneZone, scatter: spec.spread, flotsam: spec.spot, expected_s: spec.estimateS },
   ...{ mark_every_s: spec.checkpointS, mark_cost_s: spec.saveS, due_s: spec.deadlineS },
 });
 
-/** A spread that nothing is drawn from: the script says what comes. */
-const one = { median: 1, p95: 1, max: 1 };
-/** Kinds of objectives that a day's classes have as aims, too. */
-const AIMS = new Set(['wait', 'finished', 'deadline', 'up']);
+/** Placeholder distribution: nothing is drawn from it because the script sets tasks and run times. */
+const CONSTANT_ONE = { median: 1, p95: 1, max: 1 };
+/** Kinds of objectives that the classes of a simulated day also support. */
+const AIM_KINDS = new Set(['wait', 'finished', 'deadline', 'up']);
 
-/** The recorded platform as a day of the region. */
-function dayOf(scenario: Scenario, seed: number, leadS: number): Day {
+/** Builds a day of the simulated region from the recorded platform. */
+function dayFromScenario(scenario: Scenario, seed: number, leadS: number): Day {
   const { facts } = scenario;
   const classes = new Map<string, JobSpec>();
   for (const { spec } of scenario.jobs) if (!classes.has(spec.jobClass)) classes.set(spec.jobClass, spec);
@@ -39,7 +42,12 @@
   for (const m of scenario.machines)
     if (m.initial && m.upAfterS !== null) initial.set(m.kind, (initial.get(m.kind) ?? 0) + 1);
   const day = {
-    ...{ name: 'replay', seed, duration_s: Math.min(100_000, leadS + scenario.lengthS + TAIL_S), zones: facts.zones },
+    ...{
+      name: 'replay',
+      seed,
+      duration_s: Math.min(100_000, leadS + scenario.lengthS + MAX_OVERTIME_S),
+      zones: facts.zones,
+    },
     controllers: { count: scenario.controllers, skew_ms: facts.skewMs },
     state: { rps: facts.state.rps, write_rps: facts.state.writeRps, value_kb: facts.state.valueKb },
     cloud: { rps: facts.cloud.rps, list_lag_s: facts.cloud.listLagMs / 1000, spot_losses_per_hour: 0 },
@@ -68,14 +76,21 @@
       }),
     ),
     classes: [...classes].map(([name, spec]) => ({
-      ...{ name, shape: spec.kind, team: spec.team, priority: URGENCIES[spec.priority], tasks: one, run_s: one },
+      ...{
+        name,
+        shape: spec.kind,
+        team: spec.team,
+        priority: URGENCY_BY_PRIORITY[spec.priority],
+        tasks: CONSTANT_ONE,
+        run_s: CONSTANT_ONE,
+      },
       ...{ cpus: Math.max(0.001, spec.cpus), gpus: spec.gpus, memory_gb: Math.max(0.001, spec.memoryGb), initial: 1 },
       deadline_factor: 1,
       aims: facts.objectives
         .filter(
           (o) =>
             o.jobClass === name &&
-            AIMS.has(o.kind) &&
+            AIM_KINDS.has(o.kind) &&
             (o.kind === 'up') === (spec.kind === 'service' && o.kind !== 'wait'),
         )
         .map(({ kind, withinS, share }) => ({
@@ -87,7 +102,7 @@
   return readDay(stringify(day), 'the recorded platform');
 }
 
-/** Records a region while it is played: by the same trails, and the same reading, as a real night. */
+/** Records a simulated region while `play` runs, through the same event trails and recorder as on a real platform. */
 export async function recordRegion(
   region: Region,
   files: Files,
@@ -107,10 +122,11 @@
   await closing;
 }
 
-const SETTLED_MS = 500;
+/** Delay between attempts to change the settings. */
+const SETTINGS_RETRY_MS = 500;
 
-/** Operators' own settings of the recorded night, through the administration API as they were set there. */
-async function tune(region: Region, tunables: Readonly<Record<string, number>>): Promise<void> {
+/** Applies the recorded operator settings through the administration API, retrying until a controller accepts them. */
+async function applyTunables(region: Region, tunables: Readonly<Record<string, number>>): Promise<void> {
   const runtime = region.bystander('operator');
   const [first] = region.controllers;
   if (!first) return;
@@ -119,17 +135,20 @@
     const call = { method: 'PATCH', path: '/admin/v1/settings/tunables', body: tunables, timeoutMs: 2000 } as const;
     const answer = await client.call(call);
     if (answer.kind === 'answered' && answer.status === 200) break;
-    await runtime.sleep(SETTLED_MS);
+    await runtime.sleep(SETTINGS_RETRY_MS);
   }
   client.close();
 }
 
-/** Whole controllers on the region's models, arrivals, run times and misfortunes as the scenario has them. */
+/**
+ * Replays a scenario with whole controllers on the models of the simulated region. Submissions, run times and faults are
+ * those of the scenario.
+ */
 export async function playWhole(scenario: Scenario, seed: number, options: ReplayOptions = {}): Promise<Played> {
-  const leadS = scenario.cold ? 0 : LEAD_S;
+  const leadS = scenario.cold ? 0 : WARM_UP_S;
   const luck = new Luck(seed, 'replay');
   const script: Script = {
-    machine: scriptMachines(scenario, leadS, luck.fork('boots')).of,
+    machine: scriptMachines(scenario, leadS, luck.fork('boots')).scriptOf,
     crashes: scenario.crashes.map((crash) => ({ ...crash, atS: crash.atS + leadS })),
     jobs: scenario.jobs.map((job) => ({
       atS: Math.max(0, job.atS + leadS),
@@ -137,13 +156,13 @@
       cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + leadS,
     })),
   };
-  const day = dayOf(scenario, seed, leadS);
+  const day = dayFromScenario(scenario, seed, leadS);
   const { tunables } = scenario.facts.settings;
-  const region = new Region({ day, script, trailEvents: TRAIL });
+  const region = new Region({ day, script, trailEvents: TRAIL_EVENTS });
   const files = new MemoryFiles();
   const endS = leadS + scenario.lengthS;
   await recordRegion(region, files, async () => {
-    if (tunables && Object.keys(tunables).length > 0) void tune(region, tunables);
+    if (tunables && Object.keys(tunables).length > 0) void applyTunables(region, tunables);
     for (let untilS = Math.min(endS, day.duration_s); ; untilS = Math.min(untilS + 10, day.duration_s)) {
       await region.play(untilS, {
         ...(options.stop ? { stop: options.stop } : {}),
