--- a/packages/whatif/src/cli/command.ts
+++ b/packages/whatif/src/cli/command.ts
@@ -81,13 +81,13 @@
   const scenario = scenarioOf(night);
   const free = flags.free === true || flags.engine === 'whole';
   const engine: Engine = ENGINES[flags.engine];
-  const began = performance.now();
+  const startedAtMs = performance.now();
   const played = await withProgressBar('replay', (onProgress) =>
     engine({ ...scenario, freeFromS: free ? 0 : Infinity }, flags.seed, {
       moved: (atS) => onProgress(Math.min(1, atS / night.lengthS)),
     }),
   );
-  const tookS = (performance.now() - began) / 1000;
+  const tookS = (performance.now() - startedAtMs) / 1000;
   const errors = replayErrors(scenario, outcomesOf(night), played.outcomes);
   if (flags.json) {
     const { engine: name, seed } = flags;
@@ -154,12 +154,12 @@
     const facts = { fromMs: night.fromMs, zone: plan.time_zone, gaps: trace.gaps };
     if (flags.report !== undefined) writeFileSync(numberedFile(flags.report, i), await forecastPage(result, facts));
     if (flags.columns !== undefined) writeFileSync(numberedFile(flags.columns, i), forecastColumns(result));
-    const { plan: name, seeds: played, fromS, jobs, classes, teams, money } = result;
+    const { plan: name, seeds: usedSeeds, fromS, jobs, classes, teams, money } = result;
     const plainMaps = (side: typeof classes): unknown =>
       Object.fromEntries(Object.entries(side).map(([name, map]) => [name, Object.fromEntries(map)]));
     process.stdout.write(
       flags.json
-        ? `${JSON.stringify({ plan: name, seeds: played, fromS, jobs, money, classes: plainMaps(classes), teams: plainMaps(teams), gaps: trace.gaps })}\n`
+        ? `${JSON.stringify({ plan: name, seeds: usedSeeds, fromS, jobs, money, classes: plainMaps(classes), teams: plainMaps(teams), gaps: trace.gaps })}\n`
         : `${forecastTable(result, facts)}\n`,
     );
   }
@@ -245,10 +245,10 @@
   .option('--machines <n>', 'number of machines', parseCount, 30)
   .option('--seconds <n>', 'length of the night', parseWholeNumber, 300)
   .option('--whole', 'measure whole controllers too')
-  .action(async ({ machines, seconds, whole: too }: { machines: number; seconds: number; whole?: true }) => {
+  .action(async ({ machines, seconds, whole: includeWhole }: { machines: number; seconds: number; whole?: true }) => {
     const clock = (): number => performance.now();
     const rss = (): number => process.memoryUsage().rss;
-    for (const speed of await replaySpeed(fleetDay(machines, seconds), machines, clock, rss, too === true))
+    for (const speed of await replaySpeed(fleetDay(machines, seconds), machines, clock, rss, includeWhole === true))
       printJsonLine(speed);
   });
 
--- a/packages/whatif/src/cli/search.ts
+++ b/packages/whatif/src/cli/search.ts
@@ -32,8 +32,8 @@
 interface TrialResult {
   readonly money: number;
   /**
-   * By class: number of jobs and of finished ones, 50th and 95th percentile of the seconds from submission to finish, and
-   * the time of the last finish.
+   * By class: number of jobs and of finished ones, 50th and 95th percentile of the seconds from submission to finish,
+   * and the time of the last finish.
    */
   readonly classes: Readonly<
     Record<
@@ -51,7 +51,10 @@
 
 const VARY_PATTERN = /^([A-Za-z_]+(?:\[\d+\])?(?:\.[A-Za-z_]+(?:\[\d+\])?)*)=(-?[\d.]+)\.\.(-?[\d.]+)$/;
 
-/** Returns the plan with a number set at a path such as `move[0].by_s`. Throws a PlanError if the parent of the field does not exist. */
+/**
+ * Returns the plan with a number set at a path such as `move[0].by_s`. Throws a PlanError if the parent of the field
+ * does not exist.
+ */
 export function withValue(toml: string, path: string, value: number): string {
   const plan = parse(toml) as Record<string, unknown>;
   const parts = path.split('.').flatMap((part) => {
@@ -86,8 +89,8 @@
   const classes: Record<string, TrialResult['classes'][string]> = {};
   for (const [name, { times, jobs, lastS }] of byClass) {
     times.sort((a, b) => a - b);
-    const at = (p: number): number => (times.length > 0 ? quantileSorted(times, p) : 0);
-    classes[name] = { jobs, done: times.length, p50: at(0.5), p95: at(0.95), lastS };
+    const quantile = (p: number): number => (times.length > 0 ? quantileSorted(times, p) : 0);
+    classes[name] = { jobs, done: times.length, p50: quantile(0.5), p95: quantile(0.95), lastS };
   }
   return { money, classes };
 }
@@ -126,12 +129,12 @@
         if (trial) worker.postMessage(trial);
         else void worker.terminate().then(() => resolve());
       };
-      worker.on('message', (told: { ok: boolean; why?: string }) => {
-        if (!told.ok) {
+      worker.on('message', (reply: { ok: boolean; why?: string }) => {
+        if (!reply.ok) {
           remaining.length = 0;
           void worker
             .terminate()
-            .then(() => reject(new PlanError(told.why ?? 'a replay failed for an unknown reason')));
+            .then(() => reject(new PlanError(reply.why ?? 'a replay failed for an unknown reason')));
           return;
         }
         done();
@@ -143,7 +146,9 @@
   return Promise.all(Array.from({ length: Math.min(threads, trials.length) }, runThread)).then(() => undefined);
 }
 
-/** Replays a plan at several values of one field, keeps the results in a directory and prints them, best value first. */
+/**
+ * Replays a plan at several values of one field, keeps the results in a directory and prints them, best value first.
+ */
 export async function search(dir: string, planFile: string, flags: SearchFlags): Promise<void> {
   const [, path, low, high] = VARY_PATTERN.exec(flags.vary) ?? [];
   const [from, to] = [Number(low), Number(high)];
--- a/packages/whatif/src/measure/measure.ts
+++ b/packages/whatif/src/measure/measure.ts
@@ -24,7 +24,10 @@
   readonly decisions: ReplayErrors;
   /** Replay with its own decisions, by whole controllers. */
   readonly whole: ReplayErrors;
-  /** Largest difference between recorded and replayed share of jobs that meet an aim, over all classes and aims, in percentage points. */
+  /**
+   * Largest difference between recorded and replayed share of jobs that meet an aim, over all classes and aims, in
+   * percentage points.
+   */
   readonly aimsOff: Readonly<Record<'followed' | 'decisions' | 'whole', number>>;
 }
 
@@ -102,10 +105,10 @@
     group.errors.push((job.plannedS ?? 0) - outcome.finishedS);
   }
   const byClass: Record<string, { jobs: number; inside: number; medianErrorS: number }> = {};
-  for (const [name, { jobs: count, inside: held, errors }] of groups) {
+  for (const [name, { jobs: count, inside: insideCount, errors }] of groups) {
     errors.sort((a, b) => a - b);
     const median = errors[errors.length >> 1] ?? 0;
-    byClass[name] = { jobs: count, inside: held / count, medianErrorS: Math.round(median * 10) / 10 };
+    byClass[name] = { jobs: count, inside: insideCount / count, medianErrorS: Math.round(median * 10) / 10 };
   }
   return { day: day.name, seed, plan: plan.name, jobs, inInterval: jobs > 0 ? inside / jobs : 0, byClass };
 }
--- a/packages/whatif/src/replay/decisions.ts
+++ b/packages/whatif/src/replay/decisions.ts
@@ -35,8 +35,8 @@
 const FLEET_SHARD = shardName('whole');
 
 /**
- * Replays a night with the decision functions alone (placement, leases and straggler detection) in an event loop without
- * a network. One shard holds all machines, no controller is delayed, and messages arrive after the usual delay.
+ * Replays a night with the decision functions alone (placement, leases and straggler detection) in an event loop
+ * without a network. One shard holds all machines, no controller is delayed, and messages arrive after the usual delay.
  */
 class DecisionReplay extends MachineSimulation {
   /** Plays the scenario to its end and returns the outcomes. */
@@ -109,9 +109,9 @@
   /** Returns the operations by which the record drives this replay while it is followed. */
   private recordedActions(): RecordedActions {
     return {
-      scheduleAt: (atS, work) =>
+      scheduleAt: (atS, action) =>
         this.scheduleAt(atS, () => {
-          if (this.followingRecord) work();
+          if (this.followingRecord) action();
         }),
       machineRented: (m) => {
         const { type, zone, spot } = this.parseKind(m);
@@ -135,8 +135,8 @@
       machineReturned: (id) => {
         const m = this.machines.get(machineId(id));
         if (m) this.releaseMachine(m);
-        const loose = this.bootingMachines.get(machineId(id));
-        if (loose) this.dropBootingMachine(loose.id, kindOf({ ...loose, type: loose.type.name }));
+        const booting = this.bootingMachines.get(machineId(id));
+        if (booting) this.dropBootingMachine(booting.id, kindOf({ ...booting, type: booting.type.name }));
       },
       taskStarted: (id, index, attempt, on) => this.startAsRecorded(id, index, attempt, on),
       taskLeft: (id, index, attempt, why) => {
@@ -173,17 +173,17 @@
   }
 
   /** Starts a task as recorded, if its machine is up in the replay too. */
-  private startAsRecorded(id: string, index: number, attempt: number, on: string): void {
+  private startAsRecorded(id: string, index: number, attempt: number, machineName: string): void {
     const job = this.jobs.get(jobId(id));
-    const machine = this.machines.get(machineId(on));
+    const machine = this.machines.get(machineId(machineName));
     if (!job || job.ended || !machine?.alive || job.isDone(index)) return;
-    const before = job.active.get(index);
-    if (before) {
+    const previous = job.active.get(index);
+    if (previous) {
       // The end of the previous attempt was not recorded; it ended before this start.
       const key = job.spec.kind === 'gang' ? 0 : index;
-      if (before.beganS !== null && !before.machineDied && job.spec.checkpointS > 0)
-        this.saveWork(job, before, key, job.spec.checkpointS);
-      this.removeTask(before, job);
+      if (previous.beganS !== null && !previous.machineDied && job.spec.checkpointS > 0)
+        this.saveWork(job, previous, key, job.spec.checkpointS);
+      this.removeTask(previous, job);
     }
     machine.recordImageUse(job.spec.image);
     const task = this.startTask(job, index, machine, attempt);
@@ -225,16 +225,16 @@
 
   protected placementRound(): void {
     const pending: PendingJob[] = [];
-    let next = Infinity;
+    let backoffEndS = Infinity;
     for (const job of this.openJobs.values()) {
       const view = this.pendingJobOf(job);
       if (view) pending.push(view);
       else {
         job.unplacedSinceS = null;
-        if (job.missing > 0 && job.notBeforeS > this.nowS) next = Math.min(next, job.notBeforeS);
+        if (job.missing > 0 && job.notBeforeS > this.nowS) backoffEndS = Math.min(backoffEndS, job.notBeforeS);
       }
     }
-    if (next < Infinity) this.scheduleAt(next, () => this.schedulePlacementRound());
+    if (backoffEndS < Infinity) this.scheduleAt(backoffEndS, () => this.schedulePlacementRound());
     if (pending.length === 0) return;
     const relevant = relevance(pending.map(({ spec }) => spec));
     const machines: MachineView[] = [];
@@ -287,8 +287,8 @@
     for (const job of this.openJobs.values()) {
       const { spec } = job;
       if (spec.kind === 'service') {
-        const known = this.headroom.get(spec.jobClass);
-        if (!known || spec.tasks * spec.cpus > known.tasks * known.cpus) this.headroom.set(spec.jobClass, spec);
+        const largest = this.headroom.get(spec.jobClass);
+        if (!largest || spec.tasks * spec.cpus > largest.tasks * largest.cpus) this.headroom.set(spec.jobClass, spec);
       }
       running.push({ job: spec.id, running: job.active.size, done: job.doneCount });
       if (job.unplacedSinceS === null || this.nowS - job.unplacedSinceS < MIN_UNPLACED_S) continue;
@@ -299,19 +299,19 @@
       });
     }
     for (const m of [...this.machines.values()]) if (m.faulty && m.tasks.size === 0) this.releaseMachine(m);
-    const now = this.nowS;
+    const nowS = this.nowS;
     const loose: LooseMachine[] = [...this.bootingMachines.values()].map((l) => ({
-      ...{ id: l.id, type: l.type.name, zone: l.zone, spot: l.spot, up: false, ageS: now - l.rentedS },
+      ...{ id: l.id, type: l.type.name, zone: l.zone, spot: l.spot, up: false, ageS: nowS - l.rentedS },
     }));
-    for (const [kind, until] of this.refusedUntilS) if (until < now) this.refusedUntilS.delete(kind);
+    for (const [kind, untilS] of this.refusedUntilS) if (untilS < nowS) this.refusedUntilS.delete(kind);
     const summary: ShardSummary = {
       ...{ shard: FLEET_SHARD, holder: nodeName('replay'), demand, running },
-      machines: [...this.machines.values()].filter((m) => m.alive).map((m) => m.summary(now)),
+      machines: [...this.machines.values()].filter((m) => m.alive).map((m) => m.summary(nowS)),
     };
     const plan = planLeases({
       ...{ shards: [summary], loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
       ...{ refused: new Set(this.refusedUntilS.keys()), headroom: [...this.headroom.values()], ...LEASE_POLICY },
-      ageOf: (id) => now - (this.rentedAtS.get(id) ?? now),
+      ageOf: (id) => nowS - (this.rentedAtS.get(id) ?? nowS),
     });
     for (const { machine } of plan.releases) {
       const m = this.machines.get(machine);
@@ -319,23 +319,24 @@
     }
     for (const wish of inCalls(plan.rents)) {
       const kind = kindOf(wish);
-      const room = capacityFor(this.scenario, kind) - (this.heldPerKind.get(kind) ?? 0);
-      const got = Math.min(room, wish.count);
-      for (let i = 0; i < got; i++) this.rentMachine(wish.type, wish.zone, wish.spot);
-      if (got < wish.count) this.refusedUntilS.set(kindKey(wish.type, wish.zone, wish.spot), now + CAPACITY_BACKOFF_S);
+      const available = capacityFor(this.scenario, kind) - (this.heldPerKind.get(kind) ?? 0);
+      const granted = Math.min(available, wish.count);
+      for (let i = 0; i < granted; i++) this.rentMachine(wish.type, wish.zone, wish.spot);
+      if (granted < wish.count)
+        this.refusedUntilS.set(kindKey(wish.type, wish.zone, wish.spot), nowS + CAPACITY_BACKOFF_S);
     }
   }
 
   /** Restarts stragglers on machines that look faulty on other machines, each task at most once. */
   private stragglerRound(): void {
     this.scheduleAt(this.nowS + STRAGGLER_CHECK_INTERVAL_S, () => this.stragglerRound());
-    const late = new Set<string>();
-    const booked: { cpu: number; memory: number }[] = [];
+    const deadMachines = new Set<string>();
+    const bookedShares: { cpu: number; memory: number }[] = [];
     for (const m of this.machines.values()) {
-      if (!m.alive) late.add(m.id);
-      booked.push({ cpu: 1 - m.freeCpus / m.type.cpus, memory: 1 - m.freeMemoryGb / m.type.memoryGb });
+      if (!m.alive) deadMachines.add(m.id);
+      bookedShares.push({ cpu: 1 - m.freeCpus / m.type.cpus, memory: 1 - m.freeMemoryGb / m.type.memoryGb });
     }
-    const r = resourceR(booked, this.tunables);
+    const r = resourceR(bookedShares, this.tunables);
     const flags: Flag[] = [];
     const runningPerJob = new Map<string, number>();
     for (const job of this.openJobs.values()) {
@@ -359,7 +360,7 @@
       const snapshot = { job: spec.id, tasks: spec.tasks, finished: job.doneCount, finishedRunsS: job.recentRunsS };
       flags.push(...flagTasks({ ...snapshot, estimateS: spec.estimateS, deadlineS, running }, r, this.tunables));
     }
-    for (const flag of chooseRestarts(flags, runningPerJob, late, this.tunables)) {
+    for (const flag of chooseRestarts(flags, runningPerJob, deadMachines, this.tunables)) {
       const job = this.jobs.get(jobId(flag.job));
       const task = job?.active.get(flag.index);
       if (!job || !task) continue;
--- a/packages/whatif/src/replay/fleet.ts
+++ b/packages/whatif/src/replay/fleet.ts
@@ -10,7 +10,9 @@
 /** Maximum age of a cached placement view, whose cost of stopping a task grows with time. */
 const MAX_VIEW_AGE_S = 1.5;
 
-/** One task on a machine, from its start command until the shard holder knows that it has left. Times are in seconds. */
+/**
+ * One task on a machine, from its start command until the shard holder knows that it has left. Times are in seconds.
+ */
 export interface SimTask {
   readonly job: { readonly spec: JobSpec };
   readonly index: number;
@@ -27,7 +29,10 @@
   completion: { cancelled: boolean } | null;
 }
 
-/** A machine of the replay. Free resources are updated as tasks come and go, so that the cost does not grow with the fleet. */
+/**
+ * A machine of the replay. Free resources are updated as tasks come and go, so that the cost does not grow with the
+ * fleet.
+ */
 export class SimMachine {
   readonly id: MachineId;
   readonly tasks = new Set<SimTask>();
@@ -112,15 +117,15 @@
   /** Moves an image to the front of the most recently used ones; the machine keeps eight. */
   recordImageUse(image: string): void {
     if (image === '' || this.images[0] === image) return;
-    const at = this.images.indexOf(image);
-    if (at >= 0) this.images.splice(at, 1);
+    const position = this.images.indexOf(image);
+    if (position >= 0) this.images.splice(position, 1);
     this.images.unshift(image);
     this.images.length = Math.min(this.images.length, 8);
     this.invalidateCaches();
   }
 
-  // Views and summaries are created for every machine in every round. Their fields are written out because object spreads
-  // cost ten times as much.
+  // Views and summaries are created for every machine in every round. Their fields are written out because object
+  // spreads cost ten times as much.
 
   /** Returns the machine as the placement sees it. */
   view(nowS: number): MachineView {
@@ -170,7 +175,7 @@
     const inUse = this.inUse;
     // Only the idle time changes without an event, so that the summary of a machine in use can be cached.
     if (this.cachedSummary && inUse) return this.cachedSummary;
-    const made: MachineSummary = {
+    const summary: MachineSummary = {
       id: this.id,
       type: this.type.name,
       zone: this.zone,
@@ -187,8 +192,8 @@
       faulty: this.faulty,
       images: this.images,
     };
-    this.cachedSummary = inUse ? made : null;
-    return made;
+    this.cachedSummary = inUse ? summary : null;
+    return summary;
   }
 
   /** Records a failed task. Three failures, or failures of two jobs, within 180 s mark the machine as faulty. */
--- a/packages/whatif/src/replay/job.ts
+++ b/packages/whatif/src/replay/job.ts
@@ -22,7 +22,10 @@
   /** Time of the first start by task index. */
   private readonly firstStarts = new Map<number, number>();
   private startCount = 0;
-  /** Start of the gang run whose work was saved last. It prevents saving a run once per task, as all tasks of a gang share it. */
+  /**
+   * Start of the gang run whose work was saved last. It prevents saving a run once per task, as all tasks of a gang
+   * share it.
+   */
   lastSavedGangStartS: number | null = null;
   /** Indices of tasks that were restarted as stragglers, which happens once per task. */
   readonly restarted = new Set<number>();
--- a/packages/whatif/src/replay/machines.ts
+++ b/packages/whatif/src/replay/machines.ts
@@ -40,12 +40,12 @@
 
   /** Makes a booting machine available for placement and schedules its death or its reclaim. */
   protected joinMachine(id: MachineId): void {
-    const loose = this.bootingMachines.get(id);
-    if (!loose) return;
+    const booting = this.bootingMachines.get(id);
+    if (!booting) return;
     this.bootingMachines.delete(id);
-    const { type, zone, spot, script } = loose;
+    const { type, zone, spot, script } = booting;
     const machineLuck = this.luck.fork(id);
-    const m = new SimMachine(id, type, zone, spot, loose.rentedS, machineLuck.between(0.67, 1.33), script.slowness);
+    const m = new SimMachine(id, type, zone, spot, booting.rentedS, machineLuck.between(0.67, 1.33), script.slowness);
     m.emptySinceS = this.nowS;
     m.failsFromS = script.failsFromS;
     this.machines.set(id, m);
@@ -79,7 +79,9 @@
     this.scheduleAt(this.nowS + 1, () => this.stopTasksOnNotice(m));
   }
 
-  /** All tasks on the machine are lost. The controllers detect it only after the machine has been silent for a while. */
+  /**
+   * All tasks on the machine are lost. The controllers detect it only after the machine has been silent for a while.
+   */
   protected machineDies(m: SimMachine): void {
     if (!m.alive) return;
     m.alive = false;
@@ -94,7 +96,7 @@
       if (job.spec.checkpointS > 0) this.saveWork(job, task, key, job.spec.checkpointS);
       // The other tasks of the gang stop by themselves, and the gang restarts once all have left.
       if (job.spec.kind === 'gang' && !this.followingRecord)
-        for (const mate of job.active.values()) if (!mate.machineDied) this.stopTask(mate, 'regroup', 0);
+        for (const gangTask of job.active.values()) if (!gangTask.machineDied) this.stopTask(gangTask, 'regroup', 0);
     }
     // While the record is followed, it says when each lost task was given up.
     if (!this.followingRecord) this.detectDeath(m);
@@ -102,8 +104,8 @@
 
   /** Removes the tasks and the machine after the detection delay: two report intervals and `DEAD_S`. */
   protected detectDeath(m: SimMachine): void {
-    const silentS = (2 * this.scenario.facts.workers.reportMs) / 1000 + DEAD_S;
-    this.scheduleAt(this.nowS + silentS, () => {
+    const detectionDelayS = (2 * this.scenario.facts.workers.reportMs) / 1000 + DEAD_S;
+    this.scheduleAt(this.nowS + detectionDelayS, () => {
       for (const task of [...m.tasks]) {
         const job = this.jobs.get(task.job.spec.id);
         if (!job) continue;
--- a/packages/whatif/src/replay/script.ts
+++ b/packages/whatif/src/replay/script.ts
@@ -20,13 +20,13 @@
     else byKind.set(machine.kind, [machine]);
   }
   const shifted = (atS: number | null): number | null => (atS === null ? null : atS + offsetS);
-  const of: Script['machine'] = (kind, nth) => {
+  const scriptOf: Script['machine'] = (kind, nth) => {
     const m = byKind.get(kind)?.[nth];
     if (!m) {
       const boots = (byKind.get(kind) ?? scenario.machines).filter((x) => !x.initial).map((x) => x.upAfterS);
       const type = scenario.facts.types.find(({ name }) => kind.startsWith(`${name} `));
-      const usualS = type?.bootS ?? 30;
-      const bootS = boots.length > 0 ? (luck.pick(boots) ?? null) : usualS * luck.between(0.6, 1.5);
+      const typicalBootS = type?.bootS ?? 30;
+      const bootS = boots.length > 0 ? (luck.pick(boots) ?? null) : typicalBootS * luck.between(0.6, 1.5);
       return { bootS, diesAtS: null, takenBack: null, slowness: 1, failsFromS: null };
     }
     const up = m.upAfterS;
@@ -37,10 +37,13 @@
       ...{ slowness: m.slowness, failsFromS: shifted(m.failsFromS) },
     };
   };
-  return { byKind, scriptOf: of };
+  return { byKind, scriptOf };
 }
 
-/** Returns the run time of each task of a job in seconds: the recorded one, or one drawn from the runs of the job's class. */
+/**
+ * Returns the run time of each task of a job in seconds: the recorded one, or one drawn from the runs of the job's
+ * class.
+ */
 export function runsOf(job: PlayedJob, scenario: Scenario, luck: Luck): (index: number) => number {
   const { spec, work } = job;
   const { fits } = scenario.runs;
--- a/packages/whatif/src/replay/steered.ts
+++ b/packages/whatif/src/replay/steered.ts
@@ -3,7 +3,9 @@
 /** Delay after the recorded end of a job at which tasks that the replay does not run count as done. */
 const LOST_TASK_GRACE_S = 2;
 
-/** Operations by which the record drives the replay while it is followed. Times are in seconds since the night began. */
+/**
+ * Operations by which the record drives the replay while it is followed. Times are in seconds since the night began.
+ */
 export interface RecordedActions {
   /** Schedules an action that is skipped once the record is no longer followed. */
   scheduleAt(atS: number, action: () => void): void;
@@ -23,9 +25,9 @@
 }
 
 /**
- * Replays the recorded night up to the time at which a plan first makes a difference: machines join and leave, and tasks
- * start and are stopped, as recorded. Run times are still computed by the model, so that a disagreement between record
- * and model shows in the finishing times.
+ * Replays the recorded night up to the time at which a plan first makes a difference: machines join and leave, and
+ * tasks start and are stopped, as recorded. Run times are still computed by the model, so that a disagreement between
+ * record and model shows in the finishing times.
  */
 export class RecordFollower {
   constructor(
@@ -35,40 +37,45 @@
 
   /** Schedules all recorded actions of the night. */
   scheduleAll(): void {
-    const { scenario, actions: to } = this;
+    const { scenario, actions } = this;
     const { night } = scenario;
     for (const machine of scenario.machines) {
       const seen = night.machines.get(machine.id);
       if (!seen) continue;
-      to.scheduleAt(Math.max(0, seen.rentedS ?? 0), () => to.machineRented(machine));
-      if (seen.joinedS !== null) to.scheduleAt(Math.max(0, seen.joinedS), () => to.machineJoined(machine.id));
-      if (seen.returned) to.scheduleAt(seen.returned.atS, () => to.machineReturned(machine.id));
+      actions.scheduleAt(Math.max(0, seen.rentedS ?? 0), () => actions.machineRented(machine));
+      if (seen.joinedS !== null) actions.scheduleAt(Math.max(0, seen.joinedS), () => actions.machineJoined(machine.id));
+      if (seen.returned) actions.scheduleAt(seen.returned.atS, () => actions.machineReturned(machine.id));
     }
     for (const [id, { attempts, waits, submittedS, ended, spec }] of night.jobs) {
       if (ended?.phase === 'done') {
         // The completion of some tasks is missing from the record because the controller that had seen it ended. These
         // tasks end no later than their job.
-        const told = new Set(attempts.filter((a) => a.why === 'done').map((a) => a.index));
-        const rest = Array.from({ length: spec.tasks }, (_, i) => i).filter((i) => !told.has(i));
-        if (rest.length > 0) to.scheduleAt(ended.atS, () => rest.forEach((index) => to.taskDone(id, index)));
+        const completed = new Set(attempts.filter((a) => a.why === 'done').map((a) => a.index));
+        const unrecorded = Array.from({ length: spec.tasks }, (_, i) => i).filter((i) => !completed.has(i));
+        if (unrecorded.length > 0)
+          actions.scheduleAt(ended.atS, () => unrecorded.forEach((index) => actions.taskDone(id, index)));
         // Covers recorded completions of tasks that the model has lost.
-        to.scheduleAt(ended.atS + LOST_TASK_GRACE_S, () => told.forEach((index) => to.taskDone(id, index)));
+        actions.scheduleAt(ended.atS + LOST_TASK_GRACE_S, () =>
+          completed.forEach((index) => actions.taskDone(id, index)),
+        );
       }
-      for (const { atS, missing } of waits) to.scheduleAt(atS, () => to.tasksUnplaced(id, missing));
+      for (const { atS, missing } of waits) actions.scheduleAt(atS, () => actions.tasksUnplaced(id, missing));
       for (const { index, attempt, machine, beganS, leftS, why, stopping } of attempts) {
         // Clock skew between controllers can put the start of a task before the submission of its job.
         if (beganS !== null)
-          to.scheduleAt(Math.max(beganS, submittedS + 0.01), () => to.taskStarted(id, index, attempt, machine));
+          actions.scheduleAt(Math.max(beganS, submittedS + 0.01), () =>
+            actions.taskStarted(id, index, attempt, machine),
+          );
         if (leftS === null || why === null) continue;
         // The model computes the run time, except for tasks whose start was not recorded.
         if (why === 'done') {
-          to.scheduleAt(Math.max(leftS, submittedS + 0.02), () => to.taskDone(id, index));
+          actions.scheduleAt(Math.max(leftS, submittedS + 0.02), () => actions.taskDone(id, index));
           continue;
         }
-        to.scheduleAt(leftS, () => {
-          if (stopping !== null) to.restartCause(id, stopping);
-          else if (why === 'lease over' || why === 'machine gone') to.restartCause(id, 'machine died');
-          to.taskLeft(id, index, attempt, why);
+        actions.scheduleAt(leftS, () => {
+          if (stopping !== null) actions.restartCause(id, stopping);
+          else if (why === 'lease over' || why === 'machine gone') actions.restartCause(id, 'machine died');
+          actions.taskLeft(id, index, attempt, why);
         });
       }
     }
--- a/packages/whatif/src/replay/tasks.ts
+++ b/packages/whatif/src/replay/tasks.ts
@@ -87,8 +87,8 @@
   }
 
   /** Schedules an action, at the earliest now. */
-  protected scheduleAt(at: number, work: () => void): void {
-    this.queue.push({ at: Math.max(at, this.nowS), order: this.nextEventOrder++, action: work });
+  protected scheduleAt(atS: number, action: () => void): void {
+    this.queue.push({ at: Math.max(atS, this.nowS), order: this.nextEventOrder++, action });
   }
 
   /** Schedules a placement round unless one is scheduled or the record is followed. */
@@ -166,20 +166,23 @@
     return task;
   }
 
-  /** Returns when the task's image is on the machine. The fetches of a machine share its bandwidth and run one after another. */
+  /**
+   * Returns when the task's image is on the machine. The fetches of a machine share its bandwidth and run one after
+   * another.
+   */
   protected fetchImage(spec: JobSpec, machine: SimMachine): number {
     if (spec.image === '' || machine.images.includes(spec.image)) return this.nowS + COMMAND_DELAY_S;
     const gbPerS = machine.type.fetchGbPerS * machine.fetchSpeedFactor;
-    const from = Math.max(this.nowS, machine.fetchesEndS);
-    machine.fetchesEndS = from + spec.imageGb / Math.max(0.001, gbPerS);
+    const fetchStartS = Math.max(this.nowS, machine.fetchesEndS);
+    machine.fetchesEndS = fetchStartS + spec.imageGb / Math.max(0.001, gbPerS);
     machine.fetching += 1;
-    const at = machine.fetchesEndS;
+    const fetchedS = machine.fetchesEndS;
     machine.recordImageUse(spec.image);
-    this.scheduleAt(at, () => {
+    this.scheduleAt(fetchedS, () => {
       machine.fetching -= 1;
       machine.invalidateCaches();
     });
-    return at + COMMAND_DELAY_S;
+    return fetchedS + COMMAND_DELAY_S;
   }
 
   /** Starts a task that does not belong to a gang. */
@@ -199,11 +202,11 @@
     task.beganS = this.nowS;
     job.recordStart(index, this.nowS);
     if (job.spec.kind === 'service') return;
-    const leftS = Math.max(0.05, (job.runS(index) - (job.savedWorkS.get(index) ?? 0)) * machine.slowness);
-    const done = { cancelled: false };
-    task.completion = done;
-    this.scheduleAt(this.nowS + leftS + REPORT_DELAY_S, () => {
-      if (!done.cancelled) this.completeTask(task, job);
+    const remainingS = Math.max(0.05, (job.runS(index) - (job.savedWorkS.get(index) ?? 0)) * machine.slowness);
+    const completion = { cancelled: false };
+    task.completion = completion;
+    this.scheduleAt(this.nowS + remainingS + REPORT_DELAY_S, () => {
+      if (!completion.cancelled) this.completeTask(task, job);
     });
   }
 
@@ -225,8 +228,8 @@
   /** Starts all tasks of a gang; they run together once all their images are present. */
   protected startGang(job: SimJob, starts: readonly { readonly index: number; readonly machine: SimMachine }[]): void {
     const tasks = starts.map(({ index, machine }) => this.startTask(job, index, machine));
-    const readyAt = Math.max(...tasks.map(({ machine }) => this.fetchImage(job.spec, machine)));
-    this.scheduleAt(readyAt + REPORT_DELAY_S, () => {
+    const readyS = Math.max(...tasks.map(({ machine }) => this.fetchImage(job.spec, machine)));
+    this.scheduleAt(readyS + REPORT_DELAY_S, () => {
       if (tasks.some((task) => task.stopping !== null || task.machineDied || job.active.get(task.index) !== task)) {
         for (const task of tasks) this.stopTask(task, 'regroup', 0);
         return;
@@ -246,11 +249,11 @@
       job.recordStart(task.index, this.nowS);
     }
     const slowest = Math.max(...tasks.map(({ machine }) => machine.slowness));
-    const leftS = Math.max(0.05, (job.runS(0) - (job.savedWorkS.get(0) ?? 0)) * slowest);
-    const done = { cancelled: false };
-    for (const task of tasks) task.completion = done;
-    this.scheduleAt(this.nowS + leftS + REPORT_DELAY_S, () => {
-      if (done.cancelled) return;
+    const remainingS = Math.max(0.05, (job.runS(0) - (job.savedWorkS.get(0) ?? 0)) * slowest);
+    const completion = { cancelled: false };
+    for (const task of tasks) task.completion = completion;
+    this.scheduleAt(this.nowS + remainingS + REPORT_DELAY_S, () => {
+      if (completion.cancelled) return;
       for (const task of tasks) {
         this.removeTask(task, job);
         job.markDone(task.index);
@@ -292,22 +295,25 @@
     task.machine.invalidateCaches();
     if (why !== 'cancelled' && why !== 'regroup') job.countCause(why);
     const running = task.beganS !== null;
-    const saves = running && spec.checkpointS > 0 && graceS > 0;
-    const saveS = saves ? spec.saveS : 0;
+    const savesWork = running && spec.checkpointS > 0 && graceS > 0;
+    const saveS = savesWork ? spec.saveS : 0;
     if (task.completion) task.completion.cancelled = true;
     const key = spec.kind === 'gang' ? 0 : task.index;
-    if (running && spec.checkpointS > 0) this.saveWork(job, task, key, saves ? 0 : spec.checkpointS);
+    if (running && spec.checkpointS > 0) this.saveWork(job, task, key, savesWork ? 0 : spec.checkpointS);
     this.scheduleAt(this.nowS + COMMAND_DELAY_S + saveS + REPORT_DELAY_S / 2, () => this.removeTask(task, job));
   }
 
-  /** Saves the work of a task: up to the last checkpoint if `stepS` is positive, otherwise all of it except the last `lessS` seconds. */
+  /**
+   * Saves the work of a task: up to the last checkpoint if `stepS` is positive, otherwise all of it except the last
+   * `lessS` seconds.
+   */
   protected saveWork(job: SimJob, task: SimTask, key: number, stepS: number, lessS = 0): void {
     if (job.spec.kind === 'gang' && job.lastSavedGangStartS === task.beganS) return;
     job.lastSavedGangStartS = task.beganS;
     const ranS = Math.max(0, this.nowS - lessS - (task.beganS ?? this.nowS)) / task.machine.slowness;
-    const total = (job.savedWorkS.get(key) ?? 0) + ranS;
-    const kept = stepS > 0 ? Math.floor(total / stepS) * stepS : total;
-    job.savedWorkS.set(key, Math.max(job.savedWorkS.get(key) ?? 0, Math.min(kept, job.runS(key))));
+    const totalS = (job.savedWorkS.get(key) ?? 0) + ranS;
+    const keptS = stepS > 0 ? Math.floor(totalS / stepS) * stepS : totalS;
+    job.savedWorkS.set(key, Math.max(job.savedWorkS.get(key) ?? 0, Math.min(keptS, job.runS(key))));
   }
 
   /** Stops a task, and all other tasks of its gang. */
@@ -315,6 +321,6 @@
     const job = this.jobs.get(task.job.spec.id);
     if (!job) return;
     if (job.spec.kind !== 'gang') this.stopTask(task, why, graceS);
-    else for (const mate of [...job.active.values()]) this.stopTask(mate, why, graceS);
+    else for (const gangTask of [...job.active.values()]) this.stopTask(gangTask, why, graceS);
   }
 }
--- a/packages/whatif/src/replay/timing.ts
+++ b/packages/whatif/src/replay/timing.ts
@@ -1,6 +1,6 @@
 /**
- * Delays and intervals of the decision replay, in seconds. Reading a trace removes the delays of a real platform from the
- * recorded times; the replay adds them again.
+ * Delays and intervals of the decision replay, in seconds. Reading a trace removes the delays of a real platform from
+ * the recorded times; the replay adds them again.
  */
 export { DEAD_S, JOIN_S } from '../night/index.js';
 /** Delay from sending a command until it takes effect on the worker, as on the simulated region. */
--- a/packages/whatif/src/replay/whole.ts
+++ b/packages/whatif/src/replay/whole.ts
@@ -33,7 +33,7 @@
 const AIM_KINDS = new Set(['wait', 'finished', 'deadline', 'up']);
 
 /** Builds a day of the simulated region from the recorded platform. */
-function dayFromScenario(scenario: Scenario, seed: number, leadS: number): Day {
+function dayFromScenario(scenario: Scenario, seed: number, warmUpS: number): Day {
   const { facts } = scenario;
   const classes = new Map<string, JobSpec>();
   for (const { spec } of scenario.jobs) if (!classes.has(spec.jobClass)) classes.set(spec.jobClass, spec);
@@ -45,7 +45,7 @@
     ...{
       name: 'replay',
       seed,
-      duration_s: Math.min(100_000, leadS + scenario.lengthS + MAX_OVERTIME_S),
+      duration_s: Math.min(100_000, warmUpS + scenario.lengthS + MAX_OVERTIME_S),
       zones: facts.zones,
     },
     controllers: { count: scenario.controllers, skew_ms: facts.skewMs },
@@ -125,12 +125,15 @@
 /** Delay between attempts to change the settings. */
 const SETTINGS_RETRY_MS = 500;
 
-/** Applies the recorded operator settings through the administration API, retrying until a controller accepts them. */
+/**
+ * Applies the recorded operator settings through the administration API, retrying until the first controller accepts
+ * them.
+ */
 async function applyTunables(region: Region, tunables: Readonly<Record<string, number>>): Promise<void> {
   const runtime = region.bystander('operator');
-  const [first] = region.controllers;
-  if (!first) return;
-  const client = new HttpClient(first.seat.serveOn, 1, runtime);
+  const [controller] = region.controllers;
+  if (!controller) return;
+  const client = new HttpClient(controller.seat.serveOn, 1, runtime);
   for (;;) {
     const call = { method: 'PATCH', path: '/admin/v1/settings/tunables', body: tunables, timeoutMs: 2000 } as const;
     const answer = await client.call(call);
@@ -141,33 +144,33 @@
 }
 
 /**
- * Replays a scenario with whole controllers on the models of the simulated region. Submissions, run times and faults are
- * those of the scenario.
+ * Replays a scenario with whole controllers on the models of the simulated region. Submissions, run times and faults
+ * are those of the scenario.
  */
 export async function playWhole(scenario: Scenario, seed: number, options: ReplayOptions = {}): Promise<Played> {
-  const leadS = scenario.cold ? 0 : WARM_UP_S;
+  const warmUpS = scenario.cold ? 0 : WARM_UP_S;
   const luck = new Luck(seed, 'replay');
   const script: Script = {
-    machine: scriptMachines(scenario, leadS, luck.fork('boots')).scriptOf,
-    crashes: scenario.crashes.map((crash) => ({ ...crash, atS: crash.atS + leadS })),
+    machine: scriptMachines(scenario, warmUpS, luck.fork('boots')).scriptOf,
+    crashes: scenario.crashes.map((crash) => ({ ...crash, atS: crash.atS + warmUpS })),
     jobs: scenario.jobs.map((job) => ({
-      atS: Math.max(0, job.atS + leadS),
+      atS: Math.max(0, job.atS + warmUpS),
       job: new JobTruth(submissionOf(job.spec), runsOf(job, scenario, luck), job.mistaken),
-      cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + leadS,
+      cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + warmUpS,
     })),
   };
-  const day = dayFromScenario(scenario, seed, leadS);
+  const day = dayFromScenario(scenario, seed, warmUpS);
   const { tunables } = scenario.facts.settings;
   const region = new Region({ day, script, trailEvents: TRAIL_EVENTS });
   const files = new MemoryFiles();
-  const endS = leadS + scenario.lengthS;
+  const endS = warmUpS + scenario.lengthS;
   await recordRegion(region, files, async () => {
     if (tunables && Object.keys(tunables).length > 0) void applyTunables(region, tunables);
     for (let untilS = Math.min(endS, day.duration_s); ; untilS = Math.min(untilS + 10, day.duration_s)) {
       await region.play(untilS, {
         ...(options.stop ? { stop: options.stop } : {}),
         moved: (nowMs) => {
-          options.moved?.(Math.max(0, nowMs / 1000 - leadS));
+          options.moved?.(Math.max(0, nowMs / 1000 - warmUpS));
           return undefined;
         },
       });
@@ -175,7 +178,7 @@
     }
   });
   const result = region.close();
-  const night = readNight({ ...(await readTrace(files)), fromMs: region.wallAt0 + leadS * 1000 });
-  const timeline = result.timeline.map((moment) => ({ ...moment, atS: moment.atS - leadS }));
+  const night = readNight({ ...(await readTrace(files)), fromMs: region.wallAt0 + warmUpS * 1000 });
+  const timeline = result.timeline.map((sample) => ({ ...sample, atS: sample.atS - warmUpS }));
   return { outcomes: outcomesOf(night), money: result.money.spent, timeline };
 }
--- a/packages/whatif/test/replay.test.ts
+++ b/packages/whatif/test/replay.test.ts
@@ -15,12 +15,15 @@
 } from '../src/index.js';
 import { handmade, recorded, shortDay } from './nights.js';
 
+/** Forecasts a plan for a night, by the decision replay. */
 async function compare(night: Night, toml: string, seeds = [1, 2]): Promise<Forecast> {
   const base = scenarioOf(night);
   return forecast('plan', base, applyPlan(base, readPlan(toml, 'p')), outcomesOf(night), playDecisions, seeds);
 }
 
-/** Two tenants share one machine; the second's window opens twelve seconds before the first is through. */
+/**
+ * Two teams share one machine; the second team's job is submitted twelve seconds before the first team's job finishes.
+ */
 const overlapping = (): Night =>
   readNight(
     handmade(
@@ -32,7 +35,7 @@
     ),
   );
 
-test('a recorded night replayed unchanged ends as it did; whole controllers, deciding anew, end nearly so', async () => {
+test('replaying a night unchanged reproduces the recorded finishing times, also with whole controllers', async () => {
   const crash = { kind: 'controller_crash', at_s: 90, controller: 0, down_s: 8 } as const;
   for (const troubles of [[], [{ kind: 'machines_die', at_s: 70, count: 2 } as const], [crash]]) {
     const night = readNight(await recorded(shortDay(240, troubles, 12)));
@@ -42,36 +45,39 @@
       outcomesOf(night),
       (await playDecisions(scenario, 1)).outcomes,
     );
-    assert.ok(jobs >= 8, `${jobs} jobs are a test of nothing`);
+    assert.ok(jobs >= 8, `only ${jobs} jobs, too few for this test`);
     assert.equal(unfinished, 0);
-    assert.ok(within / jobs >= 0.95, `${within} of ${jobs}`);
+    assert.ok(within / jobs >= 0.95, `${within} of ${jobs} jobs finish as recorded`);
   }
   const night = readNight(handmade([{ id: 'j-a', team: 't', jobClass: 'c', atS: 20, tasks: 6, runS: 30 }], 1));
   const scenario = scenarioOf(night);
-  const whole = replayErrors(scenario, outcomesOf(night), (await playWhole(scenario, 3)).outcomes);
-  assert.deepEqual([whole.jobs, whole.within], [1, 1]);
+  const wholeErrors = replayErrors(scenario, outcomesOf(night), (await playWhole(scenario, 3)).outcomes);
+  assert.deepEqual([wholeErrors.jobs, wholeErrors.within], [1, 1]);
 });
 
-test('a machine that dies halfway: unchanged, its tasks run again as they did; when it lives, they do not', async () => {
+test('tasks of a machine that dies restart as recorded, and do not restart when the plan spares the machine', async () => {
   const night = readNight(
     handmade([{ id: 'j-a', team: 't', jobClass: 'c', atS: 5, tasks: 8, runS: 100 }], 3, new Map([[0, 60]])),
   );
   const scenario = scenarioOf(night);
   const unchanged = (await playDecisions(scenario, 1)).outcomes.get('j-a');
-  const truth = outcomesOf(night).get('j-a');
-  assert.equal(truth?.restarts, 4);
+  const recordedOutcome = outcomesOf(night).get('j-a');
+  assert.equal(recordedOutcome?.restarts, 4);
   assert.equal(unchanged?.restarts, 4);
-  assert.ok(Math.abs((unchanged.finishedS ?? 0) - (truth.finishedS ?? 0)) < 3);
-  const told = await compare(night, '[[spare]]\nmachine = "host-0"');
-  const [job] = told.jobs;
-  assert.ok(told.fromS !== null && Math.abs(told.fromS - 60) < 2, `it lives from ${told.fromS}`);
+  assert.ok(Math.abs((unchanged.finishedS ?? 0) - (recordedOutcome.finishedS ?? 0)) < 3);
+  const result = await compare(night, '[[spare]]\nmachine = "host-0"');
+  const [job] = result.jobs;
+  assert.ok(
+    result.fromS !== null && Math.abs(result.fromS - 60) < 2,
+    `the plan makes a difference from ${result.fromS}`,
+  );
   assert.ok(job?.differs);
-  // The eight run at once: 5 s and 100 s.
+  // All eight tasks run at once: submission at 5 s and a run time of 100 s.
   assert.ok(Math.abs((job.plannedS ?? 0) - 105) < 4, `planned ${job.plannedS}`);
   assert.ok((job.laterS ?? 0) < -10, `later by ${job.laterS}`);
 });
 
-test('two tenants whose windows overlap by seconds: moving one changes who is late, and says so for each', async () => {
+test('moving one of two teams whose jobs overlap by seconds changes which team is late, and the forecast shows it per job', async () => {
   const night = overlapping();
   const same = await compare(night, '[[move]]\nclass = "porting-south"\nby_s = 0');
   assert.equal(same.fromS, null);
@@ -83,7 +89,7 @@
   const north = later.jobs.find(({ id }) => id === 'j-north');
   assert.deepEqual([south?.changed, south?.differs, north?.differs], ['moved by 14 s', false, false]);
 
-  // Ahead of the first tenant's, it is the first tenant who waits.
+  // Once the second team's job is submitted before the first team's, the first team waits.
   const ahead = await compare(night, '[[move]]\nclass = "porting-south"\nstart = 10');
   const [before, after] = ['j-south', 'j-north'].map((id) => ahead.jobs.find((job) => job.id === id));
   assert.ok(before?.differs && (before.laterS ?? 0) < -60, `south later by ${before?.laterS}`);
@@ -91,10 +97,10 @@
   assert.ok(ahead.teams.planned.has('north-tel') && ahead.teams.planned.has('south-tel'));
 });
 
-test('a plan that makes things worse says so, and what was never seen is marked as estimated', async () => {
+test('the forecast shows the delay that a plan causes, and marks jobs with unrecorded run times as estimated', async () => {
   const worse = await compare(overlapping(), '[[scale]]\nclass = "porting-north"\nrun = 2');
   const [north, south] = ['j-north', 'j-south'].map((id) => worse.jobs.find((job) => job.id === id));
-  // The other tenant has a deadline, so that it goes first and the scaled one pays.
+  // The other team's job has a deadline, so it runs first and the scaled job is delayed.
   assert.ok(north?.differs && south && !south.differs);
   assert.ok((north.laterS ?? 0) > 90, `later by ${north.laterS}`);
   const added = await compare(overlapping(), '[[add]]\nlike = "porting-north"\nat = 21\n');
@@ -105,19 +111,19 @@
   for (const { intervalS } of [...worse.jobs, ...added.jobs]) assert.ok(intervalS && intervalS[0] <= intervalS[1]);
 });
 
-test('jobs open before the night, or after it, are played but do not count', () => {
+test('jobs that are open before or after the recording are replayed but marked as cut', () => {
   const trace = handmade([{ id: 'j-a', team: 't', jobClass: 'c', atS: 5, tasks: 8, runS: 100 }], 1);
-  const cutAt = trace.fromMs + 150_000;
-  const early = scenarioOf(readNight({ ...trace, toMs: cutAt, rows: trace.rows.filter(({ at }) => at < cutAt) }));
+  const cutAtMs = trace.fromMs + 150_000;
+  const early = scenarioOf(readNight({ ...trace, toMs: cutAtMs, rows: trace.rows.filter(({ at }) => at < cutAtMs) }));
   assert.deepEqual(
     early.jobs.map(({ cut }) => cut),
     ['after'],
   );
-  const since = trace.fromMs + 50_000;
+  const sinceMs = trace.fromMs + 50_000;
   const rows = trace.rows.flatMap((row) =>
-    row.kind === 'job' || row.at >= since ? [{ ...row, at: Math.max(row.at, since) }] : [],
+    row.kind === 'job' || row.at >= sinceMs ? [{ ...row, at: Math.max(row.at, sinceMs) }] : [],
   );
-  const late = scenarioOf(readNight({ ...trace, fromMs: since, rows }));
+  const late = scenarioOf(readNight({ ...trace, fromMs: sinceMs, rows }));
   assert.deepEqual(
     late.jobs.map(({ cut, spec }) => [cut, spec.tasks]),
     [['before', 8]],
