--- a/packages/whatif/src/cli/command.ts
+++ b/packages/whatif/src/cli/command.ts
@@ -15,6 +15,7 @@
 const ENGINES = { decisions: playDecisions, whole: playWhole } as const;
 type EngineName = keyof typeof ENGINES;
 
+/** Parses an option value; commander prints the error with the option's name. */
 const parseWholeNumber = (text: string): number => {
   const n = Number(text);
   if (!Number.isInteger(n) || n < 0 || n > 2 ** 31)
@@ -165,6 +166,7 @@
   }
 }
 
+/** The command `wooddrift whatif` with its subcommands. */
 export const whatifCommand = new Command('whatif').description(
   'replay a recorded night, unchanged or with a plan, and forecast the effect of the plan',
 );
--- a/packages/whatif/src/replay/fleet.ts
+++ b/packages/whatif/src/replay/fleet.ts
@@ -36,21 +36,24 @@
 export class SimMachine {
   readonly id: MachineId;
   readonly tasks = new Set<SimTask>();
+  /** Cached images, most recently used first. */
   readonly images: string[] = [];
   freeCpus: number;
   freeGpus: number;
   freeMemoryGb: number;
-  /** Resources of tasks below production priority, which can be preempted. */
+  /** Resources of tasks below production priority, which yield to production tasks. */
   yieldCpus = 0;
   yieldMemoryGb = 0;
   /** Up, leased to a shard and neither on notice nor dead. */
   usable = true;
   alive = true;
+  /** End of the spot reclaim notice; null if there is none. */
   noticeUntilS: number | null = null;
   /** When the image fetches queued so far end. */
   fetchesEndS = 0;
   /** Number of image fetches in progress. */
   fetching = 0;
+  /** Since when the machine is not in use. */
   emptySinceS: number;
   /** Task failures on this machine. */
   readonly failures: { readonly job: string; readonly atS: number }[] = [];
@@ -66,7 +69,7 @@
     readonly type: MachineTypeFacts,
     readonly zone: string,
     readonly spot: boolean,
-    readonly upAtS: number,
+    readonly rentedS: number,
     /** Image fetch speed relative to other machines of its type. */
     readonly fetchSpeedFactor: number,
     /** Factor on the run times of tasks, relative to other machines of its type. */
@@ -76,7 +79,7 @@
     this.freeCpus = type.cpus;
     this.freeGpus = type.gpus;
     this.freeMemoryGb = type.memoryGb;
-    this.emptySinceS = upAtS;
+    this.emptySinceS = rentedS;
   }
 
   /** Drops the cached view and summary after a change. */
--- a/packages/whatif/src/replay/job.ts
+++ b/packages/whatif/src/replay/job.ts
@@ -4,7 +4,7 @@
 import type { Outcome, PlayedJob } from '../night/index.js';
 import type { SimTask } from './fleet.js';
 
-/** Number of latest run times from which the median is computed. */
+/** Number of latest run times kept for the median and the straggler check. */
 const MAX_RECENT_RUNS = 100;
 /** Time during which a job is not placed on a machine on which one of its tasks failed or was a straggler. */
 const AVOID_MACHINE_S = 60;
@@ -29,9 +29,11 @@
   lastSavedGangStartS: number | null = null;
   /** Indices of tasks that were restarted as stragglers, which happens once per task. */
   readonly restarted = new Set<number>();
+  /** Run times of the tasks completed last. */
   readonly recentRunsS: number[] = [];
   private medianRunS: number | null = null;
-  private readonly avoidUntil = new Map<MachineId, number>();
+  private readonly avoidUntilS = new Map<MachineId, number>();
+  /** Time of the first start of any task. */
   startedS: number | null = null;
   /** Since when tasks of the job could not be placed; null if there are none. */
   unplacedSinceS: number | null = null;
@@ -46,6 +48,7 @@
   ended: { readonly atS: number; readonly phase: 'done' | 'cancelled' } | null = null;
   /** All tasks below this index are done. */
   private firstUnfinished = 0;
+  /** Number of tasks that were stopped or failed, by reason. */
   private readonly restartCauses = new Map<string, number>();
 
   constructor(
@@ -110,13 +113,13 @@
 
   /** Excludes a machine from placement of this job for `AVOID_MACHINE_S`. */
   avoidMachine(machine: MachineId, nowS: number): void {
-    this.avoidUntil.set(machine, nowS + AVOID_MACHINE_S);
+    this.avoidUntilS.set(machine, nowS + AVOID_MACHINE_S);
   }
 
   /** Returns the machines on which this job is not placed now. */
   machinesToAvoid(nowS: number): ReadonlySet<MachineId> {
-    for (const [id, until] of this.avoidUntil) if (until < nowS) this.avoidUntil.delete(id);
-    return new Set(this.avoidUntil.keys());
+    for (const [id, untilS] of this.avoidUntilS) if (untilS < nowS) this.avoidUntilS.delete(id);
+    return new Set(this.avoidUntilS.keys());
   }
 
   /** Counts a reason for which a task was stopped or failed. */
--- a/packages/whatif/src/replay/script.ts
+++ b/packages/whatif/src/replay/script.ts
@@ -5,7 +5,7 @@
  * Returns the behavior of each simulated machine: the nth machine of a kind behaves as the nth recorded one. Machines
  * beyond the recorded ones take a boot time drawn from the recorded boots. `offsetS` is added to all absolute times.
  */
-export function scriptMachines(
+export function machineScripts(
   scenario: Scenario,
   offsetS: number,
   luck: Luck,
@@ -44,7 +44,7 @@
  * Returns the run time of each task of a job in seconds: the recorded one, or one drawn from the runs of the job's
  * class.
  */
-export function runsOf(job: PlayedJob, scenario: Scenario, luck: Luck): (index: number) => number {
+export function runTimesOf(job: PlayedJob, scenario: Scenario, luck: Luck): (index: number) => number {
   const { spec, work } = job;
   const { fits } = scenario.runs;
   const jobLuck = luck.fork(spec.id);
--- a/packages/whatif/src/replay/tasks.ts
+++ b/packages/whatif/src/replay/tasks.ts
@@ -8,7 +8,7 @@
 import type { Standing } from './engine.js';
 import { SimMachine, type SimTask, type MachineTypeFacts } from './fleet.js';
 import { SimJob } from './job.js';
-import { runsOf, scriptMachines } from './script.js';
+import { runTimesOf, machineScripts } from './script.js';
 import { COMMAND_DELAY_S, PLACEMENT_ROUND_DELAY_S, REPORT_DELAY_S, JOB_END_WRITE_S } from './timing.js';
 
 /** A scheduled action. Events at the same time run in the order in which they were scheduled. */
@@ -57,6 +57,7 @@
   protected readonly teamLimits: ReadonlyMap<string, { readonly cpusMax: number; readonly gpusMax: number }>;
   /** Resources in use by teams that have a limit. */
   protected readonly teamUse = new Map<string, { cpus: number; gpus: number }>();
+  /** Rental time of each machine that was rented in the replay. */
   protected readonly rentedAtS = new Map<MachineId, number>();
   /** The largest service seen of each job class, for which the lease plan keeps headroom. */
   protected readonly headroom = new Map<string, JobSpec>();
@@ -68,6 +69,7 @@
   protected followingRecord: boolean;
   /** Jobs that can end and have not; the replay may stop at the end of the night once there are none. */
   protected batchJobsLeft = 0;
+  /** Cost of the machines that were released so far. */
   protected moneySpent = 0;
   /** Number of machine ids created. */
   protected namedMachines = 0;
@@ -81,7 +83,7 @@
     this.followingRecord = scenario.freeFromS > 0;
     this.types = new Map(facts.types.map((type) => [type.name, type]));
     this.tunables = { ...DEFAULT_TUNABLES, ...facts.settings.tunables };
-    this.machineScript = scriptMachines(scenario, 0, this.luck.fork('boots')).scriptOf;
+    this.machineScript = machineScripts(scenario, 0, this.luck.fork('boots')).scriptOf;
     this.teamLimits = new Map(Object.entries(facts.teams).filter(([, t]) => t.cpusMax > 0 || t.gpusMax > 0));
     for (const name of this.teamLimits.keys()) this.teamUse.set(name, { cpus: 0, gpus: 0 });
   }
@@ -109,7 +111,7 @@
   /** Adds a job at the time of its submission. */
   protected submitJob(played: Scenario['jobs'][number]): void {
     const luck = this.luck.fork('runs');
-    const job = new SimJob(played, this.nowS, runsOf(played, this.scenario, luck));
+    const job = new SimJob(played, this.nowS, runTimesOf(played, this.scenario, luck));
     const { spec } = job;
     this.jobs.set(spec.id, job);
     this.openJobs.set(spec.id, job);
@@ -136,8 +138,8 @@
 
   /** Adds the cost of a machine since it was rented; at least one minute is charged. */
   protected chargeMachine(machine: SimMachine): void {
-    const { type, spot, upAtS } = machine;
-    this.moneySpent += (Math.max(60, this.nowS - upAtS) / 3600) * (spot ? type.spotPrice : type.price);
+    const { type, spot, rentedS } = machine;
+    this.moneySpent += (Math.max(60, this.nowS - rentedS) / 3600) * (spot ? type.spotPrice : type.price);
   }
 
   /** Adds a task's resources to the use of its team, or subtracts them. */
--- a/packages/whatif/src/replay/whole.ts
+++ b/packages/whatif/src/replay/whole.ts
@@ -6,7 +6,7 @@
 import { MemoryFiles, readTrace, Recorder, TraceStore, type Files } from '../../../trace/src/index.js';
 import { capacityFor, kindOf, outcomesOf, readNight, type Scenario } from '../night/index.js';
 import type { Played, ReplayOptions } from './engine.js';
-import { runsOf, scriptMachines } from './script.js';
+import { runTimesOf, machineScripts } from './script.js';
 import { MAX_OVERTIME_S } from './timing.js';
 
 /** Time before the night in which controllers that were already running acquire their shards and machines. */
@@ -151,11 +151,11 @@
   const warmUpS = scenario.cold ? 0 : WARM_UP_S;
   const luck = new Luck(seed, 'replay');
   const script: Script = {
-    machine: scriptMachines(scenario, warmUpS, luck.fork('boots')).scriptOf,
+    machine: machineScripts(scenario, warmUpS, luck.fork('boots')).scriptOf,
     crashes: scenario.crashes.map((crash) => ({ ...crash, atS: crash.atS + warmUpS })),
     jobs: scenario.jobs.map((job) => ({
       atS: Math.max(0, job.atS + warmUpS),
-      job: new JobTruth(submissionOf(job.spec), runsOf(job, scenario, luck), job.mistaken),
+      job: new JobTruth(submissionOf(job.spec), runTimesOf(job, scenario, luck), job.mistaken),
       cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + warmUpS,
     })),
   };
