--- a/packages/region/src/checker/rules.ts
+++ b/packages/region/src/checker/rules.ts
@@ -1,7 +1,7 @@
 import type { Asked, JobTruth, Machine, TaskWatch, UserWitness } from '../models/index.js';
-import { WaitingWatch, type Room } from './waiting.js';
+import { WaitingDetector, type FreeCapacity } from './waiting.js';
 
-/** The protocol's rules: a day on which one of them breaks counts for nothing. */
+/** The rules of the protocol. A run that violates one of them yields no valid result. */
 export const RULES = [
   'ran_twice',
   'quota',
@@ -14,327 +14,370 @@
   'nothing_ran',
   'too_early',
   'orphaned',
-  /** Troubles over, it waited although a machine had room for it and its team was under its limit. */
+  /** With no fault in force, a job stayed pending although a machine had free capacity and the team was below its limit. */
   'left_waiting',
-  /** Taken although it can't run or lacks a field, or refused by another status than the protocol's. */
+  /** An invalid or impossible submission was accepted, or refused with another status than the protocol's. */
   'odd_answer',
 ] as const;
 export type Rule = (typeof RULES)[number];
 
+/** A violation of one rule. */
 export interface Breach {
   readonly rule: Rule;
-  /** True time in milliseconds. */
+  /** Simulated time in milliseconds. */
   readonly at: number;
+  /** Description for the operator. */
   readonly what: string;
 }
 
+/** Upper limits of what a team may use at a time; 0 means no limit. */
 export interface TeamLimits {
-  /** 0: none. */
   readonly cpusMax: number;
   readonly gpusMax: number;
 }
 
-interface Told {
+/** What users have been told about one job. Times are simulated time in milliseconds. */
+interface ReportedJob {
   readonly job: JobTruth;
   accepted: boolean;
-  /** The user has asked to cancel it. */
-  cancelAsked: boolean;
-  cancelToldAt: number | null;
-  final: 'done' | 'withdrawn' | null;
-  lastAnswerAt: number;
-  failedPolls: number;
-  forgotten: boolean;
+  /** The user has requested its cancellation. */
+  cancelRequested: boolean;
+  /** When the user was first told that it is cancelled; null before. */
+  cancelReportedAtMs: number | null;
+  /** The first final phase that a user was told. */
+  finalPhase: 'done' | 'withdrawn' | null;
+  /** Last successful poll, or the acceptance. */
+  lastAnswerAtMs: number;
+  consecutiveFailedPolls: number;
+  /** The `forgotten` violation is reported once per job. */
+  reportedForgotten: boolean;
 }
 
-const FORGOTTEN_MS = 90_000;
-/** Once all troubles are over, however others fare. */
-const FORGOTTEN_QUIET_MS = 75_000;
-const BUCKET_MS = 10_000;
-const MOST_KEPT = 200;
+/** A job counts as forgotten after this time without an answer while most polls are answered. */
+const FORGOTTEN_AFTER_MS = 90_000;
+/** The same limit once all faults are over, regardless of how other polls are answered. */
+const FORGOTTEN_AFTER_FAULTS_MS = 75_000;
+const POLL_BUCKET_MS = 10_000;
+const MAX_KEPT_VIOLATIONS = 200;
+/** Tolerance for sums of fractional resources. */
 const EPSILON = 1e-6;
 
 /**
- * Checks every rule of the protocol, told after each event by the models what truly happened: where
- * tasks are, and what users were told. It asks the service nothing.
+ * Checks every rule of the protocol. After each event, the models report what actually happened: where tasks run and
+ * what users were told. The checker sends no requests to the service.
  */
 export class RuleChecker implements TaskWatch, UserWitness {
+  /** The first violations, at most `MAX_KEPT_VIOLATIONS`. */
   readonly breaches: Breach[] = [];
-  private readonly on = new Map<string, Map<string, Machine>>();
-  private readonly byJob = new Map<string, Map<number, Machine>>();
-  private readonly used = new Map<string, { cpus: number; gpus: number }>();
-  private readonly told = new Map<string, Told>();
-  private readonly polls: { bucket: number; answered: number; failed: number }[] = [];
-  /** From when on nothing goes wrong any more; null: that isn't known. */
+  /** Machines on which each task is, by task key and machine id. */
+  private readonly machinesByTask = new Map<string, Map<string, Machine>>();
+  /** One machine for each present task of a job, by job and task index. */
+  private readonly machinesByJob = new Map<string, Map<number, Machine>>();
+  private readonly usageByTeam = new Map<string, { cpus: number; gpus: number }>();
+  private readonly reportedJobs = new Map<string, ReportedJob>();
+  private readonly pollBuckets: { bucket: number; answered: number; failed: number }[] = [];
+  /** Simulated time in milliseconds from which on no fault is in force any more; null if unknown. */
   quietFrom: number | null = null;
-  /** Off while controllers of earlier releases take part, which took what this one refuses. */
+  /** False while controllers of earlier releases take part, which accept submissions that this release refuses. */
   judgesOdd = true;
-  private submitted = 0;
-  private started = 0;
-  /** Starts of tasks whose user had been told that the job is cancelled, and how long after that the last was. */
+  private submittedJobCount = 0;
+  private startedTaskCount = 0;
+  /** Task starts after the user was told that the job is cancelled, and the longest time between the two in milliseconds. */
   readonly startsAfterCancel = { count: 0, latestMs: 0 };
-  private readonly waiting = new WaitingWatch(({ spec }) =>
-    this.breach('left_waiting', `${spec.ref} waits, and a machine has room for it`),
+  private readonly waitingDetector = new WaitingDetector(({ spec }) =>
+    this.reportViolation('left_waiting', `${spec.ref} is pending although a machine has free capacity for it`),
   );
 
   constructor(
     private readonly now: () => number,
     private readonly teams: ReadonlyMap<string, TeamLimits>,
-    private readonly cancelS: number,
-    private readonly later: (ms: number, work: () => void) => void,
-    private readonly broken: (breach: Breach) => void = () => undefined,
+    private readonly cancelDeadlineS: number,
+    private readonly schedule: (ms: number, work: () => void) => void,
+    private readonly onViolation: (violation: Breach) => void = () => undefined,
   ) {}
 
-  private breach(rule: Rule, what: string): void {
-    const breach = { rule, at: this.now(), what };
-    if (this.breaches.length < MOST_KEPT) this.breaches.push(breach);
-    this.broken(breach);
+  private reportViolation(rule: Rule, what: string): void {
+    const violation = { rule, at: this.now(), what };
+    if (this.breaches.length < MAX_KEPT_VIOLATIONS) this.breaches.push(violation);
+    this.onViolation(violation);
   }
 
-  // ---- what happens on machines
+  // ---- events on machines
 
+  /** A task is on a machine from now on. */
   entered(machine: Machine, job: JobTruth, index: number, attempt: number): void {
     const { spec } = job;
     const key = `${spec.ref}/${index}`;
-    this.started += 1;
-    let where = this.on.get(key);
-    if (!where) this.on.set(key, (where = new Map()));
-    for (const other of where.keys())
-      this.breach('ran_twice', `${key} starts on ${machine.id} while it is on ${other} (attempt ${attempt})`);
-    where.set(machine.id, machine);
-    this.checkPlace(machine, job, index);
-    for (const before of spec.awaits ?? []) {
-      if (this.told.get(before)?.job.complete !== true)
-        this.breach('too_early', `${key} starts on ${machine.id} before ${before} is done`);
+    this.startedTaskCount += 1;
+    let machines = this.machinesByTask.get(key);
+    if (!machines) this.machinesByTask.set(key, (machines = new Map()));
+    for (const other of machines.keys())
+      this.reportViolation('ran_twice', `${key} starts on ${machine.id} while it is on ${other} (attempt ${attempt})`);
+    machines.set(machine.id, machine);
+    this.checkPlacement(machine, job, index);
+    for (const dependency of spec.awaits ?? []) {
+      if (this.reportedJobs.get(dependency)?.job.complete !== true)
+        this.reportViolation('too_early', `${key} starts on ${machine.id} before ${dependency} is done`);
     }
-    let mates = this.byJob.get(spec.ref);
-    if (!mates) this.byJob.set(spec.ref, (mates = new Map()));
-    mates.set(index, machine);
-    this.use(job, 1);
-    const told = this.told.get(spec.ref);
-    if (told?.cancelToldAt != null) {
+    let siblings = this.machinesByJob.get(spec.ref);
+    if (!siblings) this.machinesByJob.set(spec.ref, (siblings = new Map()));
+    siblings.set(index, machine);
+    this.addUsage(job, 1);
+    const reported = this.reportedJobs.get(spec.ref);
+    if (reported?.cancelReportedAtMs != null) {
       this.startsAfterCancel.count += 1;
-      this.startsAfterCancel.latestMs = Math.max(this.startsAfterCancel.latestMs, this.now() - told.cancelToldAt);
+      this.startsAfterCancel.latestMs = Math.max(
+        this.startsAfterCancel.latestMs,
+        this.now() - reported.cancelReportedAtMs,
+      );
     }
-    if (told?.cancelToldAt != null && this.now() > told.cancelToldAt + this.cancelS * 1000)
-      this.breach('ran_cancelled', `${key} starts on ${machine.id} after its user was told that it is cancelled`);
+    if (reported?.cancelReportedAtMs != null && this.now() > reported.cancelReportedAtMs + this.cancelDeadlineS * 1000)
+      this.reportViolation(
+        'ran_cancelled',
+        `${key} starts on ${machine.id} after its user was told that it is cancelled`,
+      );
   }
 
   running(): void {
-    // No rule is about this.
+    // No rule concerns a task that starts to run.
   }
 
+  /** A task is no longer on a machine. */
   left(machine: Machine, { spec }: JobTruth, index: number): void {
     const key = `${spec.ref}/${index}`;
-    const where = this.on.get(key);
-    if (!where?.delete(machine.id)) return;
-    if (where.size === 0) this.on.delete(key);
-    const mates = this.byJob.get(spec.ref);
-    if (mates?.get(index) === machine) {
-      const [elsewhere] = where.values();
-      if (elsewhere) mates.set(index, elsewhere);
-      else mates.delete(index);
-      if (mates.size === 0) this.byJob.delete(spec.ref);
+    const machines = this.machinesByTask.get(key);
+    if (!machines?.delete(machine.id)) return;
+    if (machines.size === 0) this.machinesByTask.delete(key);
+    const siblings = this.machinesByJob.get(spec.ref);
+    if (siblings?.get(index) === machine) {
+      const [elsewhere] = machines.values();
+      if (elsewhere) siblings.set(index, elsewhere);
+      else siblings.delete(index);
+      if (siblings.size === 0) this.machinesByJob.delete(spec.ref);
     }
-    const team = this.used.get(spec.owner);
-    if (team) {
-      team.cpus -= spec.vcpus;
-      team.gpus -= spec.accelerators;
+    const usage = this.usageByTeam.get(spec.owner);
+    if (usage) {
+      usage.cpus -= spec.vcpus;
+      usage.gpus -= spec.accelerators;
     }
   }
 
-  private use({ spec }: JobTruth, count: number): void {
-    let team = this.used.get(spec.owner);
-    if (!team) this.used.set(spec.owner, (team = { cpus: 0, gpus: 0 }));
-    team.cpus += spec.vcpus * count;
-    team.gpus += spec.accelerators * count;
+  private addUsage({ spec }: JobTruth, count: number): void {
+    let usage = this.usageByTeam.get(spec.owner);
+    if (!usage) this.usageByTeam.set(spec.owner, (usage = { cpus: 0, gpus: 0 }));
+    usage.cpus += spec.vcpus * count;
+    usage.gpus += spec.accelerators * count;
     const limits = this.teams.get(spec.owner);
-    const over = (used: number, most: number | undefined): boolean =>
-      most !== undefined && most > 0 && used > most + EPSILON;
-    if (over(team.cpus, limits?.cpusMax) || over(team.gpus, limits?.gpusMax))
-      this.breach('quota', `${spec.owner} uses ${team.cpus} cpus and ${team.gpus} gpus with ${spec.ref}`);
+    const exceeds = (used: number, limit: number | undefined): boolean =>
+      limit !== undefined && limit > 0 && used > limit + EPSILON;
+    if (exceeds(usage.cpus, limits?.cpusMax) || exceeds(usage.gpus, limits?.gpusMax))
+      this.reportViolation('quota', `${spec.owner} uses ${usage.cpus} cpus and ${usage.gpus} gpus with ${spec.ref}`);
   }
 
-  private checkPlace(machine: Machine, { spec }: JobTruth, index: number): void {
+  private checkPlacement(machine: Machine, { spec }: JobTruth, index: number): void {
     const name = `${spec.ref}/${index} on ${machine.id}`;
     const { type, zone, spot } = machine;
-    if (spec.hulls && !spec.hulls.includes(type.name)) this.breach('wrong_place', `${name}: type ${type.name}`);
-    if (spec.berth !== null && spec.berth !== zone) this.breach('wrong_place', `${name}: zone ${zone}`);
-    if (spot && !spec.flotsam) this.breach('wrong_place', `${name}: a spot machine`);
-    const mates = [...(this.byJob.get(spec.ref) ?? [])].filter(([mate]) => mate !== index);
-    if (spec.same_place && mates.some(([, other]) => other.zone !== zone))
-      this.breach('wrong_place', `${name}: the others are not in ${zone}`);
-    const inZone = mates.filter(([, other]) => other.zone === zone).length + 1;
-    if (spec.scatter && inZone > Math.ceil(spec.pieces / 2))
-      this.breach('wrong_place', `${name}: ${inZone} of ${spec.pieces} in ${zone}`);
+    if (spec.hulls && !spec.hulls.includes(type.name))
+      this.reportViolation('wrong_place', `${name}: type ${type.name}`);
+    if (spec.berth !== null && spec.berth !== zone) this.reportViolation('wrong_place', `${name}: zone ${zone}`);
+    if (spot && !spec.flotsam) this.reportViolation('wrong_place', `${name}: a spot machine`);
+    const siblings = [...(this.machinesByJob.get(spec.ref) ?? [])].filter(([mate]) => mate !== index);
+    if (spec.same_place && siblings.some(([, other]) => other.zone !== zone))
+      this.reportViolation('wrong_place', `${name}: the others are not in ${zone}`);
+    const tasksInZone = siblings.filter(([, other]) => other.zone === zone).length + 1;
+    if (spec.scatter && tasksInZone > Math.ceil(spec.pieces / 2))
+      this.reportViolation('wrong_place', `${name}: ${tasksInZone} of ${spec.pieces} in ${zone}`);
   }
 
-  // ---- what users are told
+  // ---- answers to users
 
   submits(job: JobTruth): void {
-    this.submitted += 1;
-    this.told.set(job.spec.ref, {
-      ...{ job, accepted: false, cancelAsked: false, cancelToldAt: null, final: null },
-      ...{ lastAnswerAt: this.now(), failedPolls: 0, forgotten: false },
+    this.submittedJobCount += 1;
+    this.reportedJobs.set(job.spec.ref, {
+      ...{ job, accepted: false, cancelRequested: false, cancelReportedAtMs: null, finalPhase: null },
+      ...{ lastAnswerAtMs: this.now(), consecutiveFailedPolls: 0, reportedForgotten: false },
     });
   }
 
   asks(ref: string): Asked {
-    const told = this.told.get(ref);
-    return { accepted: told?.accepted ?? false, final: told?.final ?? null };
+    const reported = this.reportedJobs.get(ref);
+    return { accepted: reported?.accepted ?? false, final: reported?.finalPhase ?? null };
   }
 
   submitAnswered(ref: string, status: number, phase: unknown, asked: Asked): void {
-    const told = this.told.get(ref);
-    if (!told) return;
+    const reported = this.reportedJobs.get(ref);
+    if (!reported) return;
     if (status === 200 || status === 201) {
-      if (!told.accepted) told.lastAnswerAt = this.now();
-      told.accepted = true;
-      this.phaseTold(told, phase, asked);
+      if (!reported.accepted) reported.lastAnswerAtMs = this.now();
+      reported.accepted = true;
+      this.checkReportedPhase(reported, phase, asked);
     } else if (asked.accepted && (status === 400 || status === 422))
-      this.forget(told, `a repeated submission gets ${status}`);
+      this.reportForgotten(reported, `a repeated submission gets ${status}`);
   }
 
   polled(ref: string, status: number | null, phase: unknown, asked: Asked): void {
-    const told = this.told.get(ref);
-    if (!told) {
-      if (status === 200) this.breach('invented', `${ref} is answered, and nobody submitted it`);
+    const reported = this.reportedJobs.get(ref);
+    if (!reported) {
+      if (status === 200) this.reportViolation('invented', `a poll for ${ref} gets 200, but no user submitted it`);
       return;
     }
     const answered = status === 200 || status === 404;
     this.countPoll(answered);
     if (status === 200) {
-      told.lastAnswerAt = this.now();
-      told.failedPolls = 0;
-      this.phaseTold(told, phase, asked);
+      reported.lastAnswerAtMs = this.now();
+      reported.consecutiveFailedPolls = 0;
+      this.checkReportedPhase(reported, phase, asked);
     } else if (status === 404) {
-      if (asked.accepted) this.forget(told, 'a poll gets 404');
-    } else if (told.accepted) {
-      told.failedPolls += 1;
-      const silent = this.now() - told.lastAnswerAt;
+      if (asked.accepted) this.reportForgotten(reported, 'a poll gets 404');
+    } else if (reported.accepted) {
+      reported.consecutiveFailedPolls += 1;
+      const silentMs = this.now() - reported.lastAnswerAtMs;
       const { quietFrom } = this;
-      if (quietFrom !== null && this.now() - Math.max(told.lastAnswerAt, quietFrom) > FORGOTTEN_QUIET_MS)
-        this.forget(told, 'no question is answered after all troubles are over');
-      if (silent > FORGOTTEN_MS && told.failedPolls >= 5 && this.mostAnswered())
-        this.forget(told, 'every poll fails while most others get answers');
+      if (quietFrom !== null && this.now() - Math.max(reported.lastAnswerAtMs, quietFrom) > FORGOTTEN_AFTER_FAULTS_MS)
+        this.reportForgotten(reported, 'no poll is answered after the last fault has ended');
+      if (silentMs > FORGOTTEN_AFTER_MS && reported.consecutiveFailedPolls >= 5 && this.mostPollsAnswered())
+        this.reportForgotten(reported, 'every poll fails while most polls of other jobs are answered');
     }
   }
 
   cancelAsked(ref: string): void {
-    const told = this.told.get(ref);
-    if (told) told.cancelAsked = true;
+    const reported = this.reportedJobs.get(ref);
+    if (reported) reported.cancelRequested = true;
   }
 
-  oddAnswered(what: string, wanted: number, status: number | null): void {
-    const taken = status === 200 || status === 201;
+  oddAnswered(request: string, expectedStatus: number, status: number | null): void {
+    const accepted = status === 200 || status === 201;
     if (!this.judgesOdd) return;
-    if (taken || ((status === 400 || status === 422 || status === 404) && status !== wanted))
-      this.breach('odd_answer', `${what} is answered ${status}, not ${wanted}`);
+    if (accepted || ((status === 400 || status === 422 || status === 404) && status !== expectedStatus))
+      this.reportViolation('odd_answer', `${request} gets ${status} instead of ${expectedStatus}`);
   }
 
   cancelAnswered(ref: string, status: number, phase: unknown, asked: Asked): void {
-    const told = this.told.get(ref);
-    if (told && status === 404 && asked.accepted) this.forget(told, 'a cancellation gets 404');
-    if (!told || status !== 200) return;
-    this.phaseTold(told, phase, asked);
+    const reported = this.reportedJobs.get(ref);
+    if (reported && status === 404 && asked.accepted) this.reportForgotten(reported, 'a cancellation gets 404');
+    if (!reported || status !== 200) return;
+    this.checkReportedPhase(reported, phase, asked);
   }
 
-  /** Its user is told that it is cancelled, by whatever question: from now on its tasks have so long to be gone. */
-  private toldCancelled(told: Told): void {
-    const { ref } = told.job.spec;
-    if (told.cancelToldAt !== null) return;
-    told.cancelToldAt = this.now();
-    this.later(this.cancelS * 1000 + 1, () => {
-      const mates = this.byJob.get(ref);
-      for (const [index, machine] of mates ?? [])
-        this.breach('ran_cancelled', `${ref}/${index} is still on ${machine.id} ${this.cancelS} s after`);
+  /** The user is told for the first time, by any kind of request, that the job is cancelled: its tasks must be gone by the deadline. */
+  private onCancelReported(reported: ReportedJob): void {
+    const { ref } = reported.job.spec;
+    if (reported.cancelReportedAtMs !== null) return;
+    reported.cancelReportedAtMs = this.now();
+    this.schedule(this.cancelDeadlineS * 1000 + 1, () => {
+      const siblings = this.machinesByJob.get(ref);
+      for (const [index, machine] of siblings ?? [])
+        this.reportViolation(
+          'ran_cancelled',
+          `${ref}/${index} is still on ${machine.id} ${this.cancelDeadlineS} s after its user was told that it is cancelled`,
+        );
     });
   }
 
-  private phaseTold(told: Told, phase: unknown, asked: Asked): void {
-    const { ref } = told.job.spec;
-    // Older than what some node had said before the question was sent; one that was under way by then may be either.
+  private checkReportedPhase(reported: ReportedJob, phase: unknown, asked: Asked): void {
+    const { ref } = reported.job.spec;
+    // The answer must not be older than what any node had reported before the request was sent. A request that was
+    // already in flight at that time may get either answer.
     if (asked.final !== null && phase !== asked.final)
-      this.breach('went_back', `${ref} was ${asked.final} and is now ${String(phase)}`);
-    else if (told.final !== null && (phase === 'done' || phase === 'withdrawn') && phase !== told.final)
-      this.breach('went_back', `${ref} is called both ${told.final} and ${phase}`);
-    if (phase === 'done' && !told.job.complete) this.breach('not_done', `${ref} is called done before its tasks are`);
-    const above = phase === 'done' ? [] : this.cancelledBefore(told.job);
-    if ((phase === 'pending' || phase === 'running') && told.accepted) {
-      const late = above.find(({ cancelToldAt: at }) => at !== null && this.now() > at + this.cancelS * 1000);
-      if (late) this.breach('orphaned', `${ref} is called ${phase}, and ${late.job.spec.ref} is cancelled`);
+      this.reportViolation(
+        'went_back',
+        `${ref} was reported as ${asked.final} and is now reported as ${String(phase)}`,
+      );
+    else if (
+      reported.finalPhase !== null &&
+      (phase === 'done' || phase === 'withdrawn') &&
+      phase !== reported.finalPhase
+    )
+      this.reportViolation('went_back', `${ref} is reported both as ${reported.finalPhase} and as ${phase}`);
+    if (phase === 'done' && !reported.job.complete)
+      this.reportViolation('not_done', `${ref} is reported as done before its tasks are done`);
+    const cancelled = phase === 'done' ? [] : this.cancelledDependencies(reported.job);
+    if ((phase === 'pending' || phase === 'running') && reported.accepted) {
+      const overdue = cancelled.find(
+        ({ cancelReportedAtMs: atMs }) => atMs !== null && this.now() > atMs + this.cancelDeadlineS * 1000,
+      );
+      if (overdue)
+        this.reportViolation(
+          'orphaned',
+          `${ref} is reported as ${phase} although ${overdue.job.spec.ref}, on which it depends, is cancelled`,
+        );
     }
-    if (phase === 'withdrawn' && !told.cancelAsked && above.length === 0)
-      this.breach('went_back', `${ref} is cancelled, not by its user`);
-    if (told.final === null && (phase === 'done' || phase === 'withdrawn')) told.final = phase;
-    if (phase === 'withdrawn') this.toldCancelled(told);
+    if (phase === 'withdrawn' && !reported.cancelRequested && cancelled.length === 0)
+      this.reportViolation('went_back', `${ref} is reported as cancelled, but its user did not request it`);
+    if (reported.finalPhase === null && (phase === 'done' || phase === 'withdrawn')) reported.finalPhase = phase;
+    if (phase === 'withdrawn') this.onCancelReported(reported);
   }
 
-  /** How things stand: machines that are up, with what they have left. */
-  look(rooms: readonly Room[]): void {
+  /** Looks for jobs that are left waiting, given the machines that are up and their free capacity. Called periodically. */
+  look(capacities: readonly FreeCapacity[]): void {
     const { quietFrom } = this;
     if (quietFrom === null || this.now() < quietFrom) return;
     const waiting: JobTruth[] = [];
-    for (const { job, accepted, cancelAsked, final } of this.told.values()) {
+    for (const { job, accepted, cancelRequested, finalPhase } of this.reportedJobs.values()) {
       const { spec } = job;
-      if (!accepted || cancelAsked || final !== null || job.mistaken || job.finished.size > 0) continue;
-      if (this.byJob.has(spec.ref) || (spec.awaits ?? []).some((ref) => this.told.get(ref)?.job.complete !== true))
+      if (!accepted || cancelRequested || finalPhase !== null || job.mistaken || job.finished.size > 0) continue;
+      if (
+        this.machinesByJob.has(spec.ref) ||
+        (spec.awaits ?? []).some((ref) => this.reportedJobs.get(ref)?.job.complete !== true)
+      )
         continue;
-      if (this.cancelledBefore(job).length === 0) waiting.push(job);
+      if (this.cancelledDependencies(job).length === 0) waiting.push(job);
     }
-    this.waiting.look(this.now(), waiting, rooms, (spec) => this.underLimit(spec));
+    this.waitingDetector.update(this.now(), waiting, capacities, (spec) => this.fitsTeamLimit(spec));
   }
 
-  private underLimit(spec: JobTruth['spec']): boolean {
+  private fitsTeamLimit(spec: JobTruth['spec']): boolean {
     const limits = this.teams.get(spec.owner);
-    const used = this.used.get(spec.owner);
+    const used = this.usageByTeam.get(spec.owner);
     const tasks = spec.shape === 'ensemble' ? spec.pieces : 1;
-    const within = (now: number, more: number, most: number | undefined): boolean =>
-      most === undefined || most <= 0 || now + more * tasks <= most + EPSILON;
+    const fits = (inUse: number, perTask: number, limit: number | undefined): boolean =>
+      limit === undefined || limit <= 0 || inUse + perTask * tasks <= limit + EPSILON;
     return (
-      within(used?.cpus ?? 0, spec.vcpus, limits?.cpusMax) &&
-      within(used?.gpus ?? 0, spec.accelerators, limits?.gpusMax)
+      fits(used?.cpus ?? 0, spec.vcpus, limits?.cpusMax) && fits(used?.gpus ?? 0, spec.accelerators, limits?.gpusMax)
     );
   }
 
-  /** Jobs that it needs, directly or through others, whose users have asked to cancel them. */
-  private cancelledBefore(job: JobTruth): Told[] {
+  /** Direct and transitive dependencies of a job whose users have requested their cancellation. */
+  private cancelledDependencies(job: JobTruth): ReportedJob[] {
     const seen = new Set<string>();
-    const list = [...(job.spec.awaits ?? [])];
-    const found: Told[] = [];
-    for (let ref = list.pop(); ref !== undefined; ref = list.pop()) {
-      const told = this.told.get(ref);
-      if (!told || seen.has(ref)) continue;
+    const pending = [...(job.spec.awaits ?? [])];
+    const found: ReportedJob[] = [];
+    for (let ref = pending.pop(); ref !== undefined; ref = pending.pop()) {
+      const reported = this.reportedJobs.get(ref);
+      if (!reported || seen.has(ref)) continue;
       seen.add(ref);
-      if (told.cancelAsked) found.push(told);
-      list.push(...(told.job.spec.awaits ?? []));
+      if (reported.cancelRequested) found.push(reported);
+      pending.push(...(reported.job.spec.awaits ?? []));
     }
     return found;
   }
 
-  private forget(told: Told, why: string): void {
-    if (told.forgotten) return;
-    told.forgotten = true;
-    this.breach('forgotten', `${told.job.spec.ref}: ${why}`);
+  private reportForgotten(reported: ReportedJob, reason: string): void {
+    if (reported.reportedForgotten) return;
+    reported.reportedForgotten = true;
+    this.reportViolation('forgotten', `${reported.job.spec.ref}: ${reason}`);
   }
 
   private countPoll(answered: boolean): void {
-    const bucket = Math.floor(this.now() / BUCKET_MS);
-    let last = this.polls.at(-1);
+    const bucket = Math.floor(this.now() / POLL_BUCKET_MS);
+    let last = this.pollBuckets.at(-1);
     if (last?.bucket !== bucket) {
-      this.polls.push((last = { bucket, answered: 0, failed: 0 }));
-      if (this.polls.length > FORGOTTEN_MS / BUCKET_MS) this.polls.shift();
+      this.pollBuckets.push((last = { bucket, answered: 0, failed: 0 }));
+      if (this.pollBuckets.length > FORGOTTEN_AFTER_MS / POLL_BUCKET_MS) this.pollBuckets.shift();
     }
     if (answered) last.answered += 1;
     else last.failed += 1;
   }
 
-  private mostAnswered(): boolean {
-    const sum = (of: 'answered' | 'failed'): number => this.polls.reduce((total, bucket) => total + bucket[of], 0);
+  private mostPollsAnswered(): boolean {
+    const sum = (field: 'answered' | 'failed'): number =>
+      this.pollBuckets.reduce((total, bucket) => total + bucket[field], 0);
     return sum('answered') > sum('failed');
   }
 
-  /** The day is over. */
+  /** Checks the rules that apply to the run as a whole. */
   close(): void {
-    if (this.submitted > 0 && this.started === 0) this.breach('nothing_ran', 'no task was started');
+    if (this.submittedJobCount > 0 && this.startedTaskCount === 0)
+      this.reportViolation('nothing_ran', 'no task was started');
   }
 }
--- a/packages/region/src/hunt/hunt.ts
+++ b/packages/region/src/hunt/hunt.ts
@@ -1,23 +1,24 @@
+/** Randomized fault injection: draws fault schedules, runs them, and shrinks a schedule that fails. */
 import { stringify } from 'smol-toml';
 import { readDay, type Day, type Trouble } from '../day/index.js';
 import { Region, type DayResult } from '../region.js';
 import { THIS, type Releases } from '../releases/index.js';
 import { Luck } from '../sim/index.js';
 
-const MOST_TROUBLES = 9;
-const FIRST_AT_S = 20;
+const MAX_FAULTS = 9;
+const FIRST_FAULT_AT_S = 20;
 
-/** The same day with other troubles and another seed. */
-const withTroubles = (day: Day, troubles: readonly Trouble[], seed: number): Day => ({
+/** Returns the scenario with other faults and another seed. */
+const withFaults = (day: Day, faults: readonly Trouble[], seed: number): Day => ({
   ...day,
   seed,
-  troubles: [...troubles],
+  troubles: [...faults],
 });
 
-/** One trouble of any kind, somewhere between the day's first seconds and its quiet end. */
+/** Draws one fault of any kind, which starts between 20 s and the scenario's quiet end. */
 export function drawTrouble(luck: Luck, day: Day): Trouble {
-  const last = day.duration_s - day.quiet_end_s;
-  const at_s = Math.floor(luck.between(FIRST_AT_S, Math.max(FIRST_AT_S + 1, last)));
+  const latestStartS = day.duration_s - day.quiet_end_s;
+  const at_s = Math.floor(luck.between(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS)));
   const for_s = Math.round(luck.spread({ median: 12, p95: 45, max: 70 }) * 10) / 10;
   const share = Math.round(luck.between(0.05, 0.5) * 100) / 100;
   const manner = luck.chance(0.6) ? 'hold' : 'reset';
@@ -26,8 +27,8 @@
   const zone = luck.pick(day.zones) ?? '';
   const from =
     luck.pick(['all', 'state', 'workers', 'controllers', 'users', 'state and controllers'] as const) ?? 'all';
-  const moment = luck.pick([0.05, 0.2, 0.9]) ?? 0.2;
-  const kinds: readonly Trouble[] = [
+  const shortDowntimeS = luck.pick([0.05, 0.2, 0.9]) ?? 0.2;
+  const candidates: readonly Trouble[] = [
     { kind: 'burst', at_s, for_s, class: jobClass, times: 4 },
     { kind: 'machines_die', at_s, share },
     { kind: 'machines_hang', at_s, for_s, share },
@@ -37,12 +38,12 @@
     { kind: 'machines_deaf', at_s, for_s, share },
     { kind: 'machines_mute', at_s, for_s, share },
     { kind: 'commands_held', at_s, for_s, share },
-    { kind: 'machines_restart', at_s, share, down_s: moment },
+    { kind: 'machines_restart', at_s, share, down_s: shortDowntimeS },
     { kind: 'reports_again', at_s, for_s, share, late_s: for_s },
     { kind: 'reports_again', at_s, for_s, share, for_next: true },
     { kind: 'spot_wave', at_s, share, notice: luck.chance(0.7) },
     { kind: 'controller_crash', at_s, controller, down_s: for_s },
-    { kind: 'controller_crash', at_s, controller, down_s: moment },
+    { kind: 'controller_crash', at_s, controller, down_s: shortDowntimeS },
     { kind: 'controller_pause', at_s, for_s, controller },
     { kind: 'controller_cut', at_s, for_s, controller, from, manner },
     { kind: 'controller_cut', at_s, for_s, controller, from, manner },
@@ -66,118 +67,125 @@
     { kind: 'boots_never', at_s, for_s, share },
     { kind: 'zone_cut', at_s, for_s, zone, manner },
   ];
-  return luck.pick(kinds) ?? { kind: 'watch_forgets', at_s };
+  return luck.pick(candidates) ?? { kind: 'watch_forgets', at_s };
 }
 
-/** A schedule of troubles, by seed alone. */
+/** Draws a schedule of 1 to 9 faults, which depends on the seed and the scenario alone. */
 export function drawSchedule(seed: number, day: Day): Trouble[] {
   const luck = new Luck(seed, 'schedule');
-  const count = 1 + luck.whole(MOST_TROUBLES);
+  const count = 1 + luck.whole(MAX_FAULTS);
   return Array.from({ length: count }, () => drawTrouble(luck, day)).sort((a, b) => a.at_s - b.at_s);
 }
 
 /**
- * A day that begins with controllers of an earlier release, of this one, or of both, and replaces them once or twice
- * while its troubles are on; by seed alone.
+ * Returns the scenario with controllers that start as an earlier release, as the present one, or as a mix of both, and
+ * with one or two rollouts beside its faults. The draw depends on the seed alone.
  */
-export function mixReleases(seed: number, day: Day, old: string): Day {
+export function mixReleases(seed: number, day: Day, olderRelease: string): Day {
   const luck = new Luck(seed, 'releases');
   const { count } = day.controllers;
-  const either = (): string => (luck.chance(0.5) ? old : THIS);
-  const last = day.duration_s - day.quiet_end_s;
-  const rolls = Array.from({ length: 1 + luck.whole(2) }, (): Trouble => ({
+  const drawRelease = (): string => (luck.chance(0.5) ? olderRelease : THIS);
+  const latestStartS = day.duration_s - day.quiet_end_s;
+  const rollouts = Array.from({ length: 1 + luck.whole(2) }, (): Trouble => ({
     kind: 'rollout',
-    at_s: Math.floor(luck.between(FIRST_AT_S, Math.max(FIRST_AT_S + 1, last * 0.8))),
+    at_s: Math.floor(luck.between(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS * 0.8))),
     gap_s: Math.round(luck.between(3, 25) * 10) / 10,
-    to: either(),
+    to: drawRelease(),
     order: luck.some(
       Array.from({ length: count }, (_, i) => i),
       1 + luck.whole(count),
     ),
     leave: luck.chance(0.4),
   }));
-  const troubles = [...day.troubles, ...rolls].sort((a, b) => a.at_s - b.at_s);
+  const troubles = [...day.troubles, ...rollouts].sort((a, b) => a.at_s - b.at_s);
   return {
     ...day,
     troubles,
-    controllers: { ...day.controllers, releases: Array.from({ length: count }, either) },
+    controllers: { ...day.controllers, releases: Array.from({ length: count }, drawRelease) },
   };
 }
 
-/** Plays a day to its end, or until the first rule breaks. */
+/** Runs a scenario to its end or to the first violation of a rule. */
 export async function playOnce(day: Day, releases?: Releases): Promise<DayResult> {
-  let broken = false;
-  const region = new Region({ day, ...(releases ? { releases } : {}), broken: () => (broken = true) });
-  await region.play(day.duration_s, { stop: () => broken });
+  let violated = false;
+  const region = new Region({ day, ...(releases ? { releases } : {}), broken: () => (violated = true) });
+  await region.play(day.duration_s, { stop: () => violated });
   return region.close();
 }
 
 /**
- * Takes away whatever isn't needed for `breaks` to hold: halves of the schedule first, then single
- * troubles, until none can go.
+ * Shrinks a fault schedule that fails: removes halves of it first, then single faults, as long as `stillFails` holds,
+ * until no fault can be removed.
  */
 export async function shrink(
-  troubles: readonly Trouble[],
-  breaks: (troubles: readonly Trouble[]) => Promise<boolean>,
+  faults: readonly Trouble[],
+  stillFails: (faults: readonly Trouble[]) => Promise<boolean>,
 ): Promise<readonly Trouble[]> {
-  let left = troubles;
-  for (let size = Math.max(1, Math.floor(left.length / 2)); ;) {
-    let shorter: readonly Trouble[] | null = null;
-    for (let at = 0; at < left.length && !shorter; at += size) {
-      const tried = [...left.slice(0, at), ...left.slice(at + size)];
-      if (await breaks(tried)) shorter = tried;
+  let remaining = faults;
+  for (let size = Math.max(1, Math.floor(remaining.length / 2)); ;) {
+    let shortened: readonly Trouble[] | null = null;
+    for (let at = 0; at < remaining.length && !shortened; at += size) {
+      const candidate = [...remaining.slice(0, at), ...remaining.slice(at + size)];
+      if (await stillFails(candidate)) shortened = candidate;
     }
-    if (shorter) {
-      left = shorter;
-      size = Math.max(1, Math.min(size, Math.floor(left.length / 2)));
+    if (shortened) {
+      remaining = shortened;
+      size = Math.max(1, Math.min(size, Math.floor(remaining.length / 2)));
     } else if (size > 1) size = Math.floor(size / 2);
-    else return left;
-    if (left.length === 0) return left;
+    else return remaining;
+    if (remaining.length === 0) return remaining;
   }
 }
 
-export interface HuntOptions {
+/** Options of a search for failing fault schedules. */
+export interface FaultSearchOptions {
+  /** Seed of the first schedule; each further schedule uses the next one. */
   readonly seed: number;
+  /** Called before each run; false ends the search. */
   readonly goOn: () => boolean;
+  /** Receives one line of progress at a time. */
   readonly told: (line: string) => void;
-  /** The day's own troubles stay, beside those that are drawn. */
+  /** Keeps the scenario's own faults beside the drawn ones. */
   readonly keep?: boolean;
-  /** Controllers of this earlier release take part. */
+  /** Name of an earlier release whose controllers take part. */
   readonly mixed?: string;
   readonly releases?: Releases;
 }
 
-/** A day fails by a rule, by a defect, or because a class, a team or a class's largest jobs were not served. */
-const guilty = (result: DayResult): boolean =>
+/** A run fails by a violated rule, an uncaught error, or because a class, a team or a class's largest jobs were not served. */
+const hasFailed = (result: DayResult): boolean =>
   result.breaches.length + result.defects.length + result.failures.length > 0;
 
-/** Plays schedule after schedule; null when the time is over and no rule was broken. */
+/** Runs drawn fault schedules until one fails, and shrinks it; returns null if the search ends without a failure. */
 export async function hunt(
   day: Day,
-  { seed, goOn, told, keep, mixed, releases }: HuntOptions,
+  { seed, goOn, told, keep, mixed, releases }: FaultSearchOptions,
 ): Promise<{ readonly day: Day; readonly first: DayResult } | null> {
-  for (let at = seed; goOn(); at++) {
-    const own = keep === true ? day.troubles : [];
-    const schedule = [...own, ...drawSchedule(at, day)].sort((a, b) => a.at_s - b.at_s);
-    const drawn = withTroubles(day, schedule, at);
-    const whole = mixed === undefined ? drawn : mixReleases(at, drawn, mixed);
-    const { troubles } = whole;
-    const first = await playOnce(whole, releases);
-    const what = first.breaches[0]?.rule ?? (first.defects.length > 0 ? 'a defect' : (first.failures[0] ?? null));
-    told(`seed ${at}: ${troubles.length} troubles, ${what ?? 'every rule kept'}, ${first.open.length} jobs open`);
-    if (!guilty(first)) continue;
-    told(`seed ${at}: shrinking`);
-    const fewest = await shrink(troubles, async (tried) =>
-      guilty(await playOnce(withTroubles(whole, tried, at), releases)),
+  for (let currentSeed = seed; goOn(); currentSeed++) {
+    const ownFaults = keep === true ? day.troubles : [];
+    const schedule = [...ownFaults, ...drawSchedule(currentSeed, day)].sort((a, b) => a.at_s - b.at_s);
+    const drawn = withFaults(day, schedule, currentSeed);
+    const scenario = mixed === undefined ? drawn : mixReleases(currentSeed, drawn, mixed);
+    const { troubles } = scenario;
+    const first = await playOnce(scenario, releases);
+    const failure =
+      first.breaches[0]?.rule ?? (first.defects.length > 0 ? 'an uncaught error' : (first.failures[0] ?? null));
+    told(
+      `seed ${currentSeed}: ${troubles.length} faults, ${failure ?? 'no failure'}, ${first.open.length} unfinished jobs`,
     );
-    return { day: withTroubles(whole, fewest, at), first };
+    if (!hasFailed(first)) continue;
+    told(`seed ${currentSeed}: shrinking the fault schedule`);
+    const minimal = await shrink(troubles, async (candidate) =>
+      hasFailed(await playOnce(withFaults(scenario, candidate, currentSeed), releases)),
+    );
+    return { day: withFaults(scenario, minimal, currentSeed), first };
   }
   return null;
 }
 
-/** A day as TOML, such as `readDay` reads. */
+/** Formats a scenario as TOML and checks that it can be parsed again. */
 export function writeDay(day: Day): string {
   const toml = stringify(JSON.parse(JSON.stringify(day)));
-  readDay(toml, 'the day as written');
+  readDay(toml, 'formatted scenario');
   return toml;
 }
--- a/packages/region/src/hunt/meetings.ts
+++ b/packages/region/src/hunt/meetings.ts
@@ -1,62 +1,74 @@
+/** Combinations of faults that have violated rules together, and random pairs of them. */
 import type { Day, Trouble } from '../day/index.js';
 import { Luck } from '../sim/index.js';
 
-/** Where the first trouble of a meeting may begin, in seconds of the day. */
-const FIRST_S = 40;
-const LAST_S = 75;
-/** What is drawn ends so long before the day does, so that what is owed by then is owed. */
-const LASTS_S = 215;
+/** Range in which the first combination of a scenario starts, in seconds of simulated time. */
+const FIRST_FAULT_MIN_S = 40;
+const FIRST_FAULT_MAX_S = 75;
+/** Long enough after the last fault that deadlines of cancellations and answers pass before the end. */
+const SCENARIO_DURATION_S = 215;
 
-/** What a team may use that is at its limit: a service's replicas and a part of one array. */
-const TIGHT_CPUS = 60;
+/** CPU limit of a team that is mostly at its limit: enough for a service's replicas and a part of one array. */
+const LOW_TEAM_CPU_LIMIT = 60;
 
-type Draw = (luck: Luck, at: number, day: Day) => readonly Trouble[];
+/** Draws the faults of one combination; `at` is its nominal start in seconds. */
+type DrawFaults = (luck: Luck, at: number, day: Day) => readonly Trouble[];
 
-const tenths = (value: number): number => Math.round(value * 10) / 10;
-const someone = (luck: Luck, day: Day): number | 'leader' =>
+const roundToTenths = (value: number): number => Math.round(value * 10) / 10;
+const drawController = (luck: Luck, day: Day): number | 'leader' =>
   luck.chance(0.5) ? 'leader' : luck.whole(day.controllers.count);
-const held = (luck: Luck): 'hold' | 'reset' => (luck.chance(0.7) ? 'hold' : 'reset');
-/** Machines of cancelled jobs hang, some for just less than their lease. */
-const hangs = (luck: Luck, day: Day): { hang_s?: number } =>
-  luck.chance(0.6) ? { hang_s: tenths(day.workers.lease_s * (luck.pick([0.3, 0.7, 0.97, 1.2]) ?? 0.7)) } : {};
-const moment = (luck: Luck): number => luck.pick([0.05, 0.2, 0.5, 1]) ?? 0.5;
+const drawPartitionManner = (luck: Luck): 'hold' | 'reset' => (luck.chance(0.7) ? 'hold' : 'reset');
+/** Draws for how long machines of cancelled jobs hang; some hang for just less than their lease. */
+const drawHang = (luck: Luck, day: Day): { hang_s?: number } =>
+  luck.chance(0.6) ? { hang_s: roundToTenths(day.workers.lease_s * (luck.pick([0.3, 0.7, 0.97, 1.2]) ?? 0.7)) } : {};
+const drawShortDowntimeS = (luck: Luck): number => luck.pick([0.05, 0.2, 0.5, 1]) ?? 0.5;
 
-/** The meetings of troubles that the operators name, drawn with other times and parts each time: docs/meetings.md. */
-export const MEETINGS: Readonly<Record<string, Draw>> = {
+/** Combinations of faults that operators have named, see docs/meetings.md. Each draw varies times and targets. */
+export const MEETINGS: Readonly<Record<string, DrawFaults>> = {
   'ends far apart across a change of leader': (luck, at, day) => [
     { kind: 'machines_slow', at_s: at - 20, for_s: 100, share: 0.5, times: 4 },
     { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: luck.pick([0.2, 4, 20]) ?? 4 },
     {
       kind: 'controller_crash',
       at_s: at + luck.between(1, 20),
-      controller: someone(luck, day),
+      controller: drawController(luck, day),
       down_s: luck.pick([0.2, 4, 20]) ?? 4,
     },
   ],
   'over and back, all end, one returns': (luck, at, day) => [
-    { kind: 'controller_crash', at_s: at, controller: someone(luck, day), down_s: luck.between(4, 9) },
-    { kind: 'controller_crash', at_s: at + luck.between(4, 14), controller: 'all', down_s: moment(luck) },
+    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: luck.between(4, 9) },
+    { kind: 'controller_crash', at_s: at + luck.between(4, 14), controller: 'all', down_s: drawShortDowntimeS(luck) },
     {
       kind: 'controller_crash',
       at_s: at + luck.between(14, 16),
       controller: luck.whole(day.controllers.count),
-      down_s: moment(luck),
+      down_s: drawShortDowntimeS(luck),
     },
-    { kind: 'controller_crash', at_s: at + luck.between(16, 30), controller: 'all', down_s: moment(luck) },
+    { kind: 'controller_crash', at_s: at + luck.between(16, 30), controller: 'all', down_s: drawShortDowntimeS(luck) },
   ],
   'slow, then refusing one alone, then gone for all': (luck, at, day) => {
-    const alone = luck.between(0.5, 9);
+    const refusedS = luck.between(0.5, 9);
     return [
-      { kind: 'state_slow', at_s: at - 15, for_s: 15 + alone, times: 20 },
-      { kind: 'controller_refused', at_s: at, for_s: alone + luck.between(5, 60), controller: someone(luck, day) },
-      { kind: 'state_outage', at_s: at + alone, for_s: luck.between(30, 70) },
+      { kind: 'state_slow', at_s: at - 15, for_s: 15 + refusedS, times: 20 },
+      {
+        kind: 'controller_refused',
+        at_s: at,
+        for_s: refusedS + luck.between(5, 60),
+        controller: drawController(luck, day),
+      },
+      { kind: 'state_outage', at_s: at + refusedS, for_s: luck.between(30, 70) },
     ];
   },
   'refused alone, then gone for all': (luck, at, day) => {
-    const alone = luck.between(0.5, 9);
+    const refusedS = luck.between(0.5, 9);
     return [
-      { kind: 'controller_refused', at_s: at, for_s: alone + luck.between(0, 60), controller: someone(luck, day) },
-      { kind: 'state_outage', at_s: at + alone, for_s: luck.between(48, 80) },
+      {
+        kind: 'controller_refused',
+        at_s: at,
+        for_s: refusedS + luck.between(0, 60),
+        controller: drawController(luck, day),
+      },
+      { kind: 'state_outage', at_s: at + refusedS, for_s: luck.between(48, 80) },
     ];
   },
   'the leader ends while machines are out of reach or deaf': (luck, at) => [
@@ -64,29 +76,34 @@
       ? { kind: 'machines_deaf', at_s: at - 5, for_s: luck.between(10, 70), share: luck.between(0.1, 0.5) }
       : {
           ...{ kind: 'machines_cut', at_s: at - 5, for_s: luck.between(10, 70) },
-          ...{ share: luck.between(0.1, 0.5), manner: held(luck) },
+          ...{ share: luck.between(0.1, 0.5), manner: drawPartitionManner(luck) },
         },
     { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: luck.pick([0.2, 4, 30]) ?? 4 },
   ],
   'cut from the state service and the controllers': (luck, at, day) => {
-    const controller = someone(luck, day);
-    const cut = { kind: 'controller_cut', controller, from: 'state and controllers', manner: held(luck) } as const;
+    const controller = drawController(luck, day);
+    const cut = {
+      kind: 'controller_cut',
+      controller,
+      from: 'state and controllers',
+      manner: drawPartitionManner(luck),
+    } as const;
     const outage: Trouble = { kind: 'state_outage', at_s: at + luck.between(1, 20), for_s: luck.between(20, 70) };
     return [{ ...cut, at_s: at, for_s: luck.between(3, 90) }, ...(luck.chance(0.6) ? [outage] : [])];
   },
   'transactions carried out late': (luck, at, day) => [
     { kind: 'late_writes', at_s: at - 5, for_s: luck.between(20, 60), share: luck.between(0.05, 0.3) },
-    { kind: 'controller_crash', at_s: at, controller: someone(luck, day), down_s: moment(luck) },
-    { kind: 'controller_refused', at_s: at + 8, for_s: luck.between(3, 12), controller: someone(luck, day) },
+    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: drawShortDowntimeS(luck) },
+    { kind: 'controller_refused', at_s: at + 8, for_s: luck.between(3, 12), controller: drawController(luck, day) },
   ],
   'reports that come again': (luck, at, day) => [
     { kind: 'reports_again', at_s: at - 20, for_s: 70, share: 0.4, late_s: luck.pick([3, 20, 60]) ?? 20 },
-    { kind: 'controller_crash', at_s: at, controller: someone(luck, day), down_s: luck.pick([0.2, 4, 20]) ?? 4 },
-    { kind: 'machines_restart', at_s: at + luck.between(2, 20), share: 0.3, down_s: moment(luck) },
+    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: luck.pick([0.2, 4, 20]) ?? 4 },
+    { kind: 'machines_restart', at_s: at + luck.between(2, 20), share: 0.3, down_s: drawShortDowntimeS(luck) },
   ],
   'commands and answers held up': (luck, at, day) => [
     {
-      ...{ kind: 'controller_cut', at_s: at, for_s: luck.between(2, 40), controller: someone(luck, day) },
+      ...{ kind: 'controller_cut', at_s: at, for_s: luck.between(2, 40), controller: drawController(luck, day) },
       ...{ from: 'workers', manner: 'hold' },
     },
     luck.chance(0.5)
@@ -95,8 +112,13 @@
   ],
   'machines that reach no controller': (luck, at, day) => [
     { kind: 'machines_mute', at_s: at - 5, for_s: luck.between(10, 80), share: luck.between(0.1, 0.4) },
-    { kind: 'cancel_now', at_s: at, count: 12, ...hangs(luck, day) },
-    { kind: 'controller_crash', at_s: at + luck.between(0, 10), controller: someone(luck, day), down_s: moment(luck) },
+    { kind: 'cancel_now', at_s: at, count: 12, ...drawHang(luck, day) },
+    {
+      kind: 'controller_crash',
+      at_s: at + luck.between(0, 10),
+      controller: drawController(luck, day),
+      down_s: drawShortDowntimeS(luck),
+    },
   ],
   'jobs cancelled whose machines are cut off or hang, and the leader changes': (luck, at, day) => [
     luck.chance(0.5)
@@ -108,21 +130,34 @@
           manner: 'hold',
         }
       : { kind: 'machines_hang', at_s: at - 1, for_s: luck.between(5, 17), share: luck.between(0.1, 0.4) },
-    { kind: 'cancel_now', at_s: at, count: 20, ...hangs(luck, day) },
-    { kind: 'controller_crash', at_s: at + luck.between(0.1, 6), controller: someone(luck, day), down_s: moment(luck) },
+    { kind: 'cancel_now', at_s: at, count: 20, ...drawHang(luck, day) },
+    {
+      kind: 'controller_crash',
+      at_s: at + luck.between(0.1, 6),
+      controller: drawController(luck, day),
+      down_s: drawShortDowntimeS(luck),
+    },
   ],
   "cancelled in the seconds in which a controller's work changes hands": (luck, at, day) => {
-    const which = luck.whole(day.controllers.count);
-    const over: Trouble = luck.chance(0.5)
-      ? { kind: 'controller_crash', at_s: at, controller: which, down_s: luck.pick([0.2, 5, 20]) ?? 5 }
-      : { kind: 'rollout', at_s: at, gap_s: 1, to: 'this', order: [which], down_s: luck.between(1, 12), leave: true };
+    const controllerIndex = luck.whole(day.controllers.count);
+    const takeover: Trouble = luck.chance(0.5)
+      ? { kind: 'controller_crash', at_s: at, controller: controllerIndex, down_s: luck.pick([0.2, 5, 20]) ?? 5 }
+      : {
+          kind: 'rollout',
+          at_s: at,
+          gap_s: 1,
+          to: 'this',
+          order: [controllerIndex],
+          down_s: luck.between(1, 12),
+          leave: true,
+        };
     return [
-      over,
+      takeover,
       ...[0, 1, 2, 3, 4, 5].map((i): Trouble => ({
         kind: 'cancel_now',
         at_s: at + i * luck.between(0.3, 1.6),
         count: 4,
-        ...hangs(luck, day),
+        ...drawHang(luck, day),
       })),
     ];
   },
@@ -134,31 +169,36 @@
     { kind: 'close_looks', at_s: at - 25, for_s: 100 },
     { kind: 'odd_requests', at_s: at - 25, for_s: 100 },
     { kind: 'answers_held', at_s: at - 20, for_s: luck.between(20, 80), share: luck.between(0.02, 0.3) },
-    { kind: 'controller_crash', at_s: at, controller: someone(luck, day), down_s: moment(luck) },
+    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: drawShortDowntimeS(luck) },
   ],
   'only the answers of transactions are lost': (luck, at, day) => [
     { kind: 'close_looks', at_s: at - 10, for_s: 60 },
     { kind: 'late_writes', at_s: at - 10, for_s: luck.between(20, 60), share: luck.between(0.05, 0.4), at_once: true },
-    { kind: 'controller_crash', at_s: at, controller: someone(luck, day), down_s: moment(luck) },
+    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: drawShortDowntimeS(luck) },
   ],
   'refused alone as jobs are cancelled, a second later gone for all': (luck, at, day) => [
-    { kind: 'cancel_now', at_s: at, count: 20, ...hangs(luck, day) },
-    { kind: 'controller_refused', at_s: at, for_s: luck.between(1, 30), controller: someone(luck, day) },
+    { kind: 'cancel_now', at_s: at, count: 20, ...drawHang(luck, day) },
+    { kind: 'controller_refused', at_s: at, for_s: luck.between(1, 30), controller: drawController(luck, day) },
     { kind: 'state_outage', at_s: at + 1, for_s: luck.between(48, 75) },
   ],
   'commands held up, and the machine goes on': (luck, at, day) => [
     { kind: 'commands_held', at_s: at - 10, for_s: luck.between(20, 60), share: luck.between(0.2, 0.8) },
-    { kind: 'cancel_now', at_s: at, count: 20, ...hangs(luck, day) },
-    { kind: 'controller_crash', at_s: at + luck.between(0, 8), controller: someone(luck, day), down_s: moment(luck) },
+    { kind: 'cancel_now', at_s: at, count: 20, ...drawHang(luck, day) },
+    {
+      kind: 'controller_crash',
+      at_s: at + luck.between(0, 8),
+      controller: drawController(luck, day),
+      down_s: drawShortDowntimeS(luck),
+    },
   ],
   'old reports reach every controller as a new leader begins': (luck, at, day) => [
     { kind: 'reports_again', at_s: at - 20, for_s: 60, share: luck.between(0.1, 0.8), for_next: true },
-    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: moment(luck) },
-    { kind: 'cancel_now', at_s: at - 2, count: 12, ...hangs(luck, day) },
+    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: drawShortDowntimeS(luck) },
+    { kind: 'cancel_now', at_s: at - 2, count: 12, ...drawHang(luck, day) },
     {
       kind: 'controller_crash',
       at_s: at + luck.between(8, 25),
-      controller: someone(luck, day),
+      controller: drawController(luck, day),
       down_s: luck.between(1, 9),
     },
   ],
@@ -166,11 +206,16 @@
     { kind: 'boots_at_once', at_s: at - 20, for_s: 60 },
     { kind: 'burst', at_s: at - 20, for_s: 40, class: luck.pick(day.classes)?.name ?? '', times: 5 },
     { kind: 'late_writes', at_s: at - 10, for_s: 30, share: luck.between(0.1, 0.4), at_once: luck.chance(0.5) },
-    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: moment(luck) },
-    { kind: 'controller_crash', at_s: at + luck.between(5, 15), controller: 'leader', down_s: moment(luck) },
+    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: drawShortDowntimeS(luck) },
+    {
+      kind: 'controller_crash',
+      at_s: at + luck.between(5, 15),
+      controller: 'leader',
+      down_s: drawShortDowntimeS(luck),
+    },
   ],
   'all controllers away for longer than a lease': (luck, at, day) => [
-    { kind: 'cancel_now', at_s: at - luck.between(0, 3), count: 12, ...hangs(luck, day) },
+    { kind: 'cancel_now', at_s: at - luck.between(0, 3), count: 12, ...drawHang(luck, day) },
     { kind: 'controller_crash', at_s: at, controller: 'all', down_s: day.workers.lease_s + luck.between(1, 15) },
   ],
   'leaders change ten times': (luck, at) => [
@@ -183,14 +228,20 @@
   'a zone cut off for longer than a lease, machines of a zone lost': (luck, at, day) => {
     const zone = luck.pick(day.zones) ?? '';
     return [
-      { kind: 'zone_cut', at_s: at, for_s: day.workers.lease_s + luck.between(1, 25), zone, manner: held(luck) },
+      {
+        kind: 'zone_cut',
+        at_s: at,
+        for_s: day.workers.lease_s + luck.between(1, 25),
+        zone,
+        manner: drawPartitionManner(luck),
+      },
       {
         kind: 'machines_die',
         at_s: at + luck.between(-5, 30),
         share: luck.between(0.1, 0.5),
         zone: luck.pick(day.zones),
       },
-      { kind: 'cancel_now', at_s: at + 1, count: 12, ...hangs(luck, day) },
+      { kind: 'cancel_now', at_s: at + 1, count: 12, ...drawHang(luck, day) },
     ];
   },
   'more work than room, urgent and not, over slow links': (luck, at, day) => [
@@ -201,38 +252,39 @@
   ],
 };
 
-export interface Meeting {
-  /** Which meetings meet, by their names. */
+/** A scenario with two combinations of faults. */
+export interface DrawnCombination {
+  /** Names of the combinations. */
   readonly names: readonly string[];
   readonly day: Day;
 }
 
-/** A day of two meetings at about the same time, while most long arrays are cancelled; by seed alone. */
-export function drawMeeting(seed: number, base: Day): Meeting {
+/** Draws two combinations that start at about the same time, while most long arrays are cancelled. Depends on the seed and the base scenario alone. */
+export function drawCombination(seed: number, base: Day): DrawnCombination {
   const luck = new Luck(seed, 'meetings');
   const names = luck.some(Object.keys(MEETINGS), 2);
-  const at = luck.between(FIRST_S, LAST_S);
+  const at = luck.between(FIRST_FAULT_MIN_S, FIRST_FAULT_MAX_S);
   const troubles = names.flatMap((name, i) => MEETINGS[name]?.(luck, at + i * luck.between(-10, 15), base) ?? []);
   const array = base.classes.find(({ shape }) => shape === 'array');
-  const longest = array?.name;
-  // On every other day its team is at its limit most of the time.
-  const tight = luck.chance(0.5) ? array?.team : undefined;
+  const longArrayClass = array?.name;
+  // In half of the scenarios, the team of the long arrays is at its limit most of the time.
+  const limitedTeam = luck.chance(0.5) ? array?.team : undefined;
   const day: Day = {
     ...base,
     name: `meeting-${seed}`,
     seed,
-    duration_s: LASTS_S,
+    duration_s: SCENARIO_DURATION_S,
     quiet_end_s: 0,
-    teams: base.teams.map((team) => (team.name === tight ? { ...team, cpus_max: TIGHT_CPUS } : team)),
+    teams: base.teams.map((team) => (team.name === limitedTeam ? { ...team, cpus_max: LOW_TEAM_CPU_LIMIT } : team)),
     classes: base.classes.map((c) =>
-      c.name === longest
+      c.name === longArrayClass
         ? { ...c, run_s: { median: 90, p95: 140, max: 160 }, cancel_share: 0.7, initial: 6, per_minute: 10 }
         : c,
     ),
     troubles: troubles
       .map((trouble) => {
-        const rounded = { ...trouble, at_s: tenths(Math.max(1, trouble.at_s)) };
-        return 'for_s' in rounded ? { ...rounded, for_s: tenths(Math.max(0.1, rounded.for_s)) } : rounded;
+        const rounded = { ...trouble, at_s: roundToTenths(Math.max(1, trouble.at_s)) };
+        return 'for_s' in rounded ? { ...rounded, for_s: roundToTenths(Math.max(0.1, rounded.for_s)) } : rounded;
       })
       .sort((a, b) => a.at_s - b.at_s),
   };
--- a/packages/region/src/hunt/playlist.ts
+++ b/packages/region/src/hunt/playlist.ts
@@ -1,62 +1,68 @@
+/** Runs fault combinations by seed and stores one result a line, so that an interrupted run can be continued. */
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import * as v from 'valibot';
 import type { Day } from '../day/index.js';
 
 import type { Releases } from '../releases/index.js';
 import { playOnce } from './hunt.js';
-import { drawMeeting } from './meetings.js';
+import { drawCombination } from './meetings.js';
 
+/** Options of a run of fault combinations. */
 export interface MeetingFlags {
+  /** First seed. */
   readonly from: number;
+  /** Number of seeds. */
   readonly count: number;
+  /** Release of all controllers. */
   readonly as: string;
+  /** Path of the results file. */
   readonly list: string;
 }
 
-const lineSchema = v.object({ seed: v.number(), as: v.string(), broken: v.array(v.string()) });
-type Line = v.InferOutput<typeof lineSchema>;
+/** One line of the results file: the seed, the release and the violated rules. */
+const resultSchema = v.object({ seed: v.number(), as: v.string(), broken: v.array(v.string()) });
+type RunResult = v.InferOutput<typeof resultSchema>;
 
-/** A list that is not one of ours. */
+/** A results file that contains a line of another format. */
 export class ListError extends Error {}
 
-function readList(file: string): Line[] {
+/** Reads the stored results; a missing file counts as empty. */
+function readResults(file: string): RunResult[] {
   if (!existsSync(file)) return [];
   const lines = readFileSync(file, 'utf8').split('\n');
   return lines.flatMap((text, i) => {
     if (text.trim() === '') return [];
     try {
-      return [v.parse(lineSchema, JSON.parse(text))];
+      return [v.parse(resultSchema, JSON.parse(text))];
     } catch {
-      // The last one may be cut short: that run was stopped while it was written.
+      // The last line may be incomplete if an earlier run was stopped while writing it.
       if (i === lines.length - 1) return [];
-      throw new ListError(`${file}, line ${i + 1}: not a line of this list`);
+      throw new ListError(`${file}, line ${i + 1}: not a result of a fault combination`);
     }
   });
 }
 
-/** Plays what isn't listed yet, and says how many of all that is listed broke a rule; false: some did. */
+/** Runs the seeds that have no stored result yet and logs how many stored results have a violation; returns whether none has. */
 export async function playMeetings(
   base: Day,
   { from, count, as, list }: MeetingFlags,
   releases: Releases,
-  told: (line: string) => void,
+  log: (line: string) => void,
 ): Promise<boolean> {
-  const listed = new Map(readList(list).flatMap((line) => (line.as === as ? [[line.seed, line]] : [])));
+  const resultsBySeed = new Map(readResults(list).flatMap((line) => (line.as === as ? [[line.seed, line]] : [])));
   const { count: controllers } = base.controllers;
   for (let seed = from; seed < from + count; seed++) {
-    if (listed.has(seed)) continue;
-    const { names, day } = drawMeeting(seed, base);
-    const played = { ...day, controllers: { ...day.controllers, releases: Array<string>(controllers).fill(as) } };
-    const { breaches, defects } = await playOnce(played, releases);
+    if (resultsBySeed.has(seed)) continue;
+    const { names, day } = drawCombination(seed, base);
+    const scenario = { ...day, controllers: { ...day.controllers, releases: Array<string>(controllers).fill(as) } };
+    const { breaches, defects } = await playOnce(scenario, releases);
     const broken = [...new Set([...breaches.map(({ rule }) => rule as string), ...defects.map(() => 'a defect')])];
     const line = { seed, as, broken, names };
-    listed.set(seed, line);
+    resultsBySeed.set(seed, line);
     appendFileSync(list, `${JSON.stringify(line)}\n`);
-    told(
-      `seed ${seed}: ${names.join(' + ')}: ${broken.length > 0 ? `BROKEN ${broken.join(', ')}` : 'every rule kept'}`,
-    );
+    log(`seed ${seed}: ${names.join(' + ')}: ${broken.length > 0 ? `VIOLATED ${broken.join(', ')}` : 'no violation'}`);
   }
-  const guilty = [...listed.values()].filter(({ broken }) => broken.length > 0);
-  told(`${listed.size} listed, ${guilty.length} broke a rule: ${guilty.map(({ seed }) => seed).join(' ')}`);
-  return guilty.length === 0;
+  const failing = [...resultsBySeed.values()].filter(({ broken }) => broken.length > 0);
+  log(`${resultsBySeed.size} results, ${failing.length} with violations: ${failing.map(({ seed }) => seed).join(' ')}`);
+  return failing.length === 0;
 }
--- a/packages/region/src/releases/index.ts
+++ b/packages/region/src/releases/index.ts
@@ -1,1 +1,2 @@
+/** Releases of the controller that a simulation can run. */
 export * from './releases.js';
--- a/packages/region/src/releases/releases.ts
+++ b/packages/region/src/releases/releases.ts
@@ -10,80 +10,86 @@
 import type { Logger, Runtime } from '../../../../src/kernel/index.js';
 import { Service, type ServiceOptions } from '../../../../src/service/index.js';
 
-/** A frozen release that is not there, or is not what it was. */
+/** A frozen release is missing or differs from its recorded checksum. */
 export class ReleaseError extends Error {}
 
-/** A controller that has been made and can be started, whichever release it is of. */
+/** A controller of any release, which can be started and stopped. */
 export interface Running {
   start(): void;
   stop(): void;
 }
 
-/** One release of the controller: makes controllers out of a settings file, on a runtime that it is given. */
+/** A release of the controller, which creates controllers from a settings file on a given runtime. */
 export interface Release {
   readonly name: string;
+  /** Creates a controller from settings in TOML; throws if they are invalid. */
   make(toml: string, log: Logger, runtime: Runtime, options: ServiceOptions): Running;
 }
 
-/** What every day plays unless it says otherwise: the controller as its sources stand. */
+/** Name of the release that is built from the present sources; scenarios use it by default. */
 export const THIS = 'this';
 
-const current: Release = {
+const currentRelease: Release = {
   name: THIS,
   make: (toml, log, runtime, options) => new Service(parseSettings(toml), log, runtime, options),
 };
 
-const listSchema = v.record(v.string(), v.strictObject({ commit: v.string(), sha256: v.string(), bytes: v.number() }));
+/** Schema of `releases.json`: commit, checksum and size of each frozen release, by name. */
+const manifestSchema = v.record(
+  v.string(),
+  v.strictObject({ commit: v.string(), sha256: v.string(), bytes: v.number() }),
+);
 
-/** What a frozen module gives: see `scripts/freeze.mjs`. Its own types are those of its own time. */
+/** Exports of a frozen module, see `scripts/freeze.mjs`. Its own types may differ from the present ones. */
 interface FrozenModule {
   readonly parseSettings: (toml: string) => unknown;
   readonly Service: new (settings: unknown, log: Logger, runtime: Runtime, options: ServiceOptions) => Running;
 }
 
-/** Controllers of earlier commits, kept as they were built; each is read and checked once, when it is first played. */
+/** The present release and frozen builds of earlier commits. Each frozen build is read and verified once, on first use. */
 export class Releases {
-  private readonly made = new Map<string, Release>([[THIS, current]]);
-  private listed: v.InferOutput<typeof listSchema> | undefined;
+  private readonly loaded = new Map<string, Release>([[THIS, currentRelease]]);
+  private cachedManifest: v.InferOutput<typeof manifestSchema> | undefined;
 
   constructor(private readonly dir: string) {}
 
-  /** Names of all that can be played, today's first. */
+  /** Names of all available releases, the present one first. */
   get names(): readonly string[] {
-    return [THIS, ...Object.keys(this.list)];
+    return [THIS, ...Object.keys(this.manifest)];
   }
 
-  private get list(): v.InferOutput<typeof listSchema> {
+  private get manifest(): v.InferOutput<typeof manifestSchema> {
     const file = join(this.dir, 'releases.json');
-    if (this.listed) return this.listed;
-    if (!existsSync(file)) return (this.listed = {});
-    const read = v.safeParse(listSchema, JSON.parse(readFileSync(file, 'utf8')));
-    if (!read.success) throw new ReleaseError(`${file}: ${read.issues[0].message}`);
-    return (this.listed = read.output);
+    if (this.cachedManifest) return this.cachedManifest;
+    if (!existsSync(file)) return (this.cachedManifest = {});
+    const parsed = v.safeParse(manifestSchema, JSON.parse(readFileSync(file, 'utf8')));
+    if (!parsed.success) throw new ReleaseError(`${file}: ${parsed.issues[0].message}`);
+    return (this.cachedManifest = parsed.output);
   }
 
+  /** Returns a release by name; throws a ReleaseError if it is unknown, missing or modified. */
   of(name: string): Release {
-    const known = this.made.get(name);
-    if (known) return known;
-    const entry = this.list[name];
+    const cached = this.loaded.get(name);
+    if (cached) return cached;
+    const entry = this.manifest[name];
     if (!entry) throw new ReleaseError(`no release of the name ${name}; there are: ${this.names.join(', ')}`);
     const file = join(this.dir, `${name}.cjs.br`);
-    if (!existsSync(file)) throw new ReleaseError(`${file} is missing`);
+    if (!existsSync(file)) throw new ReleaseError(`frozen release ${file} does not exist`);
     const code = brotliDecompressSync(readFileSync(file));
-    // A frozen controller that was changed would prove nothing about the one that operators run.
+    // Results of a modified build would not apply to the release that operators run.
     if (bytesToHex(sha256(code)) !== entry.sha256)
-      throw new ReleaseError(`${file} is not what was frozen: its checksum differs from releases.json`);
+      throw new ReleaseError(`${file} has been modified: its checksum differs from releases.json`);
     const module = { exports: {} as unknown };
-    const load = compileFunction(code.toString('utf8'), ['module', 'exports', 'require'], { filename: file }) as (
-      ...given: unknown[]
+    const loadModule = compileFunction(code.toString('utf8'), ['module', 'exports', 'require'], { filename: file }) as (
+      ...args: unknown[]
     ) => void;
-    load(module, module.exports, createRequire(resolve(file)));
-    const { Service: Frozen, parseSettings: parse } = module.exports as FrozenModule;
+    loadModule(module, module.exports, createRequire(resolve(file)));
+    const { Service: FrozenService, parseSettings: parseFrozenSettings } = module.exports as FrozenModule;
     const release: Release = {
       name,
-      make: (toml, log, runtime, options) => new Frozen(parse(toml), log, runtime, options),
+      make: (toml, log, runtime, options) => new FrozenService(parseFrozenSettings(toml), log, runtime, options),
     };
-    this.made.set(name, release);
+    this.loaded.set(name, release);
     return release;
   }
 }
--- a/packages/region/src/sim/index.ts
+++ b/packages/region/src/sim/index.ts
@@ -1,3 +1,4 @@
+/** Deterministic discrete-event simulation: simulated time, random numbers, network and processes. */
 export * from './luck.js';
 export * from './network.js';
 export * from './process.js';
--- a/packages/region/src/sim/luck.ts
+++ b/packages/region/src/sim/luck.ts
@@ -4,90 +4,97 @@
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 
 /** The 95th percentile of a standard normal distribution. */
-const Z95 = 1.6448536269514722;
+const STANDARD_NORMAL_P95 = 1.6448536269514722;
 
-/** Numbers spread like this: half lie below `median`, one in twenty above `p95`, none above `max`. */
-export interface Spread {
+/** Parameters of a log-normal distribution: half of the values lie below `median`, one in twenty above `p95`, none above `max`. */
+export interface LogNormalParameters {
   readonly median: number;
   readonly p95: number;
   readonly max: number;
 }
 
-/** FNV-1a: gives each model's stream a seed of its own, so that one that draws more changes no other. */
-function mix(seed: number, name: string): number {
+/** Derives a seed for a named stream with FNV-1a, so that additional draws from one stream do not change any other. */
+function deriveSeed(seed: number, name: string): number {
   let hash = (seed ^ 0x811c9dc5) >>> 0;
   for (let i = 0; i < name.length; i++) hash = Math.imul(hash ^ name.charCodeAt(i), 0x01000193) >>> 0;
   return hash | 0;
 }
 
-/** A seeded stream of luck. The same seed and name give the same draws on any machine. */
+/** A seeded stream of random numbers. The same seed and name give the same numbers on every machine. */
 export class Luck {
   private readonly generator: RandomGenerator;
-  private readonly source: () => number;
+  private readonly uniformSource: () => number;
 
   constructor(
     private readonly seed: number,
     name = '',
   ) {
-    const generator = xoroshiro128plus(mix(seed, name));
+    const generator = xoroshiro128plus(deriveSeed(seed, name));
     this.generator = generator;
-    this.source = () => uniformFloat64(generator);
+    this.uniformSource = () => uniformFloat64(generator);
   }
 
-  /** A stream of its own, by name. */
+  /** Returns an independent stream whose seed is derived from this seed and a name. */
   fork(name: string): Luck {
-    return new Luck(mix(this.seed, name), name);
+    return new Luck(deriveSeed(this.seed, name), name);
   }
 
-  /** Evenly between 0 and 1, 1 excluded. */
+  /** Returns a uniformly distributed number from 0 to 1, 1 excluded. */
   next(): number {
     return uniformFloat64(this.generator);
   }
 
+  /** Returns a uniformly distributed number from `low` to `high`, `high` excluded. */
   between(low: number, high: number): number {
-    return randomUniform.source(this.source)(low, high)();
+    return randomUniform.source(this.uniformSource)(low, high)();
   }
 
-  chance(share: number): boolean {
-    return this.next() < share;
+  /** Returns true with the given probability. */
+  chance(probability: number): boolean {
+    return this.next() < probability;
   }
 
-  whole(below: number): number {
-    return Math.floor(this.next() * below);
+  /** Returns a uniformly distributed integer from 0 to `bound`, `bound` excluded. */
+  whole(bound: number): number {
+    return Math.floor(this.next() * bound);
   }
 
+  /** Returns an exponentially distributed number; 0 for a mean of 0 or less. */
   exponential(mean: number): number {
-    return mean <= 0 ? 0 : randomExponential.source(this.source)(1 / mean)();
+    return mean <= 0 ? 0 : randomExponential.source(this.uniformSource)(1 / mean)();
   }
 
+  /** Returns a Poisson-distributed integer; 0 for a mean of 0 or less. */
   poisson(mean: number): number {
-    return mean <= 0 ? 0 : randomPoisson.source(this.source)(mean)();
+    return mean <= 0 ? 0 : randomPoisson.source(this.uniformSource)(mean)();
   }
 
-  /** Log-normal by its median and 95th percentile, cut off at `max`. */
-  spread({ median, p95, max }: Spread): number {
-    const sigma = Math.log(Math.max(p95, median) / median) / Z95;
-    return Math.min(max, randomLogNormal.source(this.source)(Math.log(median), sigma)());
+  /** Returns a log-normally distributed number, given by median and 95th percentile and cut off at `max`. */
+  spread({ median, p95, max }: LogNormalParameters): number {
+    const sigma = Math.log(Math.max(p95, median) / median) / STANDARD_NORMAL_P95;
+    return Math.min(max, randomLogNormal.source(this.uniformSource)(Math.log(median), sigma)());
   }
 
-  pick<T>(from: readonly T[]): T | undefined {
-    return from[this.whole(from.length)];
+  /** Returns one element, each with the same probability; undefined for an empty list. */
+  pick<T>(items: readonly T[]): T | undefined {
+    return items[this.whole(items.length)];
   }
 
-  /** So many of them, each at most once, in the order drawn. */
-  some<T>(from: readonly T[], count: number): T[] {
-    const rest = [...from];
-    const chosen: T[] = [];
-    while (chosen.length < count && rest.length > 0) chosen.push(...rest.splice(this.whole(rest.length), 1));
-    return chosen;
+  /** Draws up to `count` elements without replacement and returns them in the order drawn. */
+  some<T>(items: readonly T[], count: number): T[] {
+    const remaining = [...items];
+    const sampled: T[] = [];
+    while (sampled.length < count && remaining.length > 0)
+      sampled.push(...remaining.splice(this.whole(remaining.length), 1));
+    return sampled;
   }
 
-  /** An index by weight. */
+  /** Returns an index with a probability proportional to its weight. */
   weighted(weights: readonly number[]): number {
-    let at = this.next() * weights.reduce((sum, w) => sum + w, 0);
+    let remaining = this.next() * weights.reduce((sum, w) => sum + w, 0);
     for (const [i, weight] of weights.entries()) {
-      at -= weight;
-      if (at < 0) return i;
+      remaining -= weight;
+      if (remaining < 0) return i;
     }
     return Math.max(0, weights.length - 1);
   }
--- a/packages/region/src/sim/network.ts
+++ b/packages/region/src/sim/network.ts
@@ -3,69 +3,74 @@
 import type { Luck } from './luck.js';
 import type { World } from './world.js';
 
-/** An address in the network. Without power it is silent: nothing is answered, and nothing fails. */
+/** A host of the simulated network. Without power it neither answers packets nor resets connections. */
 export interface Host {
   readonly ip: string;
-  /** null: it belongs to the region, not to a zone. */
+  /** The host's zone; null for a host that belongs to the region as a whole. */
   readonly zone: string | null;
   powered: boolean;
 }
 
-/** A process, as far as its connections go. */
+/** The process that owns sockets. */
 export interface SocketOwner extends Pick<Runtime, 'now' | 'after'> {
   readonly host: Host;
   readonly alive: boolean;
-  /** Open connections that it may have, in both directions. */
+  /** Upper bound of its open connections, incoming and outgoing together. */
   readonly maxSockets: number;
-  /** Runs now, after the process stands still no more, or never. */
+  /** Runs a callback now, or once the process is thawed; never if the process has ended. */
   run(work: () => void): void;
 }
 
 /**
- * What a cut does to packets. `hold`: connections hang, what was sent is delivered in order once the
- * cut is over, even when the sender has given up. `reset`: connections break at once, new ones hang.
- * `refuse`: connections break at once and new ones are refused.
+ * What a partition does to packets. `hold`: connections hang, and sent packets are delivered in order once the
+ * partition ends, even if the sender has closed the connection by then. `reset`: open connections are reset at once,
+ * new ones hang. `refuse`: open connections are reset at once and new ones are refused.
  */
 export type CutKind = 'hold' | 'reset' | 'refuse';
 
+/** A network partition, which is in force from `Network.addPartition` to `Network.removePartition`. */
 export interface Cut {
   readonly kind: CutKind;
-  /** Does it lie between these two? Asked in both orders. */
+  /** Returns whether the partition separates `a` from `b`. Called with the hosts in both orders. */
   readonly between: (a: Host, b: Host) => boolean;
 }
 
-export interface NetworkFacts {
+/** One-way latencies of the simulated network. */
+export interface NetworkParameters {
   readonly sameZoneMs: number;
   readonly crossZoneMs: number;
-  /** Delays are spread by this share. */
+  /** Each delay deviates from its base by up to this share in either direction. */
   readonly jitter: number;
 }
 
 type Packet = { readonly kind: 'data'; readonly bytes: Buffer } | { readonly kind: 'end' } | { readonly kind: 'reset' };
 
-/** A connection that nobody answers is given up by the system after this long. */
+/** The operating system gives up a connection attempt without an answer after this time. */
 const SYN_TIMEOUT_MS = 60_000;
-const FIRST_PORT = 32_768;
+const FIRST_EPHEMERAL_PORT = 32_768;
 
 const networkError = (code: string): Error => Object.assign(new Error(code), { code });
 
-/** One direction of a connection: packets arrive in the order in which they were sent. */
+/** One direction of a connection. Packets arrive in the order in which they were sent. */
 interface Pipe {
   readonly from: Host;
   readonly to: SimSocket;
-  lastAt: number;
-  held: Packet[];
+  /** Simulated time at which the latest packet arrives; later packets do not overtake it. */
+  lastArrivalMs: number;
+  /** Packets that a partition holds back, in order of arrival. */
+  heldPackets: Packet[];
 }
 
 /** One end of a simulated connection. */
 export class SimSocket extends Duplex implements Connection {
+  /** Idle timeout in milliseconds; 0 for none. */
   timeout = 0;
-  out: Pipe | undefined;
-  private unsent: Packet[] = [];
-  private finished = false;
-  private silence: Timer | undefined;
-  /** Its process is gone: nothing that arrives reaches a program. */
-  orphaned = false;
+  outgoing: Pipe | undefined;
+  private unsentPackets: Packet[] = [];
+  private endSent = false;
+  private idleTimer: Timer | undefined;
+  /** The owning process has ended: packets that arrive are not passed to a program. */
+  ownerEnded = false;
 
   constructor(
     readonly owner: SocketOwner,
@@ -76,10 +81,10 @@
     super({ allowHalfOpen, autoDestroy: true, highWaterMark: 1 << 20 });
   }
 
-  /** The connection stands: what was written before goes out. */
-  join(out: Pipe): void {
-    this.out = out;
-    for (const packet of this.unsent.splice(0)) this.network.send(out, packet);
+  /** Marks the connection as established and sends what was written before. */
+  establish(out: Pipe): void {
+    this.outgoing = out;
+    for (const packet of this.unsentPackets.splice(0)) this.network.send(out, packet);
   }
 
   override _read(): void {
@@ -87,62 +92,64 @@
   }
 
   override _write(chunk: Buffer, _encoding: BufferEncoding, done: (error?: Error | null) => void): void {
-    this.touch();
+    this.recordActivity();
     this.emitPacket({ kind: 'data', bytes: chunk });
     done();
   }
 
   override _final(done: (error?: Error | null) => void): void {
-    this.finish();
+    this.sendEnd();
     done();
   }
 
   override _destroy(error: Error | null, done: (error?: Error | null) => void): void {
-    this.silence?.cancel();
-    this.finish();
-    this.network.closed(this);
+    this.idleTimer?.cancel();
+    this.sendEnd();
+    this.network.untrackSocket(this);
     done(error);
   }
 
-  private finish(): void {
-    if (this.finished) return;
-    this.finished = true;
+  private sendEnd(): void {
+    if (this.endSent) return;
+    this.endSent = true;
     this.emitPacket({ kind: 'end' });
   }
 
   private emitPacket(packet: Packet): void {
-    if (this.out) this.network.send(this.out, packet);
-    else this.unsent.push(packet);
+    if (this.outgoing) this.network.send(this.outgoing, packet);
+    else this.unsentPackets.push(packet);
   }
 
-  /** Its process ended: the system closes the connection, and the program is told nothing. */
-  orphan(): void {
-    this.orphaned = true;
-    this.silence?.cancel();
+  /** The owning process has ended: the operating system resets the connection, and the program gets no event. */
+  onOwnerEnded(): void {
+    this.ownerEnded = true;
+    this.idleTimer?.cancel();
     this.removeAllListeners();
     this.on('error', () => undefined);
-    if (this.out) this.network.send(this.out, { kind: 'reset' });
+    if (this.outgoing) this.network.send(this.outgoing, { kind: 'reset' });
   }
 
+  /** Handles a packet that has arrived; data for a closed socket is answered with a reset. */
   receive(packet: Packet): void {
-    if (this.orphaned || this.destroyed) {
-      if (packet.kind === 'data' && this.out) this.network.send(this.out, { kind: 'reset' });
+    if (this.ownerEnded || this.destroyed) {
+      if (packet.kind === 'data' && this.outgoing) this.network.send(this.outgoing, { kind: 'reset' });
       return;
     }
-    this.touch();
+    this.recordActivity();
     if (packet.kind === 'data') this.push(packet.bytes);
     else if (packet.kind === 'end') this.push(null);
     else this.destroy(networkError('ECONNRESET'));
   }
 
+  /** Destroys the socket with a network error, unless it is closed already. */
   fail(code: string): void {
-    if (!this.destroyed && !this.orphaned) this.destroy(networkError(code));
+    if (!this.destroyed && !this.ownerEnded) this.destroy(networkError(code));
   }
 
   setTimeout(ms: number, callback?: () => void): this {
     this.timeout = ms;
     if (callback) this.once('timeout', callback);
-    this.touch();
+    this.recordActivity();
     return this;
   }
 
@@ -150,23 +157,26 @@
     return this;
   }
 
-  private lastTouch = 0;
+  private lastActivityMs = 0;
 
-  /** Restarting a timer for each packet would cost more than the packet: one look at the end of each wait. */
-  private touch(): void {
-    this.lastTouch = this.owner.now();
+  /**
+   * Records activity for the idle timeout. The timer is not restarted for each packet, which would cost more than the
+   * packet itself; instead it checks the last activity when it expires.
+   */
+  private recordActivity(): void {
+    this.lastActivityMs = this.owner.now();
     if (this.timeout === 0) {
-      this.silence?.cancel();
-      this.silence = undefined;
-    } else this.silence ??= this.watch(this.timeout);
+      this.idleTimer?.cancel();
+      this.idleTimer = undefined;
+    } else this.idleTimer ??= this.startIdleTimer(this.timeout);
   }
 
-  private watch(ms: number): Timer {
+  private startIdleTimer(ms: number): Timer {
     return this.owner.after(ms, () => {
-      this.silence = undefined;
+      this.idleTimer = undefined;
       if (this.timeout === 0 || this.destroyed) return;
-      const left = this.lastTouch + this.timeout - this.owner.now();
-      if (left > 1) this.silence = this.watch(left);
+      const left = this.lastActivityMs + this.timeout - this.owner.now();
+      if (left > 1) this.idleTimer = this.startIdleTimer(left);
       else this.emit('timeout');
     });
   }
@@ -175,99 +185,109 @@
 interface Listener {
   readonly owner: SocketOwner;
   readonly options: ListenOptions;
-  open: number;
+  openConnections: number;
 }
 
-/** Hosts, connections between them, and what cuts them. */
+/** The simulated network: hosts, connections between them, and partitions. */
 export class Network {
   private readonly hosts = new Map<string, Host>();
   private readonly listeners = new Map<string, Listener>();
   private readonly sockets = new Map<SocketOwner, Set<SimSocket>>();
-  private readonly acceptedBy = new Map<SimSocket, Listener>();
-  private readonly cuts = new Set<Cut>();
-  private readonly holding = new Set<Pipe>();
-  private nextPort = FIRST_PORT;
+  private readonly listenerBySocket = new Map<SimSocket, Listener>();
+  private readonly partitions = new Set<Cut>();
+  private readonly pipesWithHeldPackets = new Set<Pipe>();
+  private nextPort = FIRST_EPHEMERAL_PORT;
 
   constructor(
-    private readonly world: World,
-    private readonly facts: NetworkFacts,
-    private readonly luck: Luck,
+    private readonly eventQueue: World,
+    private readonly parameters: NetworkParameters,
+    private readonly random: Luck,
   ) {}
 
+  /** Adds a powered host. */
   host(ip: string, zone: string | null): Host {
     const host: Host = { ip, zone, powered: true };
     this.hosts.set(ip, host);
     return host;
   }
 
+  /** Powers a host off and removes it from the network. */
   remove(host: Host): void {
     host.powered = false;
     this.hosts.delete(host.ip);
   }
 
-  /** How many connections a process has. */
+  /** Number of open connections of a process. */
   socketsOf(process: SocketOwner): number {
     return this.sockets.get(process)?.size ?? 0;
   }
 
-  cut(cut: Cut): void {
-    this.cuts.add(cut);
-    if (cut.kind === 'hold') return;
-    for (const set of this.sockets.values()) {
-      for (const socket of set) {
+  /** Puts a partition into force. Unless it holds packets, it resets all open connections that it separates. */
+  cut(partition: Cut): void {
+    this.partitions.add(partition);
+    if (partition.kind === 'hold') return;
+    for (const processSockets of this.sockets.values()) {
+      for (const socket of processSockets) {
         const remote = this.hosts.get(socket.remoteAddress);
-        if (remote && this.lies(cut, socket.owner.host, remote)) socket.owner.run(() => socket.fail('ECONNRESET'));
+        if (remote && this.liesBetween(partition, socket.owner.host, remote))
+          socket.owner.run(() => socket.fail('ECONNRESET'));
       }
     }
   }
 
-  heal(cut: Cut): void {
-    this.cuts.delete(cut);
-    for (const pipe of [...this.holding]) {
-      if (this.between(pipe.from, pipe.to.owner.host)) continue;
-      this.holding.delete(pipe);
-      const { held } = pipe;
-      pipe.held = [];
-      for (const packet of held) this.send(pipe, packet);
+  /** Ends a partition and delivers the packets that it held, unless another partition still separates the hosts. */
+  heal(partition: Cut): void {
+    this.partitions.delete(partition);
+    for (const pipe of [...this.pipesWithHeldPackets]) {
+      if (this.partitionBetween(pipe.from, pipe.to.owner.host)) continue;
+      this.pipesWithHeldPackets.delete(pipe);
+      const { heldPackets } = pipe;
+      pipe.heldPackets = [];
+      for (const packet of heldPackets) this.send(pipe, packet);
     }
   }
 
-  private lies(cut: Cut, a: Host, b: Host): boolean {
-    return cut.between(a, b) || cut.between(b, a);
+  private liesBetween(partition: Cut, a: Host, b: Host): boolean {
+    return partition.between(a, b) || partition.between(b, a);
   }
 
-  private between(a: Host, b: Host): Cut | undefined {
-    for (const cut of this.cuts) if (this.lies(cut, a, b)) return cut;
+  private partitionBetween(a: Host, b: Host): Cut | undefined {
+    for (const partition of this.partitions) if (this.liesBetween(partition, a, b)) return partition;
     return undefined;
   }
 
-  private delay(a: Host, b: Host): number {
-    const base = a.zone === b.zone ? this.facts.sameZoneMs : this.facts.crossZoneMs;
-    return base * (1 + this.facts.jitter * (this.luck.next() * 2 - 1));
+  private oneWayDelayMs(a: Host, b: Host): number {
+    const baseMs = a.zone === b.zone ? this.parameters.sameZoneMs : this.parameters.crossZoneMs;
+    return baseMs * (1 + this.parameters.jitter * (this.random.next() * 2 - 1));
   }
 
+  /** Sends a packet; it arrives after the latency, and never before a packet that was sent earlier. */
   send(pipe: Pipe, packet: Packet): void {
-    // A machine that is gone says nothing more.
+    // A host without power sends nothing.
     if (!pipe.from.powered) return;
-    const at = Math.max(pipe.lastAt, this.world.now + this.delay(pipe.from, pipe.to.owner.host));
-    pipe.lastAt = at;
-    this.world.plan(at, () => this.arrive(pipe, packet));
+    const arrivalMs = Math.max(
+      pipe.lastArrivalMs,
+      this.eventQueue.now + this.oneWayDelayMs(pipe.from, pipe.to.owner.host),
+    );
+    pipe.lastArrivalMs = arrivalMs;
+    this.eventQueue.plan(arrivalMs, () => this.deliver(pipe, packet));
   }
 
-  private arrive(pipe: Pipe, packet: Packet): void {
+  private deliver(pipe: Pipe, packet: Packet): void {
     const host = pipe.to.owner.host;
-    if (pipe.held.length > 0 || this.between(pipe.from, host)) {
-      pipe.held.push(packet);
-      this.holding.add(pipe);
+    if (pipe.heldPackets.length > 0 || this.partitionBetween(pipe.from, host)) {
+      pipe.heldPackets.push(packet);
+      this.pipesWithHeldPackets.add(pipe);
     } else if (host.powered) pipe.to.owner.run(() => pipe.to.receive(packet));
   }
 
+  /** Listens on a port; port 0 takes the next free one. An address in use is reported through `options.failed`. */
   listen(owner: SocketOwner, options: ListenOptions): Listening {
     const port = options.port === 0 ? this.nextPort++ : options.port;
     const key = `${owner.host.ip}:${port}`;
-    const taken = this.listeners.get(key);
-    if (taken?.owner.alive === true) owner.after(0, () => options.failed(networkError('EADDRINUSE')));
-    else this.listeners.set(key, { owner, options, open: 0 });
+    const existing = this.listeners.get(key);
+    if (existing?.owner.alive === true) owner.after(0, () => options.failed(networkError('EADDRINUSE')));
+    else this.listeners.set(key, { owner, options, openConnections: 0 });
     return {
       ready: Promise.resolve(port),
       close: () => {
@@ -276,84 +296,94 @@
     };
   }
 
+  /** Opens a connection. A process at its socket limit gets EMFILE. */
   connect(from: SocketOwner, { host: ip, port }: Endpoint): SimSocket {
     const socket = new SimSocket(from, this, ip, false);
     if (!from.alive) {
-      socket.orphaned = true;
+      socket.ownerEnded = true;
       return socket;
     }
     if (this.socketsOf(from) >= from.maxSockets) {
       from.after(0, () => socket.fail('EMFILE'));
       return socket;
     }
-    this.keep(socket);
-    const there = this.hosts.get(ip);
-    const cut = there && this.between(from.host, there);
-    if (cut?.kind === 'refuse') from.after(1, () => socket.fail('ECONNREFUSED'));
-    else if (!there || cut) from.after(SYN_TIMEOUT_MS, () => socket.fail('ETIMEDOUT'));
-    else this.world.plan(this.world.now + this.delay(from.host, there), () => this.knock(socket, there, port));
+    this.trackSocket(socket);
+    const remoteHost = this.hosts.get(ip);
+    const partition = remoteHost && this.partitionBetween(from.host, remoteHost);
+    if (partition?.kind === 'refuse') from.after(1, () => socket.fail('ECONNREFUSED'));
+    else if (!remoteHost || partition) from.after(SYN_TIMEOUT_MS, () => socket.fail('ETIMEDOUT'));
+    else
+      this.eventQueue.plan(this.eventQueue.now + this.oneWayDelayMs(from.host, remoteHost), () =>
+        this.completeHandshake(socket, remoteHost, port),
+      );
     return socket;
   }
 
-  private knock(socket: SimSocket, there: Host, port: number): void {
+  private completeHandshake(socket: SimSocket, remoteHost: Host, port: number): void {
     const from = socket.owner;
-    // An attempt that was given up does not complete later.
+    // An attempt that the client has given up does not complete later.
     if (socket.destroyed || !from.alive) return;
-    const listener = this.listeners.get(`${there.ip}:${port}`);
-    const back = this.delay(there, from.host);
-    if (!there.powered || this.between(from.host, there)) {
+    const listener = this.listeners.get(`${remoteHost.ip}:${port}`);
+    const returnDelayMs = this.oneWayDelayMs(remoteHost, from.host);
+    if (!remoteHost.powered || this.partitionBetween(from.host, remoteHost)) {
       from.after(SYN_TIMEOUT_MS, () => socket.fail('ETIMEDOUT'));
       return;
     }
     const { maxConnections } = listener?.options ?? {};
-    const full =
+    const atConnectionLimit =
       listener !== undefined &&
-      ((maxConnections !== undefined && listener.open >= maxConnections) ||
+      ((maxConnections !== undefined && listener.openConnections >= maxConnections) ||
         this.socketsOf(listener.owner) >= listener.owner.maxSockets);
-    if (!listener?.owner.alive || full) {
-      this.world.plan(this.world.now + back, () => from.run(() => socket.fail('ECONNREFUSED')));
+    if (!listener?.owner.alive || atConnectionLimit) {
+      this.eventQueue.plan(this.eventQueue.now + returnDelayMs, () => from.run(() => socket.fail('ECONNREFUSED')));
       return;
     }
-    const other = new SimSocket(listener.owner, this, from.host.ip, listener.options.allowHalfOpen === true);
-    this.keep(other);
-    this.acceptedBy.set(other, listener);
-    listener.open += 1;
-    other.join({ from: there, to: socket, lastAt: this.world.now + back, held: [] });
-    // The system completes the connection; the program takes it when it runs.
-    this.world.plan(this.world.now + back, () => {
-      if (socket.destroyed || socket.orphaned) {
-        other.owner.run(() => other.receive({ kind: 'end' }));
+    const serverSocket = new SimSocket(listener.owner, this, from.host.ip, listener.options.allowHalfOpen === true);
+    this.trackSocket(serverSocket);
+    this.listenerBySocket.set(serverSocket, listener);
+    listener.openConnections += 1;
+    serverSocket.establish({
+      from: remoteHost,
+      to: socket,
+      lastArrivalMs: this.eventQueue.now + returnDelayMs,
+      heldPackets: [],
+    });
+    // The operating system completes the handshake; the program sees the connection when it runs.
+    this.eventQueue.plan(this.eventQueue.now + returnDelayMs, () => {
+      if (socket.destroyed || socket.ownerEnded) {
+        serverSocket.owner.run(() => serverSocket.receive({ kind: 'end' }));
         return;
       }
-      socket.join({ from: from.host, to: other, lastAt: this.world.now, held: [] });
+      socket.establish({ from: from.host, to: serverSocket, lastArrivalMs: this.eventQueue.now, heldPackets: [] });
       from.run(() => {
         if (!socket.destroyed) socket.emit('connect');
       });
     });
-    listener.owner.run(() => listener.options.accept(other));
+    listener.owner.run(() => listener.options.accept(serverSocket));
   }
 
-  private keep(socket: SimSocket): void {
-    let set = this.sockets.get(socket.owner);
-    if (!set) this.sockets.set(socket.owner, (set = new Set()));
-    set.add(socket);
+  private trackSocket(socket: SimSocket): void {
+    let processSockets = this.sockets.get(socket.owner);
+    if (!processSockets) this.sockets.set(socket.owner, (processSockets = new Set()));
+    processSockets.add(socket);
   }
 
-  closed(socket: SimSocket): void {
+  /** Releases the connection's place in the limits of its process and its listener. */
+  untrackSocket(socket: SimSocket): void {
     this.sockets.get(socket.owner)?.delete(socket);
-    const listener = this.acceptedBy.get(socket);
-    if (listener) listener.open -= 1;
-    this.acceptedBy.delete(socket);
+    const listener = this.listenerBySocket.get(socket);
+    if (listener) listener.openConnections -= 1;
+    this.listenerBySocket.delete(socket);
   }
 
-  /** A process has ended: its listeners are gone, and the other ends of its connections break. */
-  forget(process: SocketOwner): void {
+  /** Removes the listeners of a process that has ended and resets its connections. A host without power sends no reset. */
+  onProcessEnded(process: SocketOwner): void {
     for (const [key, listener] of this.listeners) if (listener.owner === process) this.listeners.delete(key);
     for (const socket of this.sockets.get(process) ?? []) {
-      this.acceptedBy.delete(socket);
-      if (process.host.powered) socket.orphan();
+      this.listenerBySocket.delete(socket);
+      if (process.host.powered) socket.onOwnerEnded();
       else {
-        socket.orphaned = true;
+        socket.ownerEnded = true;
         socket.removeAllListeners();
         socket.on('error', () => undefined);
       }
--- a/packages/region/src/sim/process.ts
+++ b/packages/region/src/sim/process.ts
@@ -16,17 +16,19 @@
 import type { Host, Network, SocketOwner } from './network.js';
 import type { World } from './world.js';
 
-/** Time of day at the start of every simulated day. */
+/** Wall-clock time at the start of every simulation, in milliseconds since the Unix epoch. */
 export const DAY_BEGINS = Date.UTC(2026, 0, 5, 18, 0, 0);
 
+/** Errors of a process's clocks. */
 export interface ClockFaults {
-  /** How much faster the steady clock runs than true time: 0.0005 at most by the protocol. */
+  /** Ratio by which the monotonic clock runs faster than true time; the protocol bounds it at 0.0005. */
   readonly drift: number;
-  /** The time of day wanders within this many milliseconds of true time. */
+  /** Largest offset of the wall clock from true time, in milliseconds; the offset varies within this bound. */
   readonly wanderMs: number;
 }
 
-class Action<T> extends Subscription implements SchedulerAction<T> {
+/** An RxJS action that runs on the timers of a simulated process. */
+class TimerAction<T> extends Subscription implements SchedulerAction<T> {
   private timer: Timer | undefined;
 
   constructor(
@@ -44,41 +46,42 @@
   }
 }
 
-const NOTHING: Timer = { cancel: () => undefined };
+const NOOP_TIMER: Timer = { cancel: () => undefined };
 
 /**
- * One process on a simulated host, as the runtime that its program is given. It may stand still while
- * its clocks run on, and may end at any moment: whatever it had planned is void then.
+ * A process on a simulated host, which serves as the runtime of its program. It can be frozen while its clocks
+ * keep running, and it can end at any moment, which cancels all its timers and callbacks.
  */
 export class SimProcess implements Runtime, SocketOwner {
   private ended = false;
   private frozen = false;
   private backlog: (() => void)[] = [];
-  private readonly bornAt: number;
-  private readonly wanderPhase: number;
+  private readonly startedAtMs: number;
+  private readonly wallOffsetPhase: number;
   readonly scheduler: SchedulerLike = {
     now: () => this.now(),
     schedule: <T>(work: (this: SchedulerAction<T>, state: T) => void, delay = 0, state?: T): Subscription =>
-      new Action<T>(this, work as (this: SchedulerAction<T>, state?: T) => void).schedule(state, delay),
+      new TimerAction<T>(this, work as (this: SchedulerAction<T>, state?: T) => void).schedule(state, delay),
   };
 
   constructor(
     readonly name: string,
     readonly host: Host,
-    private readonly world: World,
+    private readonly eventQueue: World,
     private readonly network: Network,
-    private readonly luck: Luck,
-    private readonly clocks: ClockFaults = { drift: 0, wanderMs: 0 },
+    private readonly randomStream: Luck,
+    private readonly clockFaults: ClockFaults = { drift: 0, wanderMs: 0 },
     readonly maxSockets = Number.POSITIVE_INFINITY,
   ) {
-    this.bornAt = world.now;
-    this.wanderPhase = luck.next() * 2 * Math.PI;
+    this.startedAtMs = eventQueue.now;
+    this.wallOffsetPhase = randomStream.next() * 2 * Math.PI;
   }
 
   get alive(): boolean {
     return !this.ended;
   }
 
+  /** Whether the process is alive and not frozen. */
   get running(): boolean {
     return !this.ended && !this.frozen;
   }
@@ -89,59 +92,63 @@
     else work();
   }
 
+  /** Suspends the process: callbacks that fall due are kept until `thaw`. */
   freeze(): void {
     this.frozen = true;
   }
 
+  /** Resumes the process and runs the kept callbacks in their order. */
   thaw(): void {
     if (!this.frozen) return;
     this.frozen = false;
-    const waiting = this.backlog;
+    const deferred = this.backlog;
     this.backlog = [];
-    for (const work of waiting) this.world.plan(this.world.now, () => this.run(work));
+    for (const work of deferred) this.eventQueue.plan(this.eventQueue.now, () => this.run(work));
   }
 
-  /** Ends it without a word to its program. */
+  /** Ends the process at once, without notice to its program. */
   kill(): void {
     this.ended = true;
     this.backlog = [];
-    this.network.forget(this);
+    this.network.onProcessEnded(this);
   }
 
+  /** Monotonic clock of this process, in milliseconds. */
   now(): Millis {
-    return millis((this.world.now - this.bornAt) * (1 + this.clocks.drift) + 1000);
+    return millis((this.eventQueue.now - this.startedAtMs) * (1 + this.clockFaults.drift) + 1000);
   }
 
+  /** Wall clock of this process, in milliseconds since the Unix epoch. */
   wall(): WallMillis {
-    const wander = Math.sin(this.world.now / 47_000 + this.wanderPhase) * this.clocks.wanderMs;
-    return wallMillis(Math.round(DAY_BEGINS + this.world.now + wander));
+    const offsetMs = Math.sin(this.eventQueue.now / 47_000 + this.wallOffsetPhase) * this.clockFaults.wanderMs;
+    return wallMillis(Math.round(DAY_BEGINS + this.eventQueue.now + offsetMs));
   }
 
   after(ms: number, work: () => void): Timer {
-    if (this.ended) return NOTHING;
-    // Like a machine's timers: whole milliseconds, and never at once.
-    const trueMs = Math.max(1, Math.ceil(ms)) / (1 + this.clocks.drift);
-    let off = false;
-    const happening = this.world.plan(this.world.now + trueMs, () =>
+    if (this.ended) return NOOP_TIMER;
+    // As with operating-system timers, delays are whole milliseconds and at least one.
+    const trueMs = Math.max(1, Math.ceil(ms)) / (1 + this.clockFaults.drift);
+    let cancelled = false;
+    const event = this.eventQueue.plan(this.eventQueue.now + trueMs, () =>
       this.run(() => {
-        if (!off) work();
+        if (!cancelled) work();
       }),
     );
     return {
       cancel: () => {
-        off = true;
-        happening.work = null;
+        cancelled = true;
+        event.callback = null;
       },
     };
   }
 
   every(ms: number, work: () => void): Timer {
-    let timer = NOTHING;
-    const again = (): void => {
-      timer = this.after(ms, again);
+    let timer = NOOP_TIMER;
+    const tick = (): void => {
+      timer = this.after(ms, tick);
       work();
     };
-    timer = this.after(ms, again);
+    timer = this.after(ms, tick);
     return { cancel: () => timer.cancel() };
   }
 
@@ -150,15 +157,15 @@
   }
 
   random(): number {
-    return this.luck.next();
+    return this.randomStream.next();
   }
 
   uniqueId(): string {
-    const half = (): string =>
-      Math.floor(this.luck.next() * 2 ** 32)
+    const hex32 = (): string =>
+      Math.floor(this.randomStream.next() * 2 ** 32)
         .toString(16)
         .padStart(8, '0');
-    return half() + half();
+    return hex32() + hex32();
   }
 
   connect(to: Endpoint): Connection {
--- a/packages/region/src/sim/rest.ts
+++ b/packages/region/src/sim/rest.ts
@@ -1,5 +1,5 @@
 /**
- * Resolves once every promise and stream callback that is under way has come to rest. The only place
- * of the simulation that uses the real event loop: what it does there takes no simulated time.
+ * Resolves once all pending promise and stream callbacks have run. This is the only place where the simulation
+ * uses the real event loop; it takes no simulated time.
  */
 export const rest = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
--- a/packages/region/src/sim/world.ts
+++ b/packages/region/src/sim/world.ts
@@ -1,66 +1,73 @@
 import TinyQueue from 'tinyqueue';
 
-/** Something that happens at a moment of true time; `work` is null once it is called off. */
-export interface Happening {
+/** An event at a moment of simulated time. */
+export interface ScheduledEvent {
+  /** Simulated time in milliseconds. */
   readonly at: number;
+  /** Sequence number, which orders events at the same moment. */
   readonly order: number;
-  work: (() => void) | null;
+  /** Null once the event is cancelled or has run. */
+  callback: (() => void) | null;
 }
 
-export interface RunOptions {
-  /** Lets promises and streams come to rest after each happening; resolves when they have. */
+/** Options of `EventQueue.run`. */
+export interface EventQueueRunOptions {
+  /** Called after each event; resolves once all pending promise and stream callbacks have run. */
   readonly rest: () => Promise<void>;
-  /** Called when simulated time has moved on; may wait, to keep to a pace. */
+  /** Called when simulated time has advanced. The run waits for a returned promise, which can slow it down to a set pace. */
   readonly moved?: (nowMs: number) => Promise<void> | undefined;
+  /** Polled before each event; true ends the run. */
   readonly stop?: () => boolean;
 }
 
 /**
- * True time, in milliseconds, and what is to happen in it. Happenings of one moment keep the order in
- * which they were planned, and each is played to rest before the next, so the same plans give the
- * same day on any machine.
+ * Discrete-event queue with simulated ("true") time in milliseconds. Events at the same moment run in the order in
+ * which they were scheduled, and the pending callbacks of each event run before the next event, so that the same
+ * schedule gives the same run on every machine.
  */
 export class World {
-  private readonly queue = new TinyQueue<Happening>([], (a, b) => a.at - b.at || a.order - b.order);
-  private planned = 0;
-  private time = 0;
-  /** Happenings played so far. */
+  private readonly queue = new TinyQueue<ScheduledEvent>([], (a, b) => a.at - b.at || a.order - b.order);
+  private scheduledCount = 0;
+  private nowMs = 0;
+  /** Number of events executed so far. */
   played = 0;
-  /** Errors that nobody caught: each is a defect of a model or of the service. */
+  /** Uncaught errors of event callbacks. Each is a defect of a model or of the service. */
   readonly defects: unknown[] = [];
 
+  /** Current simulated time in milliseconds. */
   get now(): number {
-    return this.time;
+    return this.nowMs;
   }
 
-  plan(at: number, work: () => void): Happening {
-    const happening: Happening = { at: Math.max(at, this.time), order: this.planned++, work };
-    this.queue.push(happening);
-    return happening;
+  /** Schedules a callback; a moment in the past counts as now. */
+  plan(atMs: number, callback: () => void): ScheduledEvent {
+    const event: ScheduledEvent = { at: Math.max(atMs, this.nowMs), order: this.scheduledCount++, callback };
+    this.queue.push(event);
+    return event;
   }
 
-  /** Plays everything up to a moment, that moment included. */
-  async run(untilMs: number, options: RunOptions): Promise<void> {
+  /** Runs all events up to and including a moment of simulated time. */
+  async run(untilMs: number, options: EventQueueRunOptions): Promise<void> {
     for (;;) {
       const next = this.queue.peek();
       if (!next || next.at > untilMs || options.stop?.() === true) break;
       this.queue.pop();
-      const { work } = next;
-      if (!work) continue;
-      next.work = null;
-      if (next.at > this.time) {
-        this.time = next.at;
-        const pace = options.moved?.(this.time);
-        if (pace) await pace;
+      const { callback } = next;
+      if (!callback) continue;
+      next.callback = null;
+      if (next.at > this.nowMs) {
+        this.nowMs = next.at;
+        const pacing = options.moved?.(this.nowMs);
+        if (pacing) await pacing;
       }
       this.played += 1;
       try {
-        work();
+        callback();
       } catch (error) {
         this.defects.push(error);
       }
       await options.rest();
     }
-    if (options.stop?.() !== true) this.time = Math.max(this.time, untilMs);
+    if (options.stop?.() !== true) this.nowMs = Math.max(this.nowMs, untilMs);
   }
 }
--- a/packages/region/test/day.test.ts
+++ b/packages/region/test/day.test.ts
@@ -5,21 +5,26 @@
 import { drawSchedule, shrink, writeDay } from '../src/hunt/index.js';
 import { dayText, shippedDay, shortDay } from './days.js';
 
-test('whatever is wrong with a day is named with file, line and field', () => {
+test('errors in a scenario name the file, the line and the field', () => {
   const quiet = dayText('quiet');
   const lineOf = (text: string, toml: string): number => toml.split('\n').findIndex((l) => l.includes(text)) + 1;
-  const wrong: [from: string, to: string, at: string, says: RegExp][] = [
+  const wrong: [from: string, to: string, at: string, pattern: RegExp][] = [
     ['duration_s = 600.0', 'duration_s = 0.0', 'duration_s', /duration_s: .*>0/],
     ['duration_s = 600.0', 'duration_min = 10', 'duration_min', /duration_min: no such field/],
     ['count = 3', 'count = "3"', 'count = "3"', /controllers\.count: .*number/i],
     ['zone = "south"', 'zone = "soth"', '"soth"', /capacity\.1\.zone: no such zone: soth/],
     ['team = "mail"', 'team = "post"', 'team = "post"', /classes\.0\.team: no such team: post/],
     ['gpus = 1.0', 'gpus = 9.0', '[[classes]]', /fits no machine type/],
-    ['median = 240.0, p95 = 500.0', 'median = 240.0, p95 = 50.0', 'p95 = 50.0', /classes\.0\.run_s: .*must not fall/],
+    [
+      'median = 240.0, p95 = 500.0',
+      'median = 240.0, p95 = 50.0',
+      'p95 = 50.0',
+      /classes\.0\.run_s: .*must not decrease/,
+    ],
     ['within_s = 8.0', 'within_ms = 8.0', 'within_ms', /classes\.0\.aims\.0\.within_ms: no such field/],
     ['kind = "wait"', 'kind = "waits"', 'kind = "waits"', /classes\.0\.aims\.0\.kind/],
   ];
-  for (const [from, to, at, says] of wrong) {
+  for (const [from, to, at, pattern] of wrong) {
     const toml = quiet.replace(from, to);
     assert.notEqual(toml, quiet, from);
     assert.throws(
@@ -27,7 +32,7 @@
       (error: unknown) => {
         assert.ok(error instanceof DayError, String(error));
         const [, line, rest] = /^mine\.toml:(\d+): (.*)$/.exec(error.message) ?? [];
-        assert.match(rest ?? error.message, says);
+        assert.match(rest ?? error.message, pattern);
         if (at !== '[[classes]]') assert.equal(Number(line), lineOf(at, toml), error.message);
         return true;
       },
@@ -35,14 +40,17 @@
   }
   assert.throws(() => readDay('name = ', 'mine.toml'), /^DayError|mine\.toml:1: /);
   const late = `${quiet}\n[[troubles]]\nkind = "state_outage"\nat_s = 700.0\nfor_s = 5.0\n`;
-  assert.throws(() => readDay(late, 'm'), /troubles\.0\.at_s: begins after the day has ended/);
+  assert.throws(() => readDay(late, 'm'), /troubles\.0\.at_s: starts after the end of the scenario/);
   const both = `${quiet}\n[[troubles]]\nkind = "machines_die"\nat_s = 7.0\n`;
   assert.throws(() => readDay(both, 'm'), /either a count or a share/);
-  const nobody = `${quiet}\n[[troubles]]\nkind = "controller_pause"\nat_s = 7.0\nfor_s = 2.0\ncontroller = 3\n`;
-  assert.throws(() => readDay(nobody, 'm'), /troubles\.0\.controller: there are 3 controllers, from 0/);
+  const unknownController = `${quiet}\n[[troubles]]\nkind = "controller_pause"\nat_s = 7.0\nfor_s = 2.0\ncontroller = 3\n`;
+  assert.throws(
+    () => readDay(unknownController, 'm'),
+    /troubles\.0\.controller: there are 3 controllers, numbered from 0/,
+  );
 });
 
-test("the operators' names of troubles are taken; shares beyond 1, missing and contradicting fields are named", () => {
+test("the operators' names of faults are accepted; shares above 1, missing and contradicting fields are reported", () => {
   const day = (trouble: string): string => `${dayText('quiet')}\n[[troubles]]\nat_s = 7.0\n${trouble}\n`;
   const kindOf = (trouble: string): string | undefined => readDay(day(trouble), 'm').troubles[0]?.kind;
   assert.equal(kindOf('kind = "machine_mute"\nfor_s = 3.0\nshare = 0.2'), 'machines_mute');
@@ -55,14 +63,14 @@
     ['kind = "cancel_at_end"\nfor_s = 3.0', /troubles\.0\.share: /],
     [
       'kind = "late_reports"\nfor_s = 3.0\nshare = 0.2\nfor_next = true\nlate_s = 4.0',
-      /troubles\.0\.late_s: copies that wait/,
+      /troubles\.0\.late_s: late_s and for_next exclude each other/,
     ],
     ['kind = "close_look"\nfor_s = 3.0', /troubles\.0\.kind: /],
   ];
-  for (const [trouble, says] of wrong) assert.throws(() => readDay(day(trouble), 'm'), says);
+  for (const [trouble, pattern] of wrong) assert.throws(() => readDay(day(trouble), 'm'), pattern);
 });
 
-test('the days that ship are read, and every drawn schedule is a day that is read as it was written', () => {
+test('the shipped scenarios are valid, and every drawn schedule survives formatting and parsing unchanged', () => {
   for (const name of ['quiet', 'night', 'storm']) assert.equal(shippedDay(name).name, name);
   const base = shortDay(300, []);
   fc.assert(
@@ -75,16 +83,16 @@
   );
 });
 
-test('shrinking leaves just the troubles that are needed together', async () => {
+test('shrinking leaves exactly the faults that fail together', async () => {
   const { troubles } = { troubles: drawSchedule(5, shortDay(300, [])) };
   const many = [...troubles, ...drawSchedule(6, shortDay(300, [])), ...drawSchedule(9, shortDay(300, []))];
   assert.ok(many.length >= 8);
   const needed = [many[1], many[many.length - 2]];
-  let plays = 0;
+  let runs = 0;
   const left = await shrink(many, (tried) => {
-    plays += 1;
+    runs += 1;
     return Promise.resolve(needed.every((trouble) => trouble !== undefined && tried.includes(trouble)));
   });
   assert.deepEqual(left, needed);
-  assert.ok(plays < many.length * 6, `${plays} plays`);
+  assert.ok(runs < many.length * 6, `${runs} plays`);
 });
--- a/packages/region/test/rules.test.ts
+++ b/packages/region/test/rules.test.ts
@@ -8,18 +8,22 @@
 import { cutOffNight, played, shippedDay, shortDay, swarmDay } from './days.js';
 
 /**
- * The checker must be able to fail: for each rule, the service with one part deliberately broken, on a
- * day that the whole service plays without a breach.
+ * Mutation tests of the checker: each rule must be reported for a service with one part deliberately broken, in a
+ * scenario that the intact service runs without a violation. Returns the violated rules.
  */
-async function broken(day: Day, spoil: (region: Region) => void, settings?: (toml: string) => string): Promise<Rule[]> {
+async function violatedRules(
+  day: Day,
+  sabotage: (region: Region) => void,
+  settings?: (toml: string) => string,
+): Promise<Rule[]> {
   const region = new Region({ day, ...(settings ? { settings } : {}) });
-  spoil(region);
+  sabotage(region);
   await region.play(day.duration_s);
   return [...new Set(region.close().breaches.map(({ rule }) => rule))];
 }
 
-/** Replaces a method for as long as `body` takes. */
-async function patched<T extends object, K extends keyof T, R>(
+/** Replaces a method while `body` runs. */
+async function withPatchedMethod<T extends object, K extends keyof T, R>(
   prototype: T,
   name: K,
   value: T[K],
@@ -34,11 +38,11 @@
   }
 }
 
-/** Whether a task is started again just then depends on the luck of the day, and on every write before it. */
+/** Several seeds, because whether a task is restarted at the critical moment depends on the random draws and on every earlier write. */
 const SEEDS = [2, 5, 9, 14, 15, 16];
-const nothing = (): void => undefined;
+const noSabotage = (): void => undefined;
 
-test('the days that are spoilt below keep every rule when nothing is broken', async () => {
+test('the scenarios of the tests below violate no rule with the intact service', async () => {
   for (const day of [shortDay(150, []), ...SEEDS.map(cutOffNight)]) {
     const result = await played(day);
     assert.deepEqual([result.breaches, result.defects], [[], []]);
@@ -46,156 +50,173 @@
   }
 });
 
-test('ran_twice: a fence that counts leases from the last answered report alone', async () => {
+test('ran_twice: fencing that counts leases from the last answered report alone', async () => {
   const { take, takeAnswer } = MachineBelief.prototype;
-  const forgetful = <A extends unknown[]>(whole: (this: MachineBelief, ...given: A) => Verdict) =>
+  const countingReportsOnly = <A extends unknown[]>(original: (this: MachineBelief, ...given: A) => Verdict) =>
     function (this: MachineBelief, ...given: A): Verdict {
       const before = this.lastAnswerAt;
-      const verdict = whole.apply(this, given);
+      const verdict = original.apply(this, given);
       this.lastAnswerAt = before;
-      // Nothing is started any more where only commands are answered: that alone would hide it, and is left out, too.
+      // The service starts no task on a machine that only answers commands. That rule alone would hide the fault, so it is
+      // disabled as well.
       this.lastReportAt = this.lastHeardAt;
       return verdict;
     };
-  const caught: number[] = [];
+  const detectedSeeds: number[] = [];
   for (const seed of SEEDS) {
-    const rules = await patched(MachineBelief.prototype, 'take', forgetful(take), () =>
-      patched(MachineBelief.prototype, 'takeAnswer', forgetful(takeAnswer), () => broken(cutOffNight(seed), nothing)),
+    const rules = await withPatchedMethod(MachineBelief.prototype, 'take', countingReportsOnly(take), () =>
+      withPatchedMethod(MachineBelief.prototype, 'takeAnswer', countingReportsOnly(takeAnswer), () =>
+        violatedRules(cutOffNight(seed), noSabotage),
+      ),
     );
-    if (rules.includes('ran_twice')) caught.push(seed);
+    if (rules.includes('ran_twice')) detectedSeeds.push(seed);
   }
-  assert.ok(caught.length > 0, 'on no seed');
+  assert.ok(detectedSeeds.length > 0, 'detected with no seed');
 });
 
-test('quota: a team takes more than its limit', async () => {
+test('quota: a team uses more than its limit', async () => {
   const day = shippedDay('quiet');
-  const tight: Day = {
+  const limited: Day = {
     ...day,
     duration_s: 100,
     teams: day.teams.map((team) => (team.name === 'mail' ? { ...team, cpus_max: 14 } : team)),
   };
-  assert.deepEqual(await broken(tight, nothing), []);
-  const rules = await broken(tight, nothing, (toml) => toml.replaceAll(/cpus_max = 14(\.0)?$/gm, 'cpus_max = 0'));
+  assert.deepEqual(await violatedRules(limited, noSabotage), []);
+  const rules = await violatedRules(limited, noSabotage, (toml) =>
+    toml.replaceAll(/cpus_max = 14(\.0)?$/gm, 'cpus_max = 0'),
+  );
   assert.deepEqual(rules, ['quota']);
 });
 
-test('wrong_place: what a job allows is forgotten on the way in', async () => {
-  const whole = JobRegistry.prototype.submit;
-  const anywhere: JobRegistry['submit'] = function (this: JobRegistry, spec) {
-    return whole.call(this, { ...spec, spread: false, spot: true, types: null, zone: null });
+test('wrong_place: the placement constraints of a job are dropped at submission', async () => {
+  const original = JobRegistry.prototype.submit;
+  const withoutConstraints: JobRegistry['submit'] = function (this: JobRegistry, spec) {
+    return original.call(this, { ...spec, spread: false, spot: true, types: null, zone: null });
   };
-  const rules = await patched(JobRegistry.prototype, 'submit', anywhere, () => broken(shortDay(60, []), nothing));
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'submit', withoutConstraints, () =>
+    violatedRules(shortDay(60, []), noSabotage),
+  );
   assert.deepEqual(rules, ['wrong_place']);
 });
 
-test('ran_cancelled: a cancellation is promised and not carried out', async () => {
+test('ran_cancelled: a cancellation is confirmed, but not carried out', async () => {
   const promise: JobRegistry['cancel'] = (id) =>
     Promise.resolve({ kind: 'known', view: { id, phase: 'cancelled', done: 0, running: 0 } });
-  const rules = await patched(JobRegistry.prototype, 'cancel', promise, () => broken(shortDay(420, []), nothing));
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'cancel', promise, () =>
+    violatedRules(shortDay(420, []), noSabotage),
+  );
   assert.ok(rules.includes('ran_cancelled'), rules.join());
 });
 
-test('forgotten: a write is answered and lost', async () => {
-  const lose = (region: Region): void => {
+test('forgotten: a write is acknowledged and lost', async () => {
+  const loseJobWrites = (region: Region): void => {
     region.parts.state.loses = (key) => key.startsWith('live/jobs/');
   };
-  const rules = await broken(shortDay(60, []), lose);
+  const rules = await violatedRules(shortDay(60, []), loseJobWrites);
   assert.ok(rules.includes('forgotten'), rules.join());
 });
 
-test('invented, not_done and went_back: answers that nothing stands behind', async () => {
-  const whole = JobRegistry.prototype.query;
-  const says = (phase: 'running' | 'done', absent: boolean): JobRegistry['query'] =>
+test('invented, not_done and went_back: answers without a basis in the stored state', async () => {
+  const original = JobRegistry.prototype.query;
+  const reporting = (phase: 'running' | 'done', absent: boolean): JobRegistry['query'] =>
     async function (this: JobRegistry, id) {
-      const outcome = await whole.call(this, id);
+      const outcome = await original.call(this, id);
       if (absent !== (outcome.kind === 'absent')) return outcome;
       return { kind: 'known', view: { id, phase, done: 0, running: 0 } };
     };
-  const under = (query: JobRegistry['query']): Promise<Rule[]> =>
-    patched(JobRegistry.prototype, 'query', query, () => broken(shortDay(120, []), nothing));
-  assert.deepEqual(await under(says('running', true)), ['invented']);
-  assert.ok((await under(says('done', false))).includes('not_done'));
-  let asked = 0;
-  const wavers: JobRegistry['query'] = async function (this: JobRegistry, id) {
-    const outcome = await whole.call(this, id);
+  const rulesWithQuery = (query: JobRegistry['query']): Promise<Rule[]> =>
+    withPatchedMethod(JobRegistry.prototype, 'query', query, () => violatedRules(shortDay(120, []), noSabotage));
+  assert.deepEqual(await rulesWithQuery(reporting('running', true)), ['invented']);
+  assert.ok((await rulesWithQuery(reporting('done', false))).includes('not_done'));
+  let queryCount = 0;
+  const alternating: JobRegistry['query'] = async function (this: JobRegistry, id) {
+    const outcome = await original.call(this, id);
     if (outcome.kind !== 'known' || outcome.view.phase !== 'done') return outcome;
-    asked += 1;
-    return asked % 2 === 0 ? { kind: 'known', view: { ...outcome.view, phase: 'running' } } : outcome;
+    queryCount += 1;
+    return queryCount % 2 === 0 ? { kind: 'known', view: { ...outcome.view, phase: 'running' } } : outcome;
   };
   const again = async function (this: JobRegistry, spec: Parameters<JobRegistry['submit']>[0]) {
-    return wavers.call(this, spec.id);
+    return alternating.call(this, spec.id);
   };
-  const rules = await patched(JobRegistry.prototype, 'query', wavers, () =>
-    patched(JobRegistry.prototype, 'submit', submitThen(again), () => broken(shortDay(400, []), nothing)),
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'query', alternating, () =>
+    withPatchedMethod(JobRegistry.prototype, 'submit', submitThen(again), () =>
+      violatedRules(shortDay(400, []), noSabotage),
+    ),
   );
   assert.ok(rules.includes('went_back'), rules.join());
 });
 
-/** A first submission as it is; a repeated one as `again` answers. */
+/** Handles a first submission normally and answers a repeated one with `again`. */
 function submitThen(again: JobRegistry['submit']): JobRegistry['submit'] {
-  const whole = JobRegistry.prototype.submit;
+  const original = JobRegistry.prototype.submit;
   const known = new Set<string>();
   return function (this: JobRegistry, spec) {
     if (known.has(spec.id)) return again.call(this, spec);
     known.add(spec.id);
-    return whole.call(this, spec);
+    return original.call(this, spec);
   };
 }
 
-const closeLooks: Day['troubles'] = [
+const closePolls: Day['troubles'] = [
   { kind: 'close_looks', at_s: 5, for_s: 50 },
   { kind: 'odd_requests', at_s: 5, for_s: 50 },
   { kind: 'cancel_at_end', at_s: 5, for_s: 50, share: 0.3 },
 ];
 
-test('went_back: nodes that are asked within milliseconds answer by what they last saw', async () => {
-  const day = swarmDay(60, closeLooks);
-  assert.deepEqual(await broken(day, nothing), []);
+test('went_back: nodes that are polled within milliseconds answer from stale state', async () => {
+  const day = swarmDay(60, closePolls);
+  assert.deepEqual(await violatedRules(day, noSabotage), []);
   const stale: Freshness['ensure'] = () => Promise.resolve(true);
-  const rules = await patched(Freshness.prototype, 'ensure', stale, () => broken(day, nothing));
+  const rules = await withPatchedMethod(Freshness.prototype, 'ensure', stale, () => violatedRules(day, noSabotage));
   assert.deepEqual(rules, ['went_back']);
 });
 
 test('odd_answer: a job that can never run is accepted', async () => {
-  const whole = JobRegistry.prototype.submit;
-  const takesAll: JobRegistry['submit'] = async function (this: JobRegistry, ...given) {
-    const outcome = await whole.apply(this, given);
+  const original = JobRegistry.prototype.submit;
+  const acceptingAll: JobRegistry['submit'] = async function (this: JobRegistry, ...given) {
+    const outcome = await original.apply(this, given);
     if (outcome.kind !== 'never') return outcome;
     return { kind: 'created', view: { id: given[0].id, phase: 'queued', done: 0, running: 0 } };
   };
-  const rules = await patched(JobRegistry.prototype, 'submit', takesAll, () =>
-    broken(shortDay(60, [{ kind: 'odd_requests', at_s: 5, for_s: 50 }]), nothing),
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'submit', acceptingAll, () =>
+    violatedRules(shortDay(60, [{ kind: 'odd_requests', at_s: 5, for_s: 50 }]), noSabotage),
   );
   assert.deepEqual(rules, ['odd_answer']);
 });
 
-test('left_waiting: jobs wait, machines have room, and nobody puts them there', async () => {
+test('left_waiting: jobs are not placed although machines have free capacity', async () => {
   const never: CommandSender['send'] = () => Promise.resolve();
-  const rules = await patched(CommandSender.prototype, 'send', never, () => broken(shortDay(130, []), nothing));
+  const rules = await withPatchedMethod(CommandSender.prototype, 'send', never, () =>
+    violatedRules(shortDay(130, []), noSabotage),
+  );
   assert.ok(rules.includes('left_waiting'), rules.join());
-  // Not while troubles are on, for then there may be a reason.
-  const troubled = shortDay(130, [{ kind: 'state_slow', at_s: 60, for_s: 60, times: 2 }]);
-  const meanwhile = await patched(CommandSender.prototype, 'send', never, () => broken(troubled, nothing));
-  assert.ok(!meanwhile.includes('left_waiting'), meanwhile.join());
+  // The rule does not apply while faults are in force, since jobs may then have a reason to wait.
+  const faulty = shortDay(130, [{ kind: 'state_slow', at_s: 60, for_s: 60, times: 2 }]);
+  const duringFault = await withPatchedMethod(CommandSender.prototype, 'send', never, () =>
+    violatedRules(faulty, noSabotage),
+  );
+  assert.ok(!duringFault.includes('left_waiting'), duringFault.join());
 });
 
-test('ran_cancelled: jobs that run are cancelled, their machines hang and go on, and nobody stops them', async () => {
+test('ran_cancelled: running jobs are cancelled, their machines hang and resume, and no stop is sent', async () => {
   const day = shortDay(140, [{ kind: 'cancel_now', at_s: 60, count: 12, hang_s: 12 }]);
-  assert.deepEqual(await broken(day, nothing), []);
+  assert.deepEqual(await violatedRules(day, noSabotage), []);
   const promise: JobRegistry['cancel'] = (id) =>
     Promise.resolve({ kind: 'known', view: { id, phase: 'cancelled', done: 0, running: 0 } });
-  const rules = await patched(JobRegistry.prototype, 'cancel', promise, () => broken(day, nothing));
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'cancel', promise, () => violatedRules(day, noSabotage));
   assert.ok(rules.includes('ran_cancelled'), rules.join());
 });
 
-test('nothing_ran: commands that are never sent', async () => {
+test('nothing_ran: no command is ever sent', async () => {
   const never: CommandSender['send'] = () => Promise.resolve();
-  const rules = await patched(CommandSender.prototype, 'send', never, () => broken(shortDay(60, []), nothing));
+  const rules = await withPatchedMethod(CommandSender.prototype, 'send', never, () =>
+    violatedRules(shortDay(60, []), noSabotage),
+  );
   assert.deepEqual(rules, ['nothing_ran']);
 });
 
-/** A short day of chains, some of them cancelled. */
-function chains(durationS: number): Day {
+/** A short scenario of job chains, half of which are cancelled. */
+function chainScenario(durationS: number): Day {
   const day = shippedDay('chain');
   return {
     ...day,
@@ -205,50 +226,54 @@
   };
 }
 
-test('too_early: what a job awaits is forgotten on the way in; the day of chains is whole otherwise', async () => {
-  assert.deepEqual(await broken(chains(150), nothing), []);
-  const whole = JobRegistry.prototype.submit;
-  const careless: JobRegistry['submit'] = function (this: JobRegistry, spec) {
-    return whole.call(this, spec);
+test('too_early: the dependencies of a job are dropped at submission; the intact service violates no rule', async () => {
+  assert.deepEqual(await violatedRules(chainScenario(150), noSabotage), []);
+  const original = JobRegistry.prototype.submit;
+  const withoutDependencies: JobRegistry['submit'] = function (this: JobRegistry, spec) {
+    return original.call(this, spec);
   };
-  const rules = await patched(JobRegistry.prototype, 'submit', careless, () => broken(chains(150), nothing));
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'submit', withoutDependencies, () =>
+    violatedRules(chainScenario(150), noSabotage),
+  );
   assert.ok(rules.includes('too_early'), rules.join());
 });
 
-test('orphaned: a cancellation that does not reach those that need the job', async () => {
-  const rules = await patched(
+test('orphaned: a cancellation does not reach the jobs that depend on the cancelled one', async () => {
+  const rules = await withPatchedMethod(
     JobRegistry.prototype,
     'withdraw',
     () => Promise.resolve(false),
     () =>
-      patched(
+      withPatchedMethod(
         Steward.prototype,
         'awaits',
         () => [],
-        () => broken(chains(180), nothing),
+        () => violatedRules(chainScenario(180), noSabotage),
       ),
   );
   assert.ok(rules.includes('orphaned'), rules.join());
 });
 
-test('forgotten: no question about a job is answered, however others fare, once all troubles are over', async () => {
-  const mute: JobRegistry['query'] = () => Promise.resolve({ kind: 'later', reason: 'no word' });
-  const rules = await patched(JobRegistry.prototype, 'query', mute, () => broken(shortDay(120, []), nothing));
+test('forgotten: polls stay unanswered after the last fault, regardless of other polls', async () => {
+  const unanswered: JobRegistry['query'] = () => Promise.resolve({ kind: 'later', reason: 'no word' });
+  const rules = await withPatchedMethod(JobRegistry.prototype, 'query', unanswered, () =>
+    violatedRules(shortDay(120, []), noSabotage),
+  );
   assert.deepEqual(rules, ['forgotten']);
 });
 
-test('a day fails when a class, a team or the largest jobs are not served, and begins to say so at half', async () => {
+test('a run fails when a class, a team or the largest jobs are not served, with a threshold of one half', async () => {
   const never: CommandSender['send'] = () => Promise.resolve();
   const day = { ...shortDay(420, []), quiet_end_s: 0 };
-  const { failures } = await patched(CommandSender.prototype, 'send', never, () => played(day));
+  const { failures } = await withPatchedMethod(CommandSender.prototype, 'send', never, () => played(day));
   for (const name of ['class letters', 'largest of letters', 'class maps', 'team mail', 'team atlas'])
     assert.ok(
       failures.some((failure) => failure.startsWith(`${name}: 0 %`)),
       `${name}: ${failures.join('; ')}`,
     );
-  const whole = await played(day);
-  assert.deepEqual(whole.failures, []);
+  const intact = await played(day);
+  assert.deepEqual(intact.failures, []);
   assert.ok(
-    whole.classes.every(({ served, largestServed }) => served !== null && served > 0.5 && largestServed !== null),
+    intact.classes.every(({ served, largestServed }) => served !== null && served > 0.5 && largestServed !== null),
   );
 });
--- a/packages/region/test/schedules.test.ts
+++ b/packages/region/test/schedules.test.ts
@@ -5,28 +5,28 @@
 import { Region, type Day, type DayResult, type Trouble } from '../src/index.js';
 import { played, shortDay } from './days.js';
 
-interface Played {
+interface CompletedRun {
   readonly result: DayResult;
   readonly events: readonly string[];
 }
 
-/** Plays a day, then lets what was accepted end; every rule must be kept, and nothing may be left. */
-async function endsWell(day: Day, restS = 400): Promise<Played> {
+/** Runs a scenario and then lets accepted jobs finish: no rule may be violated, and no job may be left. */
+async function runsToCompletion(day: Day, drainS = 400): Promise<CompletedRun> {
   const events: string[] = [];
-  const longer: Day = { ...day, duration_s: day.duration_s + restS, quiet_end_s: restS };
-  const region = new Region({ day: longer, event: (line) => events.push(line) });
+  const extended: Day = { ...day, duration_s: day.duration_s + drainS, quiet_end_s: drainS };
+  const region = new Region({ day: extended, event: (line) => events.push(line) });
   await region.play();
   const result = region.close();
   assert.deepEqual(result.breaches, []);
   assert.deepEqual(result.defects, []);
   const services = new Set(result.classes.filter((c) => c.shape === 'service').map(({ name }) => name));
-  // Services run until their users cancel them; everything else must have ended.
+  // Services run until their users cancel them; all other jobs must have ended.
   for (const c of result.classes) if (!services.has(c.name)) assert.equal(c.open, 0, `${c.name}: ${c.open} left`);
   assert.ok(result.classes.some(({ tasksStarted }) => tasksStarted > 10));
   return { result, events };
 }
 
-const gangDay = (troubles: readonly Trouble[]): Day => {
+const gangScenario = (troubles: readonly Trouble[]): Day => {
   const day = shortDay(200, troubles);
   return {
     ...day,
@@ -34,14 +34,14 @@
   };
 };
 
-const NAMED: readonly [name: string, day: Day, happened: RegExp][] = [
+const NAMED_SCENARIOS: readonly [name: string, day: Day, expectedEvent: RegExp][] = [
   [
     'all controllers restart in the middle of a gang',
-    gangDay([{ kind: 'controller_crash', at_s: 45, controller: 'all' }]),
+    gangScenario([{ kind: 'controller_crash', at_s: 45, controller: 'all' }]),
     /ends node-2/,
   ],
   [
-    "a claim while the old holder's commands are held back and come late",
+    'a shard is claimed while commands of the previous holder are held back and arrive late',
     shortDay(200, [
       { kind: 'controller_cut', at_s: 50, for_s: 40, controller: 0, from: 'workers', manner: 'hold' },
       { kind: 'controller_cut', at_s: 52, for_s: 25, controller: 0, from: 'state', manner: 'hold' },
@@ -49,7 +49,7 @@
     /over controller_cut/,
   ],
   [
-    'a controller frozen past its lease goes on in the middle of its writes',
+    'a controller that was frozen past its lease resumes in the middle of its writes',
     shortDay(200, [
       { kind: 'burst', at_s: 40, for_s: 15, class: 'letters', times: 15 },
       { kind: 'controller_pause', at_s: 47, for_s: 14, controller: 1 },
@@ -58,7 +58,7 @@
     /over controller_pause/,
   ],
   [
-    'the watch is too far behind',
+    'a watch is behind the history that the state service keeps',
     shortDay(200, [
       { kind: 'controller_cut', at_s: 40, for_s: 6, controller: 'all', from: 'state', manner: 'reset' },
       { kind: 'watch_forgets', at_s: 43 },
@@ -95,14 +95,14 @@
   ],
 ];
 
-for (const [name, day, happened] of NAMED) {
+for (const [name, day, expectedEvent] of NAMED_SCENARIOS) {
   test(name, async () => {
-    const { events } = await endsWell(day);
-    assert.ok(events.some((line) => happened.test(line)));
+    const { events } = await runsToCompletion(day);
+    assert.ok(events.some((line) => expectedEvent.test(line)));
   });
 }
 
-test('drawn schedules of troubles keep every rule', async () => {
+test('drawn fault schedules violate no rule', async () => {
   const base = shortDay(160, []);
   await fc.assert(
     fc.asyncProperty(fc.integer({ min: 0, max: 2 ** 30 }), async (seed) => {
--- a/packages/region/test/sim.test.ts
+++ b/packages/region/test/sim.test.ts
@@ -6,25 +6,26 @@
 
 const PORT = 9;
 
-/** A server that keeps what it hears, and when. */
-function ear(lab: Lab, ip: string, maxConnections?: number) {
+/** A server that records the data it receives, with the time, and the ends and errors of its connections. */
+function recordingServer(lab: Lab, ip: string, maxConnections?: number) {
   const process = lab.process(ip, 'b');
-  const heard: { at: number; text: string }[] = [];
-  const ends: string[] = [];
+  const received: { at: number; text: string }[] = [];
+  const closeEvents: string[] = [];
   process.listen({
     ...{ host: ip, port: PORT },
     ...(maxConnections === undefined ? {} : { maxConnections }),
     accept: (socket) => {
-      socket.on('data', (chunk: Buffer) => heard.push({ at: lab.world.now, text: chunk.toString() }));
-      socket.on('end', () => ends.push('end'));
-      socket.on('error', (error) => ends.push(error.message));
+      socket.on('data', (chunk: Buffer) => received.push({ at: lab.world.now, text: chunk.toString() }));
+      socket.on('end', () => closeEvents.push('end'));
+      socket.on('error', (error) => closeEvents.push(error.message));
     },
-    failed: (error) => ends.push(error.message),
+    failed: (error) => closeEvents.push(error.message),
   });
-  return { process, heard, ends };
+  return { process, received, closeEvents };
 }
 
-function mouth(from: SimProcess, to: string) {
+/** A client connection that records its events. */
+function recordingClient(from: SimProcess, to: string) {
   const socket = from.connect({ host: to, port: PORT });
   const seen: string[] = [];
   socket.on('connect', () => seen.push('connect'));
@@ -33,7 +34,7 @@
   return { socket, seen };
 }
 
-test('the same seed gives the same event log, byte for byte, and another seed another day', async () => {
+test('the same seed gives the same event log byte for byte, and another seed a different one', async () => {
   const day = shortDay(150, [
     { kind: 'controller_crash', at_s: 40, controller: 'leader' },
     { kind: 'machines_cut', at_s: 60, for_s: 20, share: 0.4, manner: 'hold' },
@@ -49,51 +50,51 @@
   assert.deepEqual(results[0]?.defects, []);
 });
 
-test('streams of luck are their own: one that draws more changes no other', () => {
+test('random streams are independent: additional draws from one do not change another', () => {
   const [a, b] = [new Luck(5), new Luck(5)];
   a.fork('x').next();
   for (let i = 0; i < 10; i++) a.fork('y').next();
   assert.equal(a.fork('z').next(), b.fork('z').next());
   const draws = Array.from({ length: 4000 }, () => b.spread({ median: 10, p95: 30, max: 50 })).sort((p, q) => p - q);
-  const at = (share: number): number => draws[Math.floor(draws.length * share)] ?? 0;
-  assert.ok(Math.abs(at(0.5) - 10) < 1 && Math.abs(at(0.95) - 30) < 4 && at(0.9999) <= 50);
+  const quantile = (share: number): number => draws[Math.floor(draws.length * share)] ?? 0;
+  assert.ok(Math.abs(quantile(0.5) - 10) < 1 && Math.abs(quantile(0.95) - 30) < 4 && quantile(0.9999) <= 50);
 });
 
-test('packets keep their order, and what a cut holds arrives late even when its sender has given up', async () => {
+test('packets stay in order, and packets held by a partition arrive after it even if the sender has closed the connection', async () => {
   const lab = new Lab();
-  const { heard, ends } = ear(lab, '10.0.0.2');
-  const speaker = lab.process('10.0.0.1', 'a');
-  const { socket, seen } = mouth(speaker, '10.0.0.2');
+  const { received, closeEvents } = recordingServer(lab, '10.0.0.2');
+  const client = lab.process('10.0.0.1', 'a');
+  const { socket, seen } = recordingClient(client, '10.0.0.2');
   for (let i = 0; i < 5; i++) socket.write(String(i));
   await lab.pass(50);
   assert.deepEqual(seen, ['connect']);
-  assert.equal(heard.map((h) => h.text).join(''), '01234');
-  const cut: Cut = { kind: 'hold', between: (a, b) => a.ip === '10.0.0.1' && b.ip === '10.0.0.2' };
-  lab.network.cut(cut);
+  assert.equal(received.map((h) => h.text).join(''), '01234');
+  const partition: Cut = { kind: 'hold', between: (a, b) => a.ip === '10.0.0.1' && b.ip === '10.0.0.2' };
+  lab.network.cut(partition);
   socket.write('late');
   await lab.pass(1000);
   socket.destroy();
-  const attempt = mouth(speaker, '10.0.0.2');
+  const attempt = recordingClient(client, '10.0.0.2');
   await lab.pass(50_000);
-  assert.equal(heard.length, 5, 'nothing passes a cut');
+  assert.equal(received.length, 5, 'no packet passes the partition');
   attempt.socket.destroy();
-  lab.network.heal(cut);
+  lab.network.heal(partition);
   await lab.pass(1000);
-  assert.equal(heard.at(-1)?.text, 'late');
-  assert.ok((heard.at(-1)?.at ?? 0) > 51_000);
-  assert.deepEqual(ends, ['end']);
-  assert.deepEqual(attempt.seen, [], 'an attempt that was given up does not complete later');
+  assert.equal(received.at(-1)?.text, 'late');
+  assert.ok((received.at(-1)?.at ?? 0) > 51_000);
+  assert.deepEqual(closeEvents, ['end']);
+  assert.deepEqual(attempt.seen, [], 'an attempt that the client has given up does not complete later');
 });
 
-test('a cut may reset or refuse; a machine without power is silent; an ended process is not', async () => {
+test('a partition can reset or refuse connections; a host without power does not answer; an ended process resets its connections', async () => {
   const lab = new Lab();
-  const there = ear(lab, '10.0.0.2', 1);
-  const here = lab.process('10.0.0.1', 'a');
-  const first = mouth(here, '10.0.0.2');
+  const server = recordingServer(lab, '10.0.0.2', 1);
+  const client = lab.process('10.0.0.1', 'a');
+  const first = recordingClient(client, '10.0.0.2');
   await lab.pass(20);
-  const second = mouth(here, '10.0.0.2');
+  const second = recordingClient(client, '10.0.0.2');
   await lab.pass(20);
-  assert.deepEqual(second.seen, ['ECONNREFUSED'], 'no more connections than the listener takes');
+  assert.deepEqual(second.seen, ['ECONNREFUSED'], 'the listener is at its connection limit');
   const between = (): boolean => true;
   const reset: Cut = { kind: 'reset', between };
   lab.network.cut(reset);
@@ -102,31 +103,31 @@
   lab.network.heal(reset);
   const refuse: Cut = { kind: 'refuse', between };
   lab.network.cut(refuse);
-  const third = mouth(here, '10.0.0.2');
+  const third = recordingClient(client, '10.0.0.2');
   await lab.pass(20);
   assert.deepEqual(third.seen, ['ECONNREFUSED']);
   lab.network.heal(refuse);
-  const fourth = mouth(here, '10.0.0.2');
+  const fourth = recordingClient(client, '10.0.0.2');
   await lab.pass(20);
-  there.process.kill();
+  server.process.kill();
   await lab.pass(20);
   assert.deepEqual(fourth.seen, ['connect', 'ECONNRESET']);
-  lab.network.remove(there.process.host);
-  const fifth = mouth(here, '10.0.0.2');
+  lab.network.remove(server.process.host);
+  const fifth = recordingClient(client, '10.0.0.2');
   await lab.pass(30_000);
   assert.deepEqual(fifth.seen, [], 'no answer and no error');
 });
 
-test('a process that stands still does what fell due when it goes on, while its clock has run', async () => {
+test('a frozen process runs its due timers once it is thawed, while its clock keeps running', async () => {
   const lab = new Lab();
   const process = lab.process('10.0.0.1', null, { drift: 0.0005, wanderMs: 40 });
   const done: { what: string; at: number; clock: number }[] = [];
-  const note = (what: string) => () => done.push({ what, at: lab.world.now, clock: process.now() });
-  const begun = process.now();
-  process.after(100, note('a'));
-  process.after(2000, note('b'));
-  const off = process.after(50, note('never'));
-  off.cancel();
+  const record = (what: string) => () => done.push({ what, at: lab.world.now, clock: process.now() });
+  const startedAt = process.now();
+  process.after(100, record('a'));
+  process.after(2000, record('b'));
+  const cancelledTimer = process.after(50, record('never'));
+  cancelledTimer.cancel();
   await lab.pass(10);
   process.freeze();
   await lab.pass(5000);
@@ -136,8 +137,8 @@
     done.map(({ what }) => what),
     ['a', 'b'],
   );
-  assert.ok(done.every(({ at, clock }) => at === 5010 && Math.abs(clock - begun - 5010 * 1.0005) < 1e-6));
-  process.after(10, note('after the end'));
+  assert.ok(done.every(({ at, clock }) => at === 5010 && Math.abs(clock - startedAt - 5010 * 1.0005) < 1e-6));
+  process.after(10, record('after the end'));
   process.kill();
   await lab.pass(100);
   assert.equal(done.length, 2);
