--- a/packages/region/src/day/index.ts
+++ b/packages/region/src/day/index.ts
@@ -4,7 +4,7 @@
 export { ANY_TEAM } from './schema.js';
 export type {
   Objective as Aim,
-  Scenario as Day,
+  SimulationScenario as Day,
   JobClass as DayClass,
   PipelineTemplate as DayPipeline,
   Fault as Trouble,
--- a/packages/region/src/day/read.ts
+++ b/packages/region/src/day/read.ts
@@ -2,7 +2,7 @@
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { isObject } from '../../../../src/kernel/index.js';
-import { ANY_TEAM, scenarioSchema, type Scenario } from './schema.js';
+import { ANY_TEAM, simulationScenarioSchema, type SimulationScenario } from './schema.js';
 
 /** An invalid scenario. The message is one line with the file, the line and the field. */
 export class ScenarioError extends Error {}
@@ -56,7 +56,7 @@
 }
 
 /** Checks what the schema cannot express: references to names, and whether the scenario can be run. Returns the first problem. */
-function findInconsistency(day: Scenario): { readonly path: Path; readonly message: string } | null {
+function findInconsistency(day: SimulationScenario): { readonly path: Path; readonly message: string } | null {
   const types = new Set(day.machine_types.map((type) => type.name));
   const zones = new Set(day.zones);
   const teams = new Set(day.teams.map((team) => team.name));
@@ -150,7 +150,7 @@
 }
 
 /** Parses a scenario; throws an error that names the file, the line and the field of the first problem. */
-export function parseScenario(toml: string, file: string): Scenario {
+export function parseScenario(toml: string, file: string): SimulationScenario {
   let raw: unknown;
   try {
     raw = parse(toml);
@@ -162,7 +162,7 @@
   const fail = (path: Path, message: string): never => {
     throw new ScenarioError(`${file}:${lineOf(toml, path)}: ${path.join('.') || 'day'}: ${message}`);
   };
-  const result = v.safeParse(scenarioSchema, resolveFaultAliases(raw));
+  const result = v.safeParse(simulationScenarioSchema, resolveFaultAliases(raw));
   if (!result.success) {
     // An unknown field is often a misspelling and then the cause of a missing field, so it is reported first.
     const unknown = result.issues.find((candidate) => candidate.expected === 'never');
--- a/packages/region/src/day/scaled.ts
+++ b/packages/region/src/day/scaled.ts
@@ -1,4 +1,4 @@
-import type { Scenario, JobClass, Fault } from './schema.js';
+import type { SimulationScenario, JobClass, Fault } from './schema.js';
 
 /** Rounds to a whole number of at least one. */
 const atLeastOne = (amount: number): number => Math.max(1, Math.round(amount));
@@ -14,15 +14,19 @@
 const distributeEvenly = (total: number, places: number): number[] =>
   Array.from({ length: places }, (_, i) => Math.floor((total + i) / places));
 
-type FleetEntry = Scenario['machines'][number] | Scenario['capacity'][number];
+type FleetEntry = SimulationScenario['machines'][number] | SimulationScenario['capacity'][number];
 
 const sum = (entries: readonly FleetEntry[], count: (entry: FleetEntry) => number): number =>
   entries.reduce((total, entry) => total + count(entry), 0);
 
 /** Scales the fleet: each machine type's total times `share`, distributed evenly over the zones that are kept. */
-function scaleFleet(day: Scenario, share: number, zones: readonly string[]): Pick<Scenario, 'machines' | 'capacity'> {
-  const machines: Scenario['machines'] = [];
-  const capacity: Scenario['capacity'] = [];
+function scaleFleet(
+  day: SimulationScenario,
+  share: number,
+  zones: readonly string[],
+): Pick<SimulationScenario, 'machines' | 'capacity'> {
+  const machines: SimulationScenario['machines'] = [];
+  const capacity: SimulationScenario['capacity'] = [];
   for (const { name: type } of day.machine_types) {
     const typeCapacity = day.capacity.filter((entry) => entry.type === type);
     const spot = distributeEvenly(
@@ -51,7 +55,7 @@
 }
 
 /** Scales the count of a fault, and maps its zone to one that is kept. */
-function scaleFault(trouble: Fault, share: number, day: Scenario, zones: readonly string[]): Fault {
+function scaleFault(trouble: Fault, share: number, day: SimulationScenario, zones: readonly string[]): Fault {
   const zone = 'zone' in trouble ? trouble.zone : undefined;
   const kept = zone === undefined ? undefined : zones[day.zones.indexOf(zone) % zones.length];
   const count = 'count' in trouble && trouble.count !== undefined ? atLeastOne(trouble.count * share) : undefined;
@@ -68,7 +72,7 @@
  * number of machines per zone stays about the same. Jobs, the number of teams and controllers, and the rates of the state
  * service and the cloud do not change. A team's limit is never less than its largest job needs.
  */
-export function scaleScenario(day: Scenario, share: number): Scenario {
+export function scaleScenario(day: SimulationScenario, share: number): SimulationScenario {
   if (share === 1) return day;
   const zones = day.zones.slice(0, Math.min(day.zones.length, Math.max(1, Math.ceil(day.zones.length * share))));
   const largestUses = day.classes.map(largestUse);
--- a/packages/region/src/day/schema.ts
+++ b/packages/region/src/day/schema.ts
@@ -217,7 +217,7 @@
 });
 
 /** A scenario: the fleet, job classes and their arrivals, faults at set times, and the seed. */
-export const scenarioSchema = v.strictObject({
+export const simulationScenarioSchema = v.strictObject({
   name,
   seed: v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(2 ** 31)),
   duration_s: v.pipe(positive, v.maxValue(100_000)),
@@ -326,12 +326,12 @@
 });
 
 /** A parsed scenario, with defaults filled in. */
-export type Scenario = v.InferOutput<typeof scenarioSchema>;
+export type SimulationScenario = v.InferOutput<typeof simulationScenarioSchema>;
 /** A class of jobs with the same shape, resources and arrival rate. */
-export type JobClass = Scenario['classes'][number];
+export type JobClass = SimulationScenario['classes'][number];
 /** A template of pipelines: stages of jobs that depend on each other. */
-export type PipelineTemplate = Scenario['pipelines'][number];
+export type PipelineTemplate = SimulationScenario['pipelines'][number];
 /** A fault that is injected at a set time (`troubles` in a scenario file). */
-export type Fault = Scenario['troubles'][number];
+export type Fault = SimulationScenario['troubles'][number];
 /** A service-level objective of a job class (`aims` in a scenario file). */
 export type Objective = JobClass['aims'][number];
