--- a/packages/region/src/checker/rules.ts
+++ b/packages/region/src/checker/rules.ts
@@ -3,22 +3,34 @@
 
 /** The rules of the protocol. A run that violates one of them yields no valid result. */
 export const RULES = [
+  /** A task was on two machines at the same time. */
   'ran_twice',
+  /** A team used more than its limit. */
   'quota',
+  /** A task was on a machine that violates its job's placement constraints. */
   'wrong_place',
+  /** A task started, or was still on a machine, after the deadline that follows a confirmed cancellation. */
   'ran_cancelled',
+  /** An accepted job was no longer known, or polls for it stayed unanswered. */
   'forgotten',
+  /** The service reported a job that no user had submitted. */
   'invented',
+  /** A job was reported as done before all its tasks were done. */
   'not_done',
+  /** After a final phase, another phase was reported; or a job was reported as cancelled without a request to cancel it. */
   'went_back',
+  /** No task was started in the whole run. */
   'nothing_ran',
+  /** A task started before the dependencies of its job were done. */
   'too_early',
+  /** A job was reported as pending or running after the cancellation deadline of a job on which it depends. */
   'orphaned',
   /** With no fault in force, a job stayed pending although a machine had free capacity and the team was below its limit. */
   'left_waiting',
   /** An invalid or impossible submission was accepted, or refused with another status than the protocol's. */
   'odd_answer',
 ] as const;
+/** Name of a rule. */
 export type Rule = (typeof RULES)[number];
 
 /** A violation of one rule. */
@@ -75,6 +87,7 @@
   private readonly machinesByJob = new Map<string, Map<number, Machine>>();
   private readonly usageByTeam = new Map<string, { cpus: number; gpus: number }>();
   private readonly reportedJobs = new Map<string, ReportedJob>();
+  /** Counts of answered and failed polls in buckets of `POLL_BUCKET_MS`, for the last `FORGOTTEN_AFTER_MS`. */
   private readonly pollBuckets: { bucket: number; answered: number; failed: number }[] = [];
   /** Simulated time in milliseconds from which on no fault is in force any more; null if unknown. */
   quietFrom: number | null = null;
@@ -274,6 +287,7 @@
     });
   }
 
+  /** Checks a phase that a user was told against what actually happened and against what was reported before. */
   private checkReportedPhase(reported: ReportedJob, phase: unknown, asked: Asked): void {
     const { ref } = reported.job.spec;
     // The answer must not be older than what any node had reported before the request was sent. A request that was
@@ -326,6 +340,7 @@
     this.waitingDetector.update(this.now(), waiting, capacities, (spec) => this.fitsTeamLimit(spec));
   }
 
+  /** Whether a job's tasks fit under its team's limits; an ensemble starts all its tasks at once, any other job at least one. */
   private fitsTeamLimit(spec: JobTruth['spec']): boolean {
     const limits = this.teams.get(spec.owner);
     const used = this.usageByTeam.get(spec.owner);
