--- a/packages/region/src/checker/rules.ts
+++ b/packages/region/src/checker/rules.ts
@@ -1,4 +1,4 @@
-import type { Asked, JobTruth, Machine, TaskWatch, UserWitness } from '../models/index.js';
+import type { ReportedState, SimulatedJob, Machine, TaskObserver, UserObserver } from '../models/index.js';
 import { WaitingDetector, type FreeCapacity } from './waiting.js';
 
 /** The rules of the protocol. A run that violates one of them yields no valid result. */
@@ -34,7 +34,7 @@
 export type Rule = (typeof RULES)[number];
 
 /** A violation of one rule. */
-export interface Breach {
+export interface RuleViolation {
   readonly rule: Rule;
   /** Simulated time in milliseconds. */
   readonly at: number;
@@ -50,7 +50,7 @@
 
 /** What users have been told about one job. Times are simulated time in milliseconds. */
 interface ReportedJob {
-  readonly job: JobTruth;
+  readonly job: SimulatedJob;
   accepted: boolean;
   /** The user has requested its cancellation. */
   cancelRequested: boolean;
@@ -78,9 +78,9 @@
  * Checks every rule of the protocol. After each event, the models report what actually happened: where tasks run and
  * what users were told. The checker sends no requests to the service.
  */
-export class RuleChecker implements TaskWatch, UserWitness {
+export class RuleChecker implements TaskObserver, UserObserver {
   /** The first violations, at most `MAX_KEPT_VIOLATIONS`. */
-  readonly breaches: Breach[] = [];
+  readonly breaches: RuleViolation[] = [];
   /** Machines on which each task is, by task key and machine id. */
   private readonly machinesByTask = new Map<string, Map<string, Machine>>();
   /** One machine for each present task of a job, by job and task index. */
@@ -106,7 +106,7 @@
     private readonly teams: ReadonlyMap<string, TeamLimits>,
     private readonly cancelDeadlineS: number,
     private readonly schedule: (ms: number, work: () => void) => void,
-    private readonly onViolation: (violation: Breach) => void = () => undefined,
+    private readonly onViolation: (violation: RuleViolation) => void = () => undefined,
   ) {}
 
   private reportViolation(rule: Rule, what: string): void {
@@ -118,7 +118,7 @@
   // ---- events on machines
 
   /** A task is on a machine from now on. */
-  entered(machine: Machine, job: JobTruth, index: number, attempt: number): void {
+  entered(machine: Machine, job: SimulatedJob, index: number, attempt: number): void {
     const { spec } = job;
     const key = `${spec.ref}/${index}`;
     this.startedTaskCount += 1;
@@ -156,7 +156,7 @@
   }
 
   /** A task is no longer on a machine. */
-  left(machine: Machine, { spec }: JobTruth, index: number): void {
+  left(machine: Machine, { spec }: SimulatedJob, index: number): void {
     const key = `${spec.ref}/${index}`;
     const machines = this.machinesByTask.get(key);
     if (!machines?.delete(machine.id)) return;
@@ -175,7 +175,7 @@
     }
   }
 
-  private addUsage({ spec }: JobTruth, count: number): void {
+  private addUsage({ spec }: SimulatedJob, count: number): void {
     let usage = this.usageByTeam.get(spec.owner);
     if (!usage) this.usageByTeam.set(spec.owner, (usage = { cpus: 0, gpus: 0 }));
     usage.cpus += spec.vcpus * count;
@@ -187,7 +187,7 @@
       this.reportViolation('quota', `${spec.owner} uses ${usage.cpus} cpus and ${usage.gpus} gpus with ${spec.ref}`);
   }
 
-  private checkPlacement(machine: Machine, { spec }: JobTruth, index: number): void {
+  private checkPlacement(machine: Machine, { spec }: SimulatedJob, index: number): void {
     const name = `${spec.ref}/${index} on ${machine.id}`;
     const { type, zone, spot } = machine;
     if (spec.hulls && !spec.hulls.includes(type.name))
@@ -204,7 +204,7 @@
 
   // ---- answers to users
 
-  submits(job: JobTruth): void {
+  jobSubmitted(job: SimulatedJob): void {
     this.submittedJobCount += 1;
     this.reportedJobs.set(job.spec.ref, {
       ...{ job, accepted: false, cancelRequested: false, cancelReportedAtMs: null, finalPhase: null },
@@ -212,12 +212,12 @@
     });
   }
 
-  asks(ref: string): Asked {
+  reportedSoFar(ref: string): ReportedState {
     const reported = this.reportedJobs.get(ref);
     return { accepted: reported?.accepted ?? false, final: reported?.finalPhase ?? null };
   }
 
-  submitAnswered(ref: string, status: number, phase: unknown, asked: Asked): void {
+  submitAnswered(ref: string, status: number, phase: unknown, asked: ReportedState): void {
     const reported = this.reportedJobs.get(ref);
     if (!reported) return;
     if (status === 200 || status === 201) {
@@ -228,7 +228,7 @@
       this.reportForgotten(reported, `a repeated submission gets ${status}`);
   }
 
-  polled(ref: string, status: number | null, phase: unknown, asked: Asked): void {
+  pollAnswered(ref: string, status: number | null, phase: unknown, asked: ReportedState): void {
     const reported = this.reportedJobs.get(ref);
     if (!reported) {
       if (status === 200) this.reportViolation('invented', `a poll for ${ref} gets 200, but no user submitted it`);
@@ -258,14 +258,14 @@
     if (reported) reported.cancelRequested = true;
   }
 
-  oddAnswered(request: string, expectedStatus: number, status: number | null): void {
+  invalidSubmissionAnswered(request: string, expectedStatus: number, status: number | null): void {
     const accepted = status === 200 || status === 201;
     if (!this.judgesOdd) return;
     if (accepted || ((status === 400 || status === 422 || status === 404) && status !== expectedStatus))
       this.reportViolation('odd_answer', `${request} gets ${status} instead of ${expectedStatus}`);
   }
 
-  cancelAnswered(ref: string, status: number, phase: unknown, asked: Asked): void {
+  cancelAnswered(ref: string, status: number, phase: unknown, asked: ReportedState): void {
     const reported = this.reportedJobs.get(ref);
     if (reported && status === 404 && asked.accepted) this.reportForgotten(reported, 'a cancellation gets 404');
     if (!reported || status !== 200) return;
@@ -288,7 +288,7 @@
   }
 
   /** Checks a phase that a user was told against what actually happened and against what was reported before. */
-  private checkReportedPhase(reported: ReportedJob, phase: unknown, asked: Asked): void {
+  private checkReportedPhase(reported: ReportedJob, phase: unknown, asked: ReportedState): void {
     const { ref } = reported.job.spec;
     // The answer must not be older than what any node had reported before the request was sent. A request that was
     // already in flight at that time may get either answer.
@@ -323,10 +323,10 @@
   }
 
   /** Looks for jobs that are left waiting, given the machines that are up and their free capacity. Called periodically. */
-  look(capacities: readonly FreeCapacity[]): void {
+  checkWaitingJobs(capacities: readonly FreeCapacity[]): void {
     const { quietFrom } = this;
     if (quietFrom === null || this.now() < quietFrom) return;
-    const waiting: JobTruth[] = [];
+    const waiting: SimulatedJob[] = [];
     for (const { job, accepted, cancelRequested, finalPhase } of this.reportedJobs.values()) {
       const { spec } = job;
       if (!accepted || cancelRequested || finalPhase !== null || job.mistaken || job.finished.size > 0) continue;
@@ -341,7 +341,7 @@
   }
 
   /** Whether a job's tasks fit under its team's limits; an ensemble starts all its tasks at once, any other job at least one. */
-  private fitsTeamLimit(spec: JobTruth['spec']): boolean {
+  private fitsTeamLimit(spec: SimulatedJob['spec']): boolean {
     const limits = this.teams.get(spec.owner);
     const used = this.usageByTeam.get(spec.owner);
     const tasks = spec.shape === 'ensemble' ? spec.pieces : 1;
@@ -353,7 +353,7 @@
   }
 
   /** Direct and transitive dependencies of a job whose users have requested their cancellation. */
-  private cancelledDependencies(job: JobTruth): ReportedJob[] {
+  private cancelledDependencies(job: SimulatedJob): ReportedJob[] {
     const seen = new Set<string>();
     const pending = [...(job.spec.awaits ?? [])];
     const found: ReportedJob[] = [];
@@ -391,7 +391,7 @@
   }
 
   /** Checks the rules that apply to the run as a whole. */
-  close(): void {
+  finish(): void {
     if (this.submittedJobCount > 0 && this.startedTaskCount === 0)
       this.reportViolation('nothing_ran', 'no task was started');
   }
--- a/packages/region/src/checker/waiting.ts
+++ b/packages/region/src/checker/waiting.ts
@@ -1,4 +1,4 @@
-import type { JobTruth, Machine, Submission } from '../models/index.js';
+import type { SimulatedJob, Machine, Submission } from '../models/index.js';
 
 /** A machine that is up, with the resources that no task on it uses. */
 export interface FreeCapacity {
@@ -42,12 +42,12 @@
 export class WaitingDetector {
   private readonly fitsSinceMs = new Map<string, number>();
 
-  constructor(private readonly onLeftWaiting: (job: JobTruth) => void) {}
+  constructor(private readonly onLeftWaiting: (job: SimulatedJob) => void) {}
 
   /** Compares jobs that are ready to run and of which no task runs (`waiting`) with the free capacity. */
   update(
     nowMs: number,
-    waiting: readonly JobTruth[],
+    waiting: readonly SimulatedJob[],
     capacities: readonly FreeCapacity[],
     fitsTeamLimit: (spec: Submission) => boolean,
   ): void {
--- a/packages/region/src/cli/command.ts
+++ b/packages/region/src/cli/command.ts
@@ -5,8 +5,15 @@
 import { SingleBar, Presets } from 'cli-progress';
 import { Command, InvalidArgumentError, Option } from 'commander';
 import { createLogger, systemRuntime } from '../../../../src/kernel/index.js';
-import { scaledDay } from '../day/index.js';
-import { hunt, MEETINGS, playMeetings, playOnce, writeDay, type MeetingFlags } from '../hunt/index.js';
+import { scaleScenario } from '../day/index.js';
+import {
+  searchForFailure,
+  FAULT_COMBINATIONS,
+  runCombinations,
+  runUntilViolation,
+  formatScenario,
+  type CombinationRunOptions,
+} from '../hunt/index.js';
 import {
   CRASH_TARGETS,
   measureCancels,
@@ -17,19 +24,19 @@
   measureSpeed,
   rolloutVariants,
 } from '../measure/index.js';
-import { Releases } from '../releases/index.js';
+import { ReleaseCatalog } from '../releases/index.js';
 import { Region, type DayResult } from '../region.js';
 import { renderDayPage, renderDayTable } from '../report/index.js';
-import { settingsFor } from '../settings.js';
-import { loopbackSeats, serveRegion } from '../real.js';
+import { controllerSettingsToml } from '../settings.js';
+import { loopbackControllerSpecs, startLoopbackRegion } from '../real.js';
 import { addCapacityCommand } from './capacity.js';
 import { dayArgument, loadDay } from './days.js';
 import { parsePositiveNumber, parseFraction, UsageError, parseWholeNumber } from './options.js';
 import { addScaleCommands } from './scale.js';
 
 /** Controllers of earlier releases, which the repository keeps beside the bundle. */
-const frozenReleases = (): Releases =>
-  new Releases(join(dirname(realpathSync(process.argv[1] ?? '.')), '..', 'packages', 'region', 'frozen'));
+const frozenReleases = (): ReleaseCatalog =>
+  new ReleaseCatalog(join(dirname(realpathSync(process.argv[1] ?? '.')), '..', 'packages', 'region', 'frozen'));
 
 /** Parses a speed factor; null means as fast as possible. */
 const parseSpeed = (text: string): number | null => (text === 'max' ? null : parsePositiveNumber(text));
@@ -68,7 +75,7 @@
 
 /** Plays a day in simulated time, and prints and stores its result. */
 async function playDay(nameOrPath: string, flags: PlayFlags): Promise<void> {
-  const day = scaledDay(loadDay(nameOrPath), flags.share);
+  const day = scaleScenario(loadDay(nameOrPath), flags.share);
   const eventLines: string[] = [];
   const logLines: string[] = [];
   const region = new Region({
@@ -132,10 +139,10 @@
   const day = loadDay(nameOrPath);
   const log = createLogger(process.env['LOG_LEVEL'], 'region');
   const logLine = (what: string): void => log.info(what);
-  const seats = loopbackSeats(day, flags.basePort);
-  const region = await serveRegion(day, flags.seed ?? day.seed, seats, log, logLine);
+  const seats = loopbackControllerSpecs(day, flags.basePort);
+  const region = await startLoopbackRegion(day, flags.seed ?? day.seed, seats, log, logLine);
   const settingsFiles: Record<string, readonly string[]> = {};
-  for (const seat of seats) settingsFiles[`${seat.name}.toml`] = [settingsFor(day, seat, seats, region)];
+  for (const seat of seats) settingsFiles[`${seat.name}.toml`] = [controllerSettingsToml(day, seat, seats, region)];
   writeFiles(flags.out, settingsFiles);
   process.stdout.write('The models are running. Start each controller in its own shell:\n\n');
   for (const name of Object.keys(settingsFiles))
@@ -149,7 +156,7 @@
   const [first] = seats;
   if (first)
     process.stdout.write(`\nThen, for example: export WOODDRIFT_NODE=${first.serveOn.host}:${first.serveOn.port}\n`);
-  if (flags.users) region.parts.open();
+  if (flags.users) region.parts.startUsers();
   else process.stdout.write('No users are simulated; use --users to simulate those of the day.\n');
   process.stdout.write('Press Ctrl-C to stop the models.\n');
 }
@@ -167,11 +174,11 @@
 async function huntDay(nameOrPath: string, flags: HuntFlags): Promise<void> {
   const day = loadDay(nameOrPath);
   const frozen = frozenReleases();
-  if (flags.mixed !== undefined) frozen.of(flags.mixed);
+  if (flags.mixed !== undefined) frozen.get(flags.mixed);
   const deadlineMs = performance.now() + flags.minutes * 60_000;
-  const failingDay = await hunt(day, {
+  const failingDay = await searchForFailure(day, {
     seed: flags.seed,
-    goOn: () => performance.now() < deadlineMs,
+    shouldContinue: () => performance.now() < deadlineMs,
     told: (line) => process.stderr.write(`${line}\n`),
     releases: frozen,
     keep: flags.keep === true,
@@ -183,8 +190,8 @@
   }
   mkdirSync(flags.out, { recursive: true });
   const file = join(flags.out, `${basename(failingDay.day.name)}-${failingDay.day.seed}.toml`);
-  writeFileSync(file, writeDay(failingDay.day));
-  const replayed = await playOnce(failingDay.day, frozen);
+  writeFileSync(file, formatScenario(failingDay.day));
+  const replayed = await runUntilViolation(failingDay.day, frozen);
   process.stdout.write(
     `${renderDayTable(replayed)}\n\nreduced to ${failingDay.day.troubles.length} troubles: ${file}\n`,
   );
@@ -253,12 +260,12 @@
     'file with one line for each seed that was played; those seeds are skipped',
     'meetings.jsonl',
   )
-  .addHelpText('after', `\nOverlapping troubles, played two at a time:\n${Object.keys(MEETINGS).join('\n')}`)
-  .action(async (nameOrPath: string, flags: MeetingFlags) => {
+  .addHelpText('after', `\nOverlapping troubles, played two at a time:\n${Object.keys(FAULT_COMBINATIONS).join('\n')}`)
+  .action(async (nameOrPath: string, flags: CombinationRunOptions) => {
     const frozen = frozenReleases();
-    frozen.of(flags.as);
+    frozen.get(flags.as);
     const printLine = (line: string): void => void process.stderr.write(`${line}\n`);
-    if (!(await playMeetings(loadDay(nameOrPath), flags, frozen, printLine))) process.exitCode = 1;
+    if (!(await runCombinations(loadDay(nameOrPath), flags, frozen, printLine))) process.exitCode = 1;
   });
 
 regionCommand
@@ -320,7 +327,7 @@
   .option('--old <release>', 'earlier release that is mixed with the current one', 'before-rollout')
   .action(async ({ machines, seed, old }: MeasureFlags) => {
     const frozen = frozenReleases();
-    frozen.of(old);
+    frozen.get(old);
     for (const variant of rolloutVariants(old))
       process.stdout.write(
         `${JSON.stringify(await measureRollout({ machines, seed, ...variant, releases: frozen }))}\n`,
@@ -365,14 +372,14 @@
   .argument('<release>', 'name of the release')
   .requiredOption('--config <file>', 'settings file (TOML)')
   .action((name: string, { config }: { config: string }) => {
-    const release = frozenReleases().of(name);
+    const release = frozenReleases().get(name);
     let toml: string;
     try {
       toml = readFileSync(config, 'utf8');
     } catch {
       throw new UsageError(`${config}: cannot read the settings file`);
     }
-    release.make(toml, createLogger(process.env['LOG_LEVEL'], name), systemRuntime, {}).start();
+    release.createController(toml, createLogger(process.env['LOG_LEVEL'], name), systemRuntime, {}).start();
   });
 regionCommand
   .command('releases')
--- a/packages/region/src/cli/days.ts
+++ b/packages/region/src/cli/days.ts
@@ -1,7 +1,7 @@
 /** Loads days for commands. */
 
 import { readFileSync } from 'node:fs';
-import { readDay, type Day } from '../day/index.js';
+import { parseScenario, type SimulationScenario } from '../day/index.js';
 import { UsageError } from './options.js';
 
 /** TOML of the days that ship with the package, by name. The bundler defines this constant. */
@@ -15,16 +15,16 @@
  *
  * @throws UsageError if there is neither.
  */
-export function loadDay(nameOrPath: string): Day {
+export function loadDay(nameOrPath: string): SimulationScenario {
   const shippedToml = SHIPPED_DAYS[nameOrPath];
-  if (shippedToml !== undefined) return readDay(shippedToml, `${nameOrPath}.toml`);
+  if (shippedToml !== undefined) return parseScenario(shippedToml, `${nameOrPath}.toml`);
   let toml: string;
   try {
     toml = readFileSync(nameOrPath, 'utf8');
   } catch {
     throw new UsageError(`${nameOrPath}: neither a readable file nor a shipped day (${shippedDayNames()})`);
   }
-  return readDay(toml, nameOrPath);
+  return parseScenario(toml, nameOrPath);
 }
 
 /** Name and description of the argument of commands that take a day. */
--- a/packages/region/src/cli/scale.ts
+++ b/packages/region/src/cli/scale.ts
@@ -6,7 +6,7 @@
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
 import { createLogger, isObject } from '../../../../src/kernel/index.js';
-import { scaledDay, type Day } from '../day/index.js';
+import { scaleScenario, type SimulationScenario } from '../day/index.js';
 import {
   HollowWorkers,
   ScaleRun,
@@ -86,8 +86,8 @@
 }
 
 /** Loads the day of a scale run, and applies the options to it. */
-function scaleRunDay(nameOrPath: string, flags: ScaleFlags): Day {
-  const day = scaledDay(loadDay(nameOrPath), flags.share);
+function scaleRunDay(nameOrPath: string, flags: ScaleFlags): SimulationScenario {
+  const day = scaleScenario(loadDay(nameOrPath), flags.share);
   return {
     ...day,
     ...(flags.seed === undefined ? {} : { seed: flags.seed }),
--- a/packages/region/src/controller.ts
+++ b/packages/region/src/controller.ts
@@ -1,5 +1,5 @@
-import type { ControllerSeat } from './parts.js';
-import { THIS, type Running } from './releases/index.js';
+import type { ControllerSpec } from './parts.js';
+import { CURRENT_RELEASE, type ControllerHandle } from './releases/index.js';
 import type { Host, SimProcess } from './sim/index.js';
 
 /** A simulated controller machine. Its process can crash and be started again, possibly as another release. */
@@ -10,11 +10,11 @@
   starts = 0;
 
   constructor(
-    readonly seat: ControllerSeat,
+    readonly spec: ControllerSpec,
     readonly host: Host,
-    private readonly launch: (controller: Controller) => { process: SimProcess; service: Running },
+    private readonly launch: (controller: Controller) => { process: SimProcess; service: ControllerHandle },
     /** The release that the next start runs. */
-    public release: string = THIS,
+    public release: string = CURRENT_RELEASE,
   ) {}
 
   /** Starts a process unless one is running. */
--- a/packages/region/src/daybook.ts
+++ b/packages/region/src/daybook.ts
@@ -1,6 +1,6 @@
 import { build, type Histogram } from 'hdr-histogram-js';
-import type { Aim, Day, DayClass } from './day/index.js';
-import type { Cause, JobTruth, Machine, TaskWatch, UserView } from './models/index.js';
+import type { Objective, SimulationScenario, JobClass } from './day/index.js';
+import type { TaskExitCause, SimulatedJob, Machine, TaskObserver, UserView } from './models/index.js';
 
 /** What has happened to one job so far. Times in milliseconds of true time. */
 interface JobHistory {
@@ -27,7 +27,7 @@
 
 /** How well a job class met one of its objectives. */
 export interface AimResult {
-  readonly aim: Aim;
+  readonly aim: Objective;
   /** Share of tasks, jobs or replica time that met the objective, 0 to 1; null when there was nothing to count. */
   readonly share: number | null;
 }
@@ -35,7 +35,7 @@
 /** The figures of one job class for a whole day. */
 export interface ClassResult {
   readonly name: string;
-  readonly shape: DayClass['shape'];
+  readonly shape: JobClass['shape'];
   readonly submitted: number;
   readonly accepted: number;
   readonly done: number;
@@ -101,13 +101,13 @@
   entries.length === 0 ? null : entries.filter(hasFullyStarted).length / entries.length;
 
 /** Tracks the outcome of every job and computes the day's figures by job class. */
-export class JobStatistics implements TaskWatch {
+export class JobStatistics implements TaskObserver {
   private readonly jobs = new Map<string, JobHistory>();
   /** Running tasks, as `job/index`. */
   private readonly runningTasks = new Set<string>();
 
   constructor(
-    private readonly day: Day,
+    private readonly day: SimulationScenario,
     private readonly now: () => number,
   ) {}
 
@@ -123,7 +123,7 @@
     // The task's image is on the machine, but the task may still wait for its gang: that is not a start.
   }
 
-  running(_machine: Machine, { spec }: JobTruth, index: number): void {
+  running(_machine: Machine, { spec }: SimulatedJob, index: number): void {
     const entry = this.jobs.get(spec.ref);
     if (!entry) return;
     this.runningTasks.add(`${spec.ref}/${index}`);
@@ -133,7 +133,7 @@
     if (spec.shape === 'daemon') entry.upSince.set(index, this.now());
   }
 
-  left(_machine: Machine, job: JobTruth, index: number, _attempt: number, cause: Cause | 'killed'): void {
+  left(_machine: Machine, job: SimulatedJob, index: number, _attempt: number, cause: TaskExitCause | 'killed'): void {
     const entry = this.jobs.get(job.spec.ref);
     if (!entry) return;
     if (this.runningTasks.delete(`${job.spec.ref}/${index}`)) entry.runningCount -= 1;
@@ -179,7 +179,7 @@
     return this.day.classes.map((c) => this.result(c));
   }
 
-  private result(c: DayClass): ClassResult {
+  private result(c: JobClass): ClassResult {
     const entries = [...this.jobs.values()].filter(({ view }) => view.job.spec.jobclass === c.name);
     const [waits, finishes] = [histogram(), histogram()];
     const count = (holds: (view: UserView) => boolean): number => entries.filter(({ view }) => holds(view)).length;
@@ -212,7 +212,7 @@
    * The share that met an objective; null when nothing counts. Except for uptime, a job counts only if its time limit
    * passed before the day ended and its user did not cancel it before that limit.
    */
-  private share(aim: Aim, all: readonly JobHistory[]): number | null {
+  private share(aim: Objective, all: readonly JobHistory[]): number | null {
     const end = this.now();
     let [met, counted] = [0, 0];
     for (const entry of all) {
@@ -305,7 +305,7 @@
   }
 
   /** Number of jobs that can end by themselves and have not ended. */
-  get batchLeft(): number {
+  get unfinishedBatchJobs(): number {
     let left = 0;
     for (const { view } of this.jobs.values()) {
       const { job, refused, toldDone, toldCancelled } = view;
--- a/packages/region/src/ending.ts
+++ b/packages/region/src/ending.ts
@@ -2,7 +2,7 @@
   systemRuntime,
   type Connection,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Runtime,
   type Timer,
 } from '../../../src/kernel/index.js';
@@ -63,11 +63,11 @@
 }
 
 /** The system runtime with traffic counters. `end` cancels every timer and closes every listener and socket at once. */
-export class EndingRuntime implements Runtime {
+export class DisposableRuntime implements Runtime {
   private readonly timers = new Set<Timer>();
   private readonly opened = new TrafficCounter();
   private readonly accepted = new TrafficCounter();
-  private readonly listeners = new Set<Listening>();
+  private readonly listeners = new Set<TcpListener>();
   private ended = false;
 
   readonly now = systemRuntime.now;
@@ -123,7 +123,7 @@
     return socket;
   }
 
-  listen(options: Parameters<Runtime['listen']>[0]): Listening {
+  listen(options: Parameters<Runtime['listen']>[0]): TcpListener {
     const accept = (socket: Connection): void => options.accept(this.trackSocket(socket, this.accepted));
     const listening = systemRuntime.listen({ ...options, accept });
     this.listeners.add(listening);
@@ -131,7 +131,7 @@
   }
 
   /** Cancels all timers and closes all listeners and sockets. Later timers never fire; later sockets are destroyed. */
-  end(): void {
+  dispose(): void {
     this.ended = true;
     for (const timer of [...this.timers]) timer.cancel();
     for (const listening of this.listeners) listening.close();
--- a/packages/region/src/hunt/hunt.ts
+++ b/packages/region/src/hunt/hunt.ts
@@ -1,34 +1,38 @@
 /** Randomized fault injection: draws fault schedules, runs them, and shrinks a schedule that fails. */
 import { stringify } from 'smol-toml';
-import { readDay, type Day, type Trouble } from '../day/index.js';
+import { parseScenario, type SimulationScenario, type Fault } from '../day/index.js';
 import { Region, type DayResult } from '../region.js';
-import { THIS, type Releases } from '../releases/index.js';
-import { Luck } from '../sim/index.js';
+import { CURRENT_RELEASE, type ReleaseCatalog } from '../releases/index.js';
+import { RandomStream } from '../sim/index.js';
 
 const MAX_FAULTS = 9;
 const FIRST_FAULT_AT_S = 20;
 
 /** Returns the scenario with other faults and another seed. */
-const withFaults = (day: Day, faults: readonly Trouble[], seed: number): Day => ({
+const withFaults = (day: SimulationScenario, faults: readonly Fault[], seed: number): SimulationScenario => ({
   ...day,
   seed,
   troubles: [...faults],
 });
 
 /** Draws one fault of any kind, which starts between 20 s and the scenario's quiet end. */
-export function drawTrouble(luck: Luck, day: Day): Trouble {
+export function drawFault(luck: RandomStream, day: SimulationScenario): Fault {
   const latestStartS = day.duration_s - day.quiet_end_s;
-  const at_s = Math.floor(luck.between(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS)));
-  const for_s = Math.round(luck.spread({ median: 12, p95: 45, max: 70 }) * 10) / 10;
-  const share = Math.round(luck.between(0.05, 0.5) * 100) / 100;
+  const at_s = Math.floor(luck.uniform(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS)));
+  const for_s = Math.round(luck.logNormal({ median: 12, p95: 45, max: 70 }) * 10) / 10;
+  const share = Math.round(luck.uniform(0.05, 0.5) * 100) / 100;
   const manner = luck.chance(0.6) ? 'hold' : 'reset';
-  const controller = luck.chance(0.25) ? (luck.chance(0.5) ? 'leader' : 'all') : luck.whole(day.controllers.count);
-  const jobClass = luck.pick(day.classes)?.name ?? '';
-  const zone = luck.pick(day.zones) ?? '';
+  const controller = luck.chance(0.25)
+    ? luck.chance(0.5)
+      ? 'leader'
+      : 'all'
+    : luck.integerBelow(day.controllers.count);
+  const jobClass = luck.pickOne(day.classes)?.name ?? '';
+  const zone = luck.pickOne(day.zones) ?? '';
   const from =
-    luck.pick(['all', 'state', 'workers', 'controllers', 'users', 'state and controllers'] as const) ?? 'all';
-  const shortDowntimeS = luck.pick([0.05, 0.2, 0.9]) ?? 0.2;
-  const candidates: readonly Trouble[] = [
+    luck.pickOne(['all', 'state', 'workers', 'controllers', 'users', 'state and controllers'] as const) ?? 'all';
+  const shortDowntimeS = luck.pickOne([0.05, 0.2, 0.9]) ?? 0.2;
+  const candidates: readonly Fault[] = [
     { kind: 'burst', at_s, for_s, class: jobClass, times: 4 },
     { kind: 'machines_die', at_s, share },
     { kind: 'machines_hang', at_s, for_s, share },
@@ -67,33 +71,33 @@
     { kind: 'boots_never', at_s, for_s, share },
     { kind: 'zone_cut', at_s, for_s, zone, manner },
   ];
-  return luck.pick(candidates) ?? { kind: 'watch_forgets', at_s };
+  return luck.pickOne(candidates) ?? { kind: 'watch_forgets', at_s };
 }
 
 /** Draws a schedule of 1 to 9 faults, which depends on the seed and the scenario alone. */
-export function drawSchedule(seed: number, day: Day): Trouble[] {
-  const luck = new Luck(seed, 'schedule');
-  const count = 1 + luck.whole(MAX_FAULTS);
-  return Array.from({ length: count }, () => drawTrouble(luck, day)).sort((a, b) => a.at_s - b.at_s);
+export function drawFaultSchedule(seed: number, day: SimulationScenario): Fault[] {
+  const luck = new RandomStream(seed, 'schedule');
+  const count = 1 + luck.integerBelow(MAX_FAULTS);
+  return Array.from({ length: count }, () => drawFault(luck, day)).sort((a, b) => a.at_s - b.at_s);
 }
 
 /**
  * Returns the scenario with controllers that start as an earlier release, as the present one, or as a mix of both, and
  * with one or two rollouts beside its faults. The draw depends on the seed alone.
  */
-export function mixReleases(seed: number, day: Day, olderRelease: string): Day {
-  const luck = new Luck(seed, 'releases');
+export function drawReleaseMix(seed: number, day: SimulationScenario, olderRelease: string): SimulationScenario {
+  const luck = new RandomStream(seed, 'releases');
   const { count } = day.controllers;
-  const drawRelease = (): string => (luck.chance(0.5) ? olderRelease : THIS);
+  const drawRelease = (): string => (luck.chance(0.5) ? olderRelease : CURRENT_RELEASE);
   const latestStartS = day.duration_s - day.quiet_end_s;
-  const rollouts = Array.from({ length: 1 + luck.whole(2) }, (): Trouble => ({
+  const rollouts = Array.from({ length: 1 + luck.integerBelow(2) }, (): Fault => ({
     kind: 'rollout',
-    at_s: Math.floor(luck.between(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS * 0.8))),
-    gap_s: Math.round(luck.between(3, 25) * 10) / 10,
+    at_s: Math.floor(luck.uniform(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS * 0.8))),
+    gap_s: Math.round(luck.uniform(3, 25) * 10) / 10,
     to: drawRelease(),
-    order: luck.some(
+    order: luck.sample(
       Array.from({ length: count }, (_, i) => i),
-      1 + luck.whole(count),
+      1 + luck.integerBelow(count),
     ),
     leave: luck.chance(0.4),
   }));
@@ -106,7 +110,7 @@
 }
 
 /** Runs a scenario to its end or to the first violation of a rule. */
-export async function playOnce(day: Day, releases?: Releases): Promise<DayResult> {
+export async function runUntilViolation(day: SimulationScenario, releases?: ReleaseCatalog): Promise<DayResult> {
   let violated = false;
   const region = new Region({ day, ...(releases ? { releases } : {}), broken: () => (violated = true) });
   await region.play(day.duration_s, { stop: () => violated });
@@ -118,12 +122,12 @@
  * until no fault can be removed.
  */
 export async function shrink(
-  faults: readonly Trouble[],
-  stillFails: (faults: readonly Trouble[]) => Promise<boolean>,
-): Promise<readonly Trouble[]> {
+  faults: readonly Fault[],
+  stillFails: (faults: readonly Fault[]) => Promise<boolean>,
+): Promise<readonly Fault[]> {
   let remaining = faults;
   for (let size = Math.max(1, Math.floor(remaining.length / 2)); ;) {
-    let shortened: readonly Trouble[] | null = null;
+    let shortened: readonly Fault[] | null = null;
     for (let at = 0; at < remaining.length && !shortened; at += size) {
       const candidate = [...remaining.slice(0, at), ...remaining.slice(at + size)];
       if (await stillFails(candidate)) shortened = candidate;
@@ -142,14 +146,14 @@
   /** Seed of the first schedule; each further schedule uses the next one. */
   readonly seed: number;
   /** Called before each run; false ends the search. */
-  readonly goOn: () => boolean;
+  readonly shouldContinue: () => boolean;
   /** Receives one line of progress at a time. */
   readonly told: (line: string) => void;
   /** Keeps the scenario's own faults beside the drawn ones. */
   readonly keep?: boolean;
   /** Name of an earlier release whose controllers take part. */
   readonly mixed?: string;
-  readonly releases?: Releases;
+  readonly releases?: ReleaseCatalog;
 }
 
 /** A run fails by a violated rule, an uncaught error, or because a class, a team or a class's largest jobs were not served. */
@@ -157,17 +161,17 @@
   result.breaches.length + result.defects.length + result.failures.length > 0;
 
 /** Runs drawn fault schedules until one fails, and shrinks it; returns null if the search ends without a failure. */
-export async function hunt(
-  day: Day,
-  { seed, goOn, told, keep, mixed, releases }: FaultSearchOptions,
-): Promise<{ readonly day: Day; readonly first: DayResult } | null> {
+export async function searchForFailure(
+  day: SimulationScenario,
+  { seed, shouldContinue: goOn, told, keep, mixed, releases }: FaultSearchOptions,
+): Promise<{ readonly day: SimulationScenario; readonly first: DayResult } | null> {
   for (let currentSeed = seed; goOn(); currentSeed++) {
     const ownFaults = keep === true ? day.troubles : [];
-    const schedule = [...ownFaults, ...drawSchedule(currentSeed, day)].sort((a, b) => a.at_s - b.at_s);
+    const schedule = [...ownFaults, ...drawFaultSchedule(currentSeed, day)].sort((a, b) => a.at_s - b.at_s);
     const drawn = withFaults(day, schedule, currentSeed);
-    const scenario = mixed === undefined ? drawn : mixReleases(currentSeed, drawn, mixed);
+    const scenario = mixed === undefined ? drawn : drawReleaseMix(currentSeed, drawn, mixed);
     const { troubles } = scenario;
-    const first = await playOnce(scenario, releases);
+    const first = await runUntilViolation(scenario, releases);
     const failure =
       first.breaches[0]?.rule ?? (first.defects.length > 0 ? 'an uncaught error' : (first.failures[0] ?? null));
     told(
@@ -176,7 +180,7 @@
     if (!hasFailed(first)) continue;
     told(`seed ${currentSeed}: shrinking the fault schedule`);
     const minimal = await shrink(troubles, async (candidate) =>
-      hasFailed(await playOnce(withFaults(scenario, candidate, currentSeed), releases)),
+      hasFailed(await runUntilViolation(withFaults(scenario, candidate, currentSeed), releases)),
     );
     return { day: withFaults(scenario, minimal, currentSeed), first };
   }
@@ -184,8 +188,8 @@
 }
 
 /** Formats a scenario as TOML and checks that it can be parsed again. */
-export function writeDay(day: Day): string {
+export function formatScenario(day: SimulationScenario): string {
   const toml = stringify(JSON.parse(JSON.stringify(day)));
-  readDay(toml, 'formatted scenario');
+  parseScenario(toml, 'formatted scenario');
   return toml;
 }
--- a/packages/region/src/hunt/meetings.ts
+++ b/packages/region/src/hunt/meetings.ts
@@ -1,6 +1,6 @@
 /** Combinations of faults that have violated rules together, and random pairs of them. */
-import type { Day, Trouble } from '../day/index.js';
-import { Luck } from '../sim/index.js';
+import type { SimulationScenario, Fault } from '../day/index.js';
+import { RandomStream } from '../sim/index.js';
 
 /** Range in which the first combination of a scenario starts, in seconds of simulated time. */
 const FIRST_FAULT_MIN_S = 40;
@@ -12,73 +12,73 @@
 const LOW_TEAM_CPU_LIMIT = 60;
 
 /** Draws the faults of one combination; `at` is its nominal start in seconds. */
-type DrawFaults = (luck: Luck, at: number, day: Day) => readonly Trouble[];
+type DrawFaults = (luck: RandomStream, at: number, day: SimulationScenario) => readonly Fault[];
 
 const roundToTenths = (value: number): number => Math.round(value * 10) / 10;
-const drawController = (luck: Luck, day: Day): number | 'leader' =>
-  luck.chance(0.5) ? 'leader' : luck.whole(day.controllers.count);
-const drawPartitionManner = (luck: Luck): 'hold' | 'reset' => (luck.chance(0.7) ? 'hold' : 'reset');
+const drawController = (luck: RandomStream, day: SimulationScenario): number | 'leader' =>
+  luck.chance(0.5) ? 'leader' : luck.integerBelow(day.controllers.count);
+const drawPartitionManner = (luck: RandomStream): 'hold' | 'reset' => (luck.chance(0.7) ? 'hold' : 'reset');
 /** Draws for how long machines of cancelled jobs hang; some hang for just less than their lease. */
-const drawHang = (luck: Luck, day: Day): { hang_s?: number } =>
-  luck.chance(0.6) ? { hang_s: roundToTenths(day.workers.lease_s * (luck.pick([0.3, 0.7, 0.97, 1.2]) ?? 0.7)) } : {};
-const drawShortDowntimeS = (luck: Luck): number => luck.pick([0.05, 0.2, 0.5, 1]) ?? 0.5;
+const drawHang = (luck: RandomStream, day: SimulationScenario): { hang_s?: number } =>
+  luck.chance(0.6) ? { hang_s: roundToTenths(day.workers.lease_s * (luck.pickOne([0.3, 0.7, 0.97, 1.2]) ?? 0.7)) } : {};
+const drawShortDowntimeS = (luck: RandomStream): number => luck.pickOne([0.05, 0.2, 0.5, 1]) ?? 0.5;
 
 /** Combinations of faults that operators have named, see docs/meetings.md. Each draw varies times and targets. */
-export const MEETINGS: Readonly<Record<string, DrawFaults>> = {
+export const FAULT_COMBINATIONS: Readonly<Record<string, DrawFaults>> = {
   'ends far apart across a change of leader': (luck, at, day) => [
     { kind: 'machines_slow', at_s: at - 20, for_s: 100, share: 0.5, times: 4 },
-    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: luck.pick([0.2, 4, 20]) ?? 4 },
+    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: luck.pickOne([0.2, 4, 20]) ?? 4 },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(1, 20),
+      at_s: at + luck.uniform(1, 20),
       controller: drawController(luck, day),
-      down_s: luck.pick([0.2, 4, 20]) ?? 4,
+      down_s: luck.pickOne([0.2, 4, 20]) ?? 4,
     },
   ],
   'over and back, all end, one returns': (luck, at, day) => [
-    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: luck.between(4, 9) },
-    { kind: 'controller_crash', at_s: at + luck.between(4, 14), controller: 'all', down_s: drawShortDowntimeS(luck) },
+    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: luck.uniform(4, 9) },
+    { kind: 'controller_crash', at_s: at + luck.uniform(4, 14), controller: 'all', down_s: drawShortDowntimeS(luck) },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(14, 16),
-      controller: luck.whole(day.controllers.count),
+      at_s: at + luck.uniform(14, 16),
+      controller: luck.integerBelow(day.controllers.count),
       down_s: drawShortDowntimeS(luck),
     },
-    { kind: 'controller_crash', at_s: at + luck.between(16, 30), controller: 'all', down_s: drawShortDowntimeS(luck) },
+    { kind: 'controller_crash', at_s: at + luck.uniform(16, 30), controller: 'all', down_s: drawShortDowntimeS(luck) },
   ],
   'slow, then refusing one alone, then gone for all': (luck, at, day) => {
-    const refusedS = luck.between(0.5, 9);
+    const refusedS = luck.uniform(0.5, 9);
     return [
       { kind: 'state_slow', at_s: at - 15, for_s: 15 + refusedS, times: 20 },
       {
         kind: 'controller_refused',
         at_s: at,
-        for_s: refusedS + luck.between(5, 60),
+        for_s: refusedS + luck.uniform(5, 60),
         controller: drawController(luck, day),
       },
-      { kind: 'state_outage', at_s: at + refusedS, for_s: luck.between(30, 70) },
+      { kind: 'state_outage', at_s: at + refusedS, for_s: luck.uniform(30, 70) },
     ];
   },
   'refused alone, then gone for all': (luck, at, day) => {
-    const refusedS = luck.between(0.5, 9);
+    const refusedS = luck.uniform(0.5, 9);
     return [
       {
         kind: 'controller_refused',
         at_s: at,
-        for_s: refusedS + luck.between(0, 60),
+        for_s: refusedS + luck.uniform(0, 60),
         controller: drawController(luck, day),
       },
-      { kind: 'state_outage', at_s: at + refusedS, for_s: luck.between(48, 80) },
+      { kind: 'state_outage', at_s: at + refusedS, for_s: luck.uniform(48, 80) },
     ];
   },
   'the leader ends while machines are out of reach or deaf': (luck, at) => [
     luck.chance(0.5)
-      ? { kind: 'machines_deaf', at_s: at - 5, for_s: luck.between(10, 70), share: luck.between(0.1, 0.5) }
+      ? { kind: 'machines_deaf', at_s: at - 5, for_s: luck.uniform(10, 70), share: luck.uniform(0.1, 0.5) }
       : {
-          ...{ kind: 'machines_cut', at_s: at - 5, for_s: luck.between(10, 70) },
-          ...{ share: luck.between(0.1, 0.5), manner: drawPartitionManner(luck) },
+          ...{ kind: 'machines_cut', at_s: at - 5, for_s: luck.uniform(10, 70) },
+          ...{ share: luck.uniform(0.1, 0.5), manner: drawPartitionManner(luck) },
         },
-    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: luck.pick([0.2, 4, 30]) ?? 4 },
+    { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: luck.pickOne([0.2, 4, 30]) ?? 4 },
   ],
   'cut from the state service and the controllers': (luck, at, day) => {
     const controller = drawController(luck, day);
@@ -88,34 +88,39 @@
       from: 'state and controllers',
       manner: drawPartitionManner(luck),
     } as const;
-    const outage: Trouble = { kind: 'state_outage', at_s: at + luck.between(1, 20), for_s: luck.between(20, 70) };
-    return [{ ...cut, at_s: at, for_s: luck.between(3, 90) }, ...(luck.chance(0.6) ? [outage] : [])];
+    const outage: Fault = { kind: 'state_outage', at_s: at + luck.uniform(1, 20), for_s: luck.uniform(20, 70) };
+    return [{ ...cut, at_s: at, for_s: luck.uniform(3, 90) }, ...(luck.chance(0.6) ? [outage] : [])];
   },
   'transactions carried out late': (luck, at, day) => [
-    { kind: 'late_writes', at_s: at - 5, for_s: luck.between(20, 60), share: luck.between(0.05, 0.3) },
+    { kind: 'late_writes', at_s: at - 5, for_s: luck.uniform(20, 60), share: luck.uniform(0.05, 0.3) },
     { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: drawShortDowntimeS(luck) },
-    { kind: 'controller_refused', at_s: at + 8, for_s: luck.between(3, 12), controller: drawController(luck, day) },
+    { kind: 'controller_refused', at_s: at + 8, for_s: luck.uniform(3, 12), controller: drawController(luck, day) },
   ],
   'reports that come again': (luck, at, day) => [
-    { kind: 'reports_again', at_s: at - 20, for_s: 70, share: 0.4, late_s: luck.pick([3, 20, 60]) ?? 20 },
-    { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: luck.pick([0.2, 4, 20]) ?? 4 },
-    { kind: 'machines_restart', at_s: at + luck.between(2, 20), share: 0.3, down_s: drawShortDowntimeS(luck) },
+    { kind: 'reports_again', at_s: at - 20, for_s: 70, share: 0.4, late_s: luck.pickOne([3, 20, 60]) ?? 20 },
+    {
+      kind: 'controller_crash',
+      at_s: at,
+      controller: drawController(luck, day),
+      down_s: luck.pickOne([0.2, 4, 20]) ?? 4,
+    },
+    { kind: 'machines_restart', at_s: at + luck.uniform(2, 20), share: 0.3, down_s: drawShortDowntimeS(luck) },
   ],
   'commands and answers held up': (luck, at, day) => [
     {
-      ...{ kind: 'controller_cut', at_s: at, for_s: luck.between(2, 40), controller: drawController(luck, day) },
+      ...{ kind: 'controller_cut', at_s: at, for_s: luck.uniform(2, 40), controller: drawController(luck, day) },
       ...{ from: 'workers', manner: 'hold' },
     },
     luck.chance(0.5)
-      ? { kind: 'machines_hang', at_s: at + luck.between(-3, 5), for_s: luck.between(2, 25), share: 0.3 }
-      : { kind: 'controller_pause', at_s: at + luck.between(-3, 5), for_s: luck.between(2, 25), controller: 'leader' },
+      ? { kind: 'machines_hang', at_s: at + luck.uniform(-3, 5), for_s: luck.uniform(2, 25), share: 0.3 }
+      : { kind: 'controller_pause', at_s: at + luck.uniform(-3, 5), for_s: luck.uniform(2, 25), controller: 'leader' },
   ],
   'machines that reach no controller': (luck, at, day) => [
-    { kind: 'machines_mute', at_s: at - 5, for_s: luck.between(10, 80), share: luck.between(0.1, 0.4) },
+    { kind: 'machines_mute', at_s: at - 5, for_s: luck.uniform(10, 80), share: luck.uniform(0.1, 0.4) },
     { kind: 'cancel_now', at_s: at, count: 12, ...drawHang(luck, day) },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(0, 10),
+      at_s: at + luck.uniform(0, 10),
       controller: drawController(luck, day),
       down_s: drawShortDowntimeS(luck),
     },
@@ -125,130 +130,130 @@
       ? {
           kind: 'machines_cut',
           at_s: at - 1,
-          for_s: luck.between(5, 40),
-          share: luck.between(0.1, 0.5),
+          for_s: luck.uniform(5, 40),
+          share: luck.uniform(0.1, 0.5),
           manner: 'hold',
         }
-      : { kind: 'machines_hang', at_s: at - 1, for_s: luck.between(5, 17), share: luck.between(0.1, 0.4) },
+      : { kind: 'machines_hang', at_s: at - 1, for_s: luck.uniform(5, 17), share: luck.uniform(0.1, 0.4) },
     { kind: 'cancel_now', at_s: at, count: 20, ...drawHang(luck, day) },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(0.1, 6),
+      at_s: at + luck.uniform(0.1, 6),
       controller: drawController(luck, day),
       down_s: drawShortDowntimeS(luck),
     },
   ],
   "cancelled in the seconds in which a controller's work changes hands": (luck, at, day) => {
-    const controllerIndex = luck.whole(day.controllers.count);
-    const takeover: Trouble = luck.chance(0.5)
-      ? { kind: 'controller_crash', at_s: at, controller: controllerIndex, down_s: luck.pick([0.2, 5, 20]) ?? 5 }
+    const controllerIndex = luck.integerBelow(day.controllers.count);
+    const takeover: Fault = luck.chance(0.5)
+      ? { kind: 'controller_crash', at_s: at, controller: controllerIndex, down_s: luck.pickOne([0.2, 5, 20]) ?? 5 }
       : {
           kind: 'rollout',
           at_s: at,
           gap_s: 1,
           to: 'this',
           order: [controllerIndex],
-          down_s: luck.between(1, 12),
+          down_s: luck.uniform(1, 12),
           leave: true,
         };
     return [
       takeover,
-      ...[0, 1, 2, 3, 4, 5].map((i): Trouble => ({
+      ...[0, 1, 2, 3, 4, 5].map((i): Fault => ({
         kind: 'cancel_now',
-        at_s: at + i * luck.between(0.3, 1.6),
+        at_s: at + i * luck.uniform(0.3, 1.6),
         count: 4,
         ...drawHang(luck, day),
       })),
     ];
   },
   "cancelled, asked and repeated at the end of a job's last task": (luck, at) => [
-    { kind: 'cancel_at_end', at_s: at - 25, for_s: 100, share: luck.between(0.2, 0.8) },
+    { kind: 'cancel_at_end', at_s: at - 25, for_s: 100, share: luck.uniform(0.2, 0.8) },
     { kind: 'close_looks', at_s: at - 25, for_s: 100 },
   ],
   'asked at all nodes within milliseconds': (luck, at, day) => [
     { kind: 'close_looks', at_s: at - 25, for_s: 100 },
     { kind: 'odd_requests', at_s: at - 25, for_s: 100 },
-    { kind: 'answers_held', at_s: at - 20, for_s: luck.between(20, 80), share: luck.between(0.02, 0.3) },
+    { kind: 'answers_held', at_s: at - 20, for_s: luck.uniform(20, 80), share: luck.uniform(0.02, 0.3) },
     { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: drawShortDowntimeS(luck) },
   ],
   'only the answers of transactions are lost': (luck, at, day) => [
     { kind: 'close_looks', at_s: at - 10, for_s: 60 },
-    { kind: 'late_writes', at_s: at - 10, for_s: luck.between(20, 60), share: luck.between(0.05, 0.4), at_once: true },
+    { kind: 'late_writes', at_s: at - 10, for_s: luck.uniform(20, 60), share: luck.uniform(0.05, 0.4), at_once: true },
     { kind: 'controller_crash', at_s: at, controller: drawController(luck, day), down_s: drawShortDowntimeS(luck) },
   ],
   'refused alone as jobs are cancelled, a second later gone for all': (luck, at, day) => [
     { kind: 'cancel_now', at_s: at, count: 20, ...drawHang(luck, day) },
-    { kind: 'controller_refused', at_s: at, for_s: luck.between(1, 30), controller: drawController(luck, day) },
-    { kind: 'state_outage', at_s: at + 1, for_s: luck.between(48, 75) },
+    { kind: 'controller_refused', at_s: at, for_s: luck.uniform(1, 30), controller: drawController(luck, day) },
+    { kind: 'state_outage', at_s: at + 1, for_s: luck.uniform(48, 75) },
   ],
   'commands held up, and the machine goes on': (luck, at, day) => [
-    { kind: 'commands_held', at_s: at - 10, for_s: luck.between(20, 60), share: luck.between(0.2, 0.8) },
+    { kind: 'commands_held', at_s: at - 10, for_s: luck.uniform(20, 60), share: luck.uniform(0.2, 0.8) },
     { kind: 'cancel_now', at_s: at, count: 20, ...drawHang(luck, day) },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(0, 8),
+      at_s: at + luck.uniform(0, 8),
       controller: drawController(luck, day),
       down_s: drawShortDowntimeS(luck),
     },
   ],
   'old reports reach every controller as a new leader begins': (luck, at, day) => [
-    { kind: 'reports_again', at_s: at - 20, for_s: 60, share: luck.between(0.1, 0.8), for_next: true },
+    { kind: 'reports_again', at_s: at - 20, for_s: 60, share: luck.uniform(0.1, 0.8), for_next: true },
     { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: drawShortDowntimeS(luck) },
     { kind: 'cancel_now', at_s: at - 2, count: 12, ...drawHang(luck, day) },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(8, 25),
+      at_s: at + luck.uniform(8, 25),
       controller: drawController(luck, day),
-      down_s: luck.between(1, 9),
+      down_s: luck.uniform(1, 9),
     },
   ],
   'new machines up at once while writes lag, and the leader ends': (luck, at, day) => [
     { kind: 'boots_at_once', at_s: at - 20, for_s: 60 },
-    { kind: 'burst', at_s: at - 20, for_s: 40, class: luck.pick(day.classes)?.name ?? '', times: 5 },
-    { kind: 'late_writes', at_s: at - 10, for_s: 30, share: luck.between(0.1, 0.4), at_once: luck.chance(0.5) },
+    { kind: 'burst', at_s: at - 20, for_s: 40, class: luck.pickOne(day.classes)?.name ?? '', times: 5 },
+    { kind: 'late_writes', at_s: at - 10, for_s: 30, share: luck.uniform(0.1, 0.4), at_once: luck.chance(0.5) },
     { kind: 'controller_crash', at_s: at, controller: 'leader', down_s: drawShortDowntimeS(luck) },
     {
       kind: 'controller_crash',
-      at_s: at + luck.between(5, 15),
+      at_s: at + luck.uniform(5, 15),
       controller: 'leader',
       down_s: drawShortDowntimeS(luck),
     },
   ],
   'all controllers away for longer than a lease': (luck, at, day) => [
-    { kind: 'cancel_now', at_s: at - luck.between(0, 3), count: 12, ...drawHang(luck, day) },
-    { kind: 'controller_crash', at_s: at, controller: 'all', down_s: day.workers.lease_s + luck.between(1, 15) },
+    { kind: 'cancel_now', at_s: at - luck.uniform(0, 3), count: 12, ...drawHang(luck, day) },
+    { kind: 'controller_crash', at_s: at, controller: 'all', down_s: day.workers.lease_s + luck.uniform(1, 15) },
   ],
   'leaders change ten times': (luck, at) => [
-    ...Array.from({ length: 10 }, (_, i): Trouble => ({
+    ...Array.from({ length: 10 }, (_, i): Fault => ({
       ...{ kind: 'controller_crash', at_s: at - 25 + i * 9, controller: 'leader' },
-      down_s: luck.pick([0.2, 2, 6]) ?? 2,
+      down_s: luck.pickOne([0.2, 2, 6]) ?? 2,
     })),
-    ...(luck.chance(0.5) ? [{ kind: 'state_outage', at_s: at, for_s: luck.between(5, 40) } as const] : []),
+    ...(luck.chance(0.5) ? [{ kind: 'state_outage', at_s: at, for_s: luck.uniform(5, 40) } as const] : []),
   ],
   'a zone cut off for longer than a lease, machines of a zone lost': (luck, at, day) => {
-    const zone = luck.pick(day.zones) ?? '';
+    const zone = luck.pickOne(day.zones) ?? '';
     return [
       {
         kind: 'zone_cut',
         at_s: at,
-        for_s: day.workers.lease_s + luck.between(1, 25),
+        for_s: day.workers.lease_s + luck.uniform(1, 25),
         zone,
         manner: drawPartitionManner(luck),
       },
       {
         kind: 'machines_die',
-        at_s: at + luck.between(-5, 30),
-        share: luck.between(0.1, 0.5),
-        zone: luck.pick(day.zones),
+        at_s: at + luck.uniform(-5, 30),
+        share: luck.uniform(0.1, 0.5),
+        zone: luck.pickOne(day.zones),
       },
       { kind: 'cancel_now', at_s: at + 1, count: 12, ...drawHang(luck, day) },
     ];
   },
   'more work than room, urgent and not, over slow links': (luck, at, day) => [
-    { kind: 'capacity_drop', at_s: at - 20, for_s: 70, share: luck.between(0.3, 0.8) },
-    ...day.classes.map((c): Trouble => ({ kind: 'burst', at_s: at - 20, for_s: 40, class: c.name, times: 4 })),
-    { kind: 'answers_held', at_s: at - 10, for_s: 50, share: luck.between(0.05, 0.3) },
-    { kind: 'state_slow', at_s: at, for_s: luck.between(10, 40), times: 10 },
+    { kind: 'capacity_drop', at_s: at - 20, for_s: 70, share: luck.uniform(0.3, 0.8) },
+    ...day.classes.map((c): Fault => ({ kind: 'burst', at_s: at - 20, for_s: 40, class: c.name, times: 4 })),
+    { kind: 'answers_held', at_s: at - 10, for_s: 50, share: luck.uniform(0.05, 0.3) },
+    { kind: 'state_slow', at_s: at, for_s: luck.uniform(10, 40), times: 10 },
   ],
 };
 
@@ -256,20 +261,22 @@
 export interface DrawnCombination {
   /** Names of the combinations. */
   readonly names: readonly string[];
-  readonly day: Day;
+  readonly day: SimulationScenario;
 }
 
 /** Draws two combinations that start at about the same time, while most long arrays are cancelled. Depends on the seed and the base scenario alone. */
-export function drawCombination(seed: number, base: Day): DrawnCombination {
-  const luck = new Luck(seed, 'meetings');
-  const names = luck.some(Object.keys(MEETINGS), 2);
-  const at = luck.between(FIRST_FAULT_MIN_S, FIRST_FAULT_MAX_S);
-  const troubles = names.flatMap((name, i) => MEETINGS[name]?.(luck, at + i * luck.between(-10, 15), base) ?? []);
+export function drawCombination(seed: number, base: SimulationScenario): DrawnCombination {
+  const luck = new RandomStream(seed, 'meetings');
+  const names = luck.sample(Object.keys(FAULT_COMBINATIONS), 2);
+  const at = luck.uniform(FIRST_FAULT_MIN_S, FIRST_FAULT_MAX_S);
+  const troubles = names.flatMap(
+    (name, i) => FAULT_COMBINATIONS[name]?.(luck, at + i * luck.uniform(-10, 15), base) ?? [],
+  );
   const array = base.classes.find(({ shape }) => shape === 'array');
   const longArrayClass = array?.name;
   // In half of the scenarios, the team of the long arrays is at its limit most of the time.
   const limitedTeam = luck.chance(0.5) ? array?.team : undefined;
-  const day: Day = {
+  const day: SimulationScenario = {
     ...base,
     name: `meeting-${seed}`,
     seed,
--- a/packages/region/src/hunt/playlist.ts
+++ b/packages/region/src/hunt/playlist.ts
@@ -1,14 +1,14 @@
 /** Runs fault combinations by seed and stores one result a line, so that an interrupted run can be continued. */
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import * as v from 'valibot';
-import type { Day } from '../day/index.js';
+import type { SimulationScenario } from '../day/index.js';
 
-import type { Releases } from '../releases/index.js';
-import { playOnce } from './hunt.js';
+import type { ReleaseCatalog } from '../releases/index.js';
+import { runUntilViolation } from './hunt.js';
 import { drawCombination } from './meetings.js';
 
 /** Options of a run of fault combinations. */
-export interface MeetingFlags {
+export interface CombinationRunOptions {
   /** First seed. */
   readonly from: number;
   /** Number of seeds. */
@@ -24,7 +24,7 @@
 type RunResult = v.InferOutput<typeof resultSchema>;
 
 /** A results file that contains a line of another format. */
-export class ListError extends Error {}
+export class ResultsFileError extends Error {}
 
 /** Reads the stored results; a missing file counts as empty. */
 function readResults(file: string): RunResult[] {
@@ -37,16 +37,16 @@
     } catch {
       // The last line may be incomplete if an earlier run was stopped while writing it.
       if (i === lines.length - 1) return [];
-      throw new ListError(`${file}, line ${i + 1}: not a result of a fault combination`);
+      throw new ResultsFileError(`${file}, line ${i + 1}: not a result of a fault combination`);
     }
   });
 }
 
 /** Runs the seeds that have no stored result yet and logs how many stored results have a violation; returns whether none has. */
-export async function playMeetings(
-  base: Day,
-  { from, count, as, list }: MeetingFlags,
-  releases: Releases,
+export async function runCombinations(
+  base: SimulationScenario,
+  { from, count, as, list }: CombinationRunOptions,
+  releases: ReleaseCatalog,
   log: (line: string) => void,
 ): Promise<boolean> {
   const resultsBySeed = new Map(readResults(list).flatMap((line) => (line.as === as ? [[line.seed, line]] : [])));
@@ -55,7 +55,7 @@
     if (resultsBySeed.has(seed)) continue;
     const { names, day } = drawCombination(seed, base);
     const scenario = { ...day, controllers: { ...day.controllers, releases: Array<string>(controllers).fill(as) } };
-    const { breaches, defects } = await playOnce(scenario, releases);
+    const { breaches, defects } = await runUntilViolation(scenario, releases);
     const broken = [...new Set([...breaches.map(({ rule }) => rule as string), ...defects.map(() => 'a defect')])];
     const line = { seed, as, broken, names };
     resultsBySeed.set(seed, line);
--- a/packages/region/src/measure/cancels.ts
+++ b/packages/region/src/measure/cancels.ts
@@ -8,7 +8,7 @@
  * Calls back with every cancellation that a user has received an answer for, with the true times of the first request and of
  * the answer in milliseconds. Wraps the methods of the checker that see both.
  */
-export function onCancelled(
+export function onCancelConfirmed(
   region: Region,
   onConfirmed: (ref: string, requestedAtMs: number, confirmedAtMs: number) => void,
 ): void {
@@ -55,7 +55,7 @@
     highestTrackableValue: 600_000,
     numberOfSignificantValueDigits: 3,
   });
-  onCancelled(region, (_ref, requestedAtMs, confirmedAtMs) =>
+  onCancelConfirmed(region, (_ref, requestedAtMs, confirmedAtMs) =>
     confirmationMs.recordValue(Math.max(1, Math.round(confirmedAtMs - requestedAtMs))),
   );
   await region.play();
--- a/packages/region/src/measure/chains.ts
+++ b/packages/region/src/measure/chains.ts
@@ -1,7 +1,7 @@
 /** Measures chains of dependent jobs. */
 
 import { build } from 'hdr-histogram-js';
-import type { Day } from '../day/index.js';
+import type { SimulationScenario } from '../day/index.js';
 import { Region, type RegionOptions } from '../region.js';
 
 /** Delays within chains of jobs, and the changes that storing a day takes. */
@@ -26,7 +26,7 @@
 
 /** Measures how soon the jobs of a chain follow each other, and how much a day changes in the state service. */
 export async function measureChains(
-  day: Day,
+  day: SimulationScenario,
   seed: number,
   releases?: RegionOptions['releases'],
 ): Promise<ChainMeasurement> {
--- a/packages/region/src/measure/fleet.ts
+++ b/packages/region/src/measure/fleet.ts
@@ -1,9 +1,9 @@
 /** Generates days of any fleet size for measurements. */
 
-import { readDay, type Day, type Trouble } from '../day/index.js';
+import { parseScenario, type SimulationScenario, type Fault } from '../day/index.js';
 
 /** Returns a day for measurements: its machines are all up from the start, and its load is in proportion to them. */
-export function fleetDay(machines: number, durationS: number, troubles: readonly Trouble[] = []): Day {
+export function fleetDay(machines: number, durationS: number, troubles: readonly Fault[] = []): SimulationScenario {
   // The amounts below are those of a fleet of 900 machines.
   const sizeFactor = machines / 900;
   const scaledCount = (countOf900: number): number => Math.max(1, Math.round(countOf900 * sizeFactor));
@@ -22,7 +22,7 @@
       `[[machines]]\ntype = "${type}"\nzone = "${zone}"\ncount = ${count}`,
     ]),
   );
-  const day = readDay(
+  const day = parseScenario(
     `
 name = "fleet-${machines}"
 seed = 1
--- a/packages/region/src/measure/recovery.ts
+++ b/packages/region/src/measure/recovery.ts
@@ -1,7 +1,7 @@
 /** Measures the recovery from crashes of controllers. */
 
 import { decodeShard } from '../../../../src/membership/index.js';
-import type { Trouble } from '../day/index.js';
+import type { Fault } from '../day/index.js';
 import { Region } from '../region.js';
 import { fleetDay } from './fleet.js';
 
@@ -69,7 +69,7 @@
   observedS = 45,
 }: RecoveryOptions): Promise<RecoveryMeasurement> {
   // A burst of submissions around the crash brings the state service to its limit of changes per second.
-  const submissionBurst: Trouble = { kind: 'burst', at_s: atS - 10, for_s: 30, class: 'batch', times: 3 };
+  const submissionBurst: Fault = { kind: 'burst', at_s: atS - 10, for_s: 30, class: 'batch', times: 3 };
   const fleet = fleetDay(machines, atS + observedS + 1, [submissionBurst]);
   const day = { ...fleet, seed, state: { ...fleet.state, rps, write_rps: writeRps } };
   const taskStarts: { at: number; attempt: number; machine: string }[] = [];
@@ -92,10 +92,10 @@
     two: leader ? [leader, ...otherControllers.slice(0, 1)] : [],
     all: region.controllers,
   }[ended];
-  const crashedNames = new Set(crashed.map(({ seat }) => seat.name));
+  const crashedNames = new Set(crashed.map(({ spec: seat }) => seat.name));
   const shardRecord = (shard: string) => decodeShard(parts.state.get(`live/shards/${shard}`));
   const machinesByShard = new Map<string, Set<string>>();
-  for (const { seat } of region.controllers) {
+  for (const { spec: seat } of region.controllers) {
     const record = shardRecord(seat.name);
     if (record && crashedNames.has(record.holder))
       machinesByShard.set(seat.name, new Set(record.machines.map(({ id }) => id)));
--- a/packages/region/src/measure/rollout.ts
+++ b/packages/region/src/measure/rollout.ts
@@ -3,7 +3,7 @@
 import { decodeShard } from '../../../../src/membership/index.js';
 import { isObject } from '../../../../src/kernel/index.js';
 import { Region, type RegionOptions } from '../region.js';
-import { THIS } from '../releases/index.js';
+import { CURRENT_RELEASE } from '../releases/index.js';
 import { fleetDay } from './fleet.js';
 
 /** Options of a rollout measurement. */
@@ -81,10 +81,10 @@
   const before = { ...parts.state.counts };
   const liveIncarnation = (name: string): string | null => {
     const key = parts.state.get(`live/nodes/${name}`);
-    const up = region.controllers.find(({ seat }) => seat.name === name)?.process?.running === true;
+    const up = region.controllers.find(({ spec: seat }) => seat.name === name)?.process?.running === true;
     return up && isObject(key) && typeof key['incarnation'] === 'string' ? key['incarnation'] : null;
   };
-  const shards = region.controllers.map(({ seat }) => ({
+  const shards = region.controllers.map(({ spec: seat }) => ({
     name: seat.name,
     lastIncarnation: '',
     totalUnheldS: 0,
@@ -188,8 +188,8 @@
 /** Rollouts that are compared. Those from a release to the same release are the baseline. */
 export const rolloutVariants = (old: string): readonly Pick<RolloutOptions, 'from' | 'to' | 'leave'>[] => [
   { from: old, to: old, leave: false },
-  { from: old, to: THIS, leave: false },
-  { from: THIS, to: old, leave: true },
-  { from: THIS, to: THIS, leave: false },
-  { from: THIS, to: THIS, leave: true },
+  { from: old, to: CURRENT_RELEASE, leave: false },
+  { from: CURRENT_RELEASE, to: old, leave: true },
+  { from: CURRENT_RELEASE, to: CURRENT_RELEASE, leave: false },
+  { from: CURRENT_RELEASE, to: CURRENT_RELEASE, leave: true },
 ];
--- a/packages/region/src/measure/speed.ts
+++ b/packages/region/src/measure/speed.ts
@@ -28,7 +28,7 @@
   await region.play();
   const tookS = (clockMs() - startedMs) / 1000;
   const residentMb = Math.round(residentBytes() / 1e6);
-  const { played } = region.world;
+  const { executedCount: played } = region.world;
   region.close();
   return {
     ...{ machines, simulatedS, tookS, residentMb },
--- a/packages/region/src/models/balancer.ts
+++ b/packages/region/src/models/balancer.ts
@@ -1,7 +1,7 @@
 import {
   HttpClient,
-  type Answer,
-  type Call,
+  type HttpResult,
+  type HttpRequest,
   type Endpoint,
   type Runtime,
   type Timer,
@@ -176,7 +176,7 @@
   ) {}
 
   /** Sends a request; when the connection is refused, it tries further nodes. */
-  async call(call: Call): Promise<Answer> {
+  async call(call: HttpRequest): Promise<HttpResult> {
     const tried = new Set<Backend>();
     for (;;) {
       const connection = this.connection ?? this.connect(tried);
--- a/packages/region/src/models/close.ts
+++ b/packages/region/src/models/close.ts
@@ -1,16 +1,22 @@
-import { HttpClient, type Answer, type Call, type Endpoint, type Runtime } from '../../../../src/kernel/index.js';
-import type { Luck } from '../sim/index.js';
+import {
+  HttpClient,
+  type HttpResult,
+  type HttpRequest,
+  type Endpoint,
+  type Runtime,
+} from '../../../../src/kernel/index.js';
+import type { RandomStream } from '../sim/index.js';
 import { phaseOf, statusOf } from './answers.js';
-import type { JobTruth, Submission } from './jobs.js';
-import type { UserView, UserWitness } from './witness.js';
+import type { SimulatedJob, Submission } from './jobs.js';
+import type { UserView, UserObserver } from './witness.js';
 
 /** What {@link AdversarialUsers} depends on. */
 export interface AdversarialUserDeps {
   readonly runtime: Runtime;
-  readonly luck: Luck;
+  readonly luck: RandomStream;
   /** The user-facing endpoints of the controllers, which bypass the balancer. */
   readonly nodes: readonly Endpoint[];
-  readonly checker: UserWitness;
+  readonly checker: UserObserver;
   /** Accepted jobs, in the order of their acceptance. */
   readonly accepted: readonly UserView[];
   /** Draws a job description as users send it; it is not registered as a job. */
@@ -24,11 +30,11 @@
 /** Which additional requests are sent; off until an injected fault switches them on. */
 export interface AdversarialBehavior {
   /** Asks all nodes about a job, and submits it again, as soon as one node reports it accepted or ended. */
-  looks: boolean;
+  queriesAllNodes: boolean;
   /** Sends repeated submissions, cancellations of completed jobs and invalid submissions. */
-  odd: boolean;
+  sendsUnusualRequests: boolean;
   /** Share of the jobs that are cancelled at the moment at which their last task completes. */
-  cancelsAtEnd: number;
+  cancelAtCompletionShare: number;
 }
 
 const SUBMIT_TIMEOUT_MS = 5000;
@@ -51,7 +57,11 @@
  * send invalid submissions. Most of their requests bypass the balancer.
  */
 export class AdversarialUsers {
-  readonly habits: AdversarialBehavior = { looks: false, odd: false, cancelsAtEnd: 0 };
+  readonly behavior: AdversarialBehavior = {
+    queriesAllNodes: false,
+    sendsUnusualRequests: false,
+    cancelAtCompletionShare: 0,
+  };
   private stopped = false;
 
   constructor(private readonly deps: AdversarialUserDeps) {}
@@ -59,7 +69,7 @@
   /** Starts the unusual requests; they are sent while the behavior is switched on. */
   start(): void {
     this.deps.runtime.every(UNUSUAL_REQUEST_INTERVAL_MS, () => {
-      if (this.habits.odd && !this.stopped) this.sendUnusualRequest();
+      if (this.behavior.sendsUnusualRequests && !this.stopped) this.sendUnusualRequest();
     });
   }
 
@@ -71,57 +81,57 @@
   /** A node has reported that a job is accepted, or that it is done or cancelled (`over`). */
   onJobReported(view: UserView, event: 'accepted' | 'over'): void {
     const { runtime, luck, nodes, checker } = this.deps;
-    if (!this.habits.looks || this.stopped) return;
+    if (!this.behavior.queriesAllNodes || this.stopped) return;
     const { spec } = view.job;
     for (let round = 0; round < QUERY_ROUNDS; round++) {
-      for (const node of nodes) runtime.after(luck.between(0, QUERY_WINDOW_MS), () => void this.pollJob(node, view));
+      for (const node of nodes) runtime.after(luck.uniform(0, QUERY_WINDOW_MS), () => void this.pollJob(node, view));
     }
-    const target = luck.pick(nodes);
+    const target = luck.pickOne(nodes);
     if (target)
-      runtime.after(luck.between(0, QUERY_WINDOW_MS), () => {
-        const known = checker.asks(spec.ref);
+      runtime.after(luck.uniform(0, QUERY_WINDOW_MS), () => {
+        const known = checker.reportedSoFar(spec.ref);
         void this.callNode(target, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) => {
           if (answer.kind === 'answered') checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), known);
         });
       });
     if (event === 'accepted' && luck.chance(IMMEDIATE_CANCEL_SHARE))
-      runtime.after(luck.between(0, QUERY_WINDOW_MS), () => this.deps.cancel(view));
+      runtime.after(luck.uniform(0, QUERY_WINDOW_MS), () => this.deps.cancel(view));
   }
 
   /** Called when the last task of a job has just completed; cancels the configured share of these jobs. */
-  completed(job: JobTruth): void {
-    if (!this.deps.luck.chance(this.habits.cancelsAtEnd)) return;
+  onJobCompleted(job: SimulatedJob): void {
+    if (!this.deps.luck.chance(this.behavior.cancelAtCompletionShare)) return;
     const view = this.deps.accepted.find((candidate) => candidate.job === job);
     if (view) this.deps.cancel(view);
   }
 
   /** Cancels up to `count` running jobs with long tasks, all within 200 ms, and returns them. */
-  cancelNow(count: number, running: (job: JobTruth) => boolean): UserView[] {
+  cancelRunningJobs(count: number, running: (job: SimulatedJob) => boolean): UserView[] {
     const { runtime, luck, accepted } = this.deps;
     const openJobs = accepted.filter(
       ({ job, toldDone, toldCancelled, cancelAskedAt }) =>
         !toldDone && !toldCancelled && cancelAskedAt === null && job.runS(0) > MIN_RUN_S && running(job),
     );
-    const chosen = luck.some(openJobs, count);
-    for (const view of chosen) runtime.after(luck.between(0, 200), () => this.deps.cancel(view));
+    const chosen = luck.sample(openJobs, count);
+    for (const view of chosen) runtime.after(luck.uniform(0, 200), () => this.deps.cancel(view));
     return chosen;
   }
 
   private async pollJob(node: Endpoint, view: UserView): Promise<void> {
     const { checker } = this.deps;
     const { ref } = view.job.spec;
-    const known = checker.asks(ref);
+    const known = checker.reportedSoFar(ref);
     const answer = await this.callNode(node, 'GET', `/v1/jobs/${ref}`, POLL_TIMEOUT_MS);
-    checker.polled(ref, statusOf(answer), phaseOf(answer), known);
+    checker.pollAnswered(ref, statusOf(answer), phaseOf(answer), known);
   }
 
   private async callNode(
     node: Endpoint,
-    method: Call['method'],
+    method: HttpRequest['method'],
     path: string,
     timeoutMs: number,
     body?: unknown,
-  ): Promise<Answer> {
+  ): Promise<HttpResult> {
     const client = new HttpClient(node, 1, this.deps.runtime);
     const answer = await client.call({ method, path, timeoutMs, ...(body === undefined ? {} : { body }) });
     client.close();
@@ -131,19 +141,19 @@
   private sendUnusualRequest(): void {
     const { luck, accepted, checker, nodes, resubmit } = this.deps;
     const recent = accepted.slice(-MAX_RECENT_JOBS);
-    const node = luck.pick(nodes);
+    const node = luck.pickOne(nodes);
     if (!node) return;
-    switch (luck.whole(4)) {
+    switch (luck.integerBelow(4)) {
       case 0: {
-        const openJob = luck.pick(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
+        const openJob = luck.pickOne(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
         if (openJob) resubmit(openJob);
         return;
       }
       case 1: {
-        const doneJob = luck.pick(recent.filter(({ toldDone }) => toldDone));
+        const doneJob = luck.pickOne(recent.filter(({ toldDone }) => toldDone));
         if (!doneJob) return;
         const { ref } = doneJob.job.spec;
-        const known = checker.asks(ref);
+        const known = checker.reportedSoFar(ref);
         void this.callNode(node, 'POST', `/v1/jobs/${ref}/cancel`, SUBMIT_TIMEOUT_MS, {}).then((answer) => {
           if (answer.kind === 'answered') checker.cancelAnswered(ref, answer.status, phaseOf(answer), known);
         });
@@ -151,23 +161,23 @@
       }
       case 2: {
         const spec = this.deps.drawSubmission();
-        const impossible = luck.pick<Partial<Submission>>([
+        const impossible = luck.pickOne<Partial<Submission>>([
           { vcpus: 100_000 },
           { ram_gb: 1_000_000 },
           { hulls: ['no-such-type'] },
           { owner: 'no-such-team' },
         ]);
         void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, { ...spec, ...impossible }).then((answer) =>
-          checker.oddAnswered(`a submission that can never run (${spec.ref})`, 422, statusOf(answer)),
+          checker.invalidSubmissionAnswered(`a submission that can never run (${spec.ref})`, 422, statusOf(answer)),
         );
         return;
       }
       default: {
         const entries = Object.entries(this.deps.drawSubmission());
-        const field = luck.pick(entries.map(([name]) => name).filter((name) => !NULLABLE_FIELDS.has(name)));
+        const field = luck.pickOne(entries.map(([name]) => name).filter((name) => !NULLABLE_FIELDS.has(name)));
         const spec = Object.fromEntries(entries.filter(([name]) => name !== field));
         void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) =>
-          checker.oddAnswered(`a submission without ${field ?? ''}`, 400, statusOf(answer)),
+          checker.invalidSubmissionAnswered(`a submission without ${field ?? ''}`, 400, statusOf(answer)),
         );
       }
     }
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -1,19 +1,19 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asString,
   isObject,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
 } from '../../../../src/kernel/index.js';
-import type { Luck } from '../sim/index.js';
+import type { RandomStream } from '../sim/index.js';
 import type { Script, ScriptedMachine } from './script.js';
 import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './serve.js';
 
 /** A machine type of the simulated cloud. */
-export interface TypeFacts {
+export interface MachineTypeConfig {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
@@ -46,10 +46,10 @@
   readonly latencyMs: number;
   /** Usual upper bound of the age of the machine list; some lists are up to twice as old. */
   readonly listLagS: number;
-  readonly types: readonly TypeFacts[];
+  readonly types: readonly MachineTypeConfig[];
   readonly capacity: readonly ZoneCapacity[];
   /** Reclaims per spot machine and hour, the nominal notice, and the share of reclaims without notice. */
-  readonly spot: { readonly perHour: number; readonly noticeS: number; readonly silentShare: number };
+  readonly spot: { readonly reclaimsPerHour: number; readonly noticeS: number; readonly noNoticeShare: number };
   /** Determines the course of each machine instead of random draws. */
   readonly script?: Script['machine'];
 }
@@ -60,7 +60,7 @@
 /** Actual state of a rented machine, which the API shows late. Times in milliseconds of the cloud's monotonic clock. */
 export interface Machine {
   readonly id: string;
-  readonly type: TypeFacts;
+  readonly type: MachineTypeConfig;
   readonly zone: string;
   readonly spot: boolean;
   readonly rentedAt: number;
@@ -124,18 +124,18 @@
   /** Only this share of the capacity is available. */
   capacityShare = 1;
   /** Boot times are multiplied by this. */
-  bootFactor = 1;
+  bootTimeFactor = 1;
   /** At least this share of the boots never finishes. */
-  neverShare = 0;
+  neverBootShare = 0;
   /** Every machine boots within two seconds. */
-  bootsAtOnce = false;
+  bootsFast = false;
   /** Cost billed so far. */
   private totalCost = 0;
   readonly counts = { calls: 0, refused: 0, rented: 0, takenBack: 0, neverUp: 0, died: 0 };
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly luck: Luck,
+    private readonly luck: RandomStream,
     private readonly config: CloudConfig,
     private readonly hooks: CloudHooks,
   ) {
@@ -149,12 +149,12 @@
   }
 
   /** Serves the cloud API at an endpoint. */
-  listen(at: Endpoint, log: Logger): Listening {
+  listen(at: Endpoint, log: Logger): TcpListener {
     return serveJson(this.runtime, at, log, (request) => this.handleRequest(request));
   }
 
   /** Starts or ends an outage, during which every request gets 503. */
-  outage(on: boolean): void {
+  setOutage(on: boolean): void {
     this.inOutage = on;
   }
 
@@ -164,7 +164,7 @@
   }
 
   /** Adds the machines that exist at the start of a day: running (with a script: after their boot time) and listed. */
-  begin(typeName: string, zone: string, spot: boolean, count: number): void {
+  addInitialMachines(typeName: string, zone: string, spot: boolean, count: number): void {
     const type = this.config.types.find((t) => t.name === typeName);
     if (!type) return;
     for (let i = 0; i < count; i++) {
@@ -176,14 +176,14 @@
   }
 
   /** Reclaims a spot machine, with or without notice. A machine that is not running yet gets no notice. */
-  takeBack(machine: Machine, withNotice: boolean): void {
+  reclaim(machine: Machine, withNotice: boolean): void {
     if (machine.fate === 'gone' || machine.takenAt !== null) return;
     this.counts.takenBack += 1;
     if (!withNotice || machine.fate !== 'running') {
       this.removeMachine(machine);
       return;
     }
-    this.reclaimAfter(machine, this.config.spot.noticeS * 1000 * this.luck.between(0.5, 1.5));
+    this.reclaimAfter(machine, this.config.spot.noticeS * 1000 * this.luck.uniform(0.5, 1.5));
   }
 
   /** Gives notice of a reclaim, and removes the machine when the notice is over. */
@@ -194,7 +194,7 @@
   }
 
   /** Fails a machine with everything on it: it is no longer billed, but is listed as running for a while. */
-  die(machine: Machine): void {
+  failMachine(machine: Machine): void {
     if (machine.fate !== 'running') return;
     this.billToNow(machine);
     this.counts.died += 1;
@@ -204,14 +204,14 @@
   }
 
   /** Bills all machines up to now and returns the total cost. */
-  settle(): number {
+  billAll(): number {
     for (const machine of this.machines.values()) this.billToNow(machine);
     return this.totalCost;
   }
 
   private async handleRequest(request: JsonRequest): Promise<JsonResponse> {
     this.counts.calls += 1;
-    await this.runtime.sleep(this.config.latencyMs * this.luck.between(0.6, 1.6));
+    await this.runtime.sleep(this.config.latencyMs * this.luck.uniform(0.6, 1.6));
     if (this.inOutage) return { status: 503, body: { error: 'trouble' } };
     if (!this.requestBucket.take(1)) {
       this.counts.refused += 1;
@@ -246,7 +246,7 @@
     const requestId = asString(fields['charter']);
     const type = this.config.types.find((t) => t.name === fields['hull']);
     const zone = asString(fields['berth']);
-    const requestedCount = asCount(fields['number']);
+    const requestedCount = asNonNegativeInteger(fields['number']);
     const spot = fields['flotsam'] === true;
     const earlierRental = requestId === undefined ? undefined : this.rentalsByRequestId.get(requestId);
     if (earlierRental) return { status: 200, body: { drifters: earlierRental } };
@@ -268,7 +268,7 @@
     return { status: 200, body: { drifters: rented } };
   }
 
-  private createMachine(type: TypeFacts, zone: string, spot: boolean): Machine {
+  private createMachine(type: MachineTypeConfig, zone: string, spot: boolean): Machine {
     const now = this.runtime.now();
     const kind = machineKindKey(type.name, zone, spot);
     const createdBefore = this.createdCounts.get(kind) ?? 0;
@@ -301,13 +301,13 @@
       else this.runtime.after(bootS * 1000, () => this.markRunning(machine));
       return;
     }
-    if (this.luck.chance(Math.max(machine.type.bootFail, this.neverShare))) {
+    if (this.luck.chance(Math.max(machine.type.bootFail, this.neverBootShare))) {
       this.counts.neverUp += 1;
       return;
     }
-    const lateFactor = this.luck.chance(LATE_BOOT_SHARE) ? this.luck.between(2, 4) : 1;
-    const normalBootS = machine.type.bootS * this.luck.between(0.6, 1.5) * lateFactor * this.bootFactor;
-    const bootS = this.luck.chance(this.bootsAtOnce ? 1 : QUICK_BOOT_SHARE) ? this.luck.between(0.5, 2) : normalBootS;
+    const lateFactor = this.luck.chance(LATE_BOOT_SHARE) ? this.luck.uniform(2, 4) : 1;
+    const normalBootS = machine.type.bootS * this.luck.uniform(0.6, 1.5) * lateFactor * this.bootTimeFactor;
+    const bootS = this.luck.chance(this.bootsFast ? 1 : QUICK_BOOT_SHARE) ? this.luck.uniform(0.5, 2) : normalBootS;
     this.runtime.after(bootS * 1000, () => this.markRunning(machine));
   }
 
@@ -316,10 +316,10 @@
     machine.fate = 'running';
     machine.runningAt = this.runtime.now();
     if (machine.script) this.applyScript(machine, machine.script);
-    const { perHour, silentShare } = this.config.spot;
+    const { reclaimsPerHour: perHour, noNoticeShare: silentShare } = this.config.spot;
     if (machine.spot && perHour > 0 && !machine.script) {
       const withNotice = !this.luck.chance(silentShare);
-      this.runtime.after(this.luck.exponential(3600 / perHour) * 1000, () => this.takeBack(machine, withNotice));
+      this.runtime.after(this.luck.exponential(3600 / perHour) * 1000, () => this.reclaim(machine, withNotice));
     }
     this.hooks.up(machine);
   }
@@ -330,12 +330,12 @@
       const ms = atS * 1000 - this.runtime.now();
       if (ms >= 0) this.runtime.after(ms, work);
     };
-    if (diesAtS !== null) runAt(diesAtS, () => this.die(machine));
+    if (diesAtS !== null) runAt(diesAtS, () => this.failMachine(machine));
     if (takenBack) runAt(takenBack.noticeAtS, () => this.reclaimAfter(machine, takenBack.noticeS * 1000));
   }
 
   private returnMachines(body: unknown): JsonResponse {
-    const machineIds = asList(isObject(body) ? body['drifters'] : undefined);
+    const machineIds = asArray(isObject(body) ? body['drifters'] : undefined);
     if (machineIds.length > MAX_MACHINES_PER_RETURN) return { status: 400, body: { error: 'too many names' } };
     for (const id of machineIds) {
       const machine = typeof id === 'string' ? this.machines.get(id) : undefined;
@@ -376,7 +376,7 @@
     // Time before the change is billed at the old price.
     for (const machine of this.machines.values()) if (machine.spot) this.billToNow(machine);
     for (const { name, spotPrice } of this.config.types) {
-      const next = (this.spotPrices.get(name) ?? spotPrice) * this.luck.between(0.95, 1.05);
+      const next = (this.spotPrices.get(name) ?? spotPrice) * this.luck.uniform(0.95, 1.05);
       this.spotPrices.set(name, Math.min((spotPrice * 4) / 3, Math.max((spotPrice * 2) / 3, next)));
     }
   }
@@ -388,7 +388,7 @@
   private listMachines(query: URLSearchParams): JsonResponse {
     const after = query.get('after') ?? '';
     const maxEntries = Math.min(500, Math.max(1, Number(query.get('most') ?? 500) || 500));
-    const lagMs = this.config.listLagS * 1000 * this.luck.between(0.3, this.luck.chance(0.1) ? 2 : 1);
+    const lagMs = this.config.listLagS * 1000 * this.luck.uniform(0.3, this.luck.chance(0.1) ? 2 : 1);
     const asOf = this.runtime.now() - lagMs;
     const entries: unknown[] = [];
     let truncated = false;
--- a/packages/region/src/models/gangs.ts
+++ b/packages/region/src/models/gangs.ts
@@ -1,6 +1,6 @@
 import type { Runtime, Timer } from '../../../../src/kernel/index.js';
-import type { Luck } from '../sim/index.js';
-import type { JobTruth } from './jobs.js';
+import type { RandomStream } from '../sim/index.js';
+import type { SimulatedJob } from './jobs.js';
 
 /** Why a gang's task exits: `alone` if the gang was not complete in time, `mates_gone` if other members are lost. */
 export type GangExitCause = 'done' | 'stopped' | 'mates_gone' | 'alone';
@@ -19,7 +19,7 @@
 }
 
 /** Timeouts of gangs. */
-export interface GangFacts {
+export interface GangTimeouts {
   /** How long a member waits for the others before it exits. */
   readonly waitS: number;
   /** Within this time members notice that another is lost, and all must have been told to stop. */
@@ -41,10 +41,10 @@
   ended = false;
 
   constructor(
-    private readonly job: JobTruth,
+    private readonly job: SimulatedJob,
     private readonly runtime: Runtime,
-    private readonly luck: Luck,
-    private readonly timeouts: GangFacts,
+    private readonly luck: RandomStream,
+    private readonly timeouts: GangTimeouts,
   ) {}
 
   /** Progress of each member in seconds at nominal speed. */
@@ -105,7 +105,7 @@
     this.finishTimer?.cancel();
     this.saveProgress(this.job.lastCheckpointBefore(this.progressS));
     for (const member of this.members.values()) {
-      this.runtime.after(this.luck.between(0.2, 1) * this.timeouts.peerS * 1000, () => {
+      this.runtime.after(this.luck.uniform(0.2, 1) * this.timeouts.peerS * 1000, () => {
         if (this.members.get(member.index) === member) member.exit('mates_gone', false);
       });
     }
@@ -158,16 +158,16 @@
 }
 
 /** Coordinates all gangs of a region: tasks of the same job and attempt number belong together. */
-export class GangBook {
+export class GangCoordinator {
   private readonly attempts = new Map<string, GangAttempt>();
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly luck: Luck,
-    private readonly timeouts: GangFacts,
+    private readonly luck: RandomStream,
+    private readonly timeouts: GangTimeouts,
   ) {}
 
-  private attemptOf(job: JobTruth, attempt: number): GangAttempt {
+  private attemptOf(job: SimulatedJob, attempt: number): GangAttempt {
     const key = `${job.spec.ref}#${attempt}`;
     let gangAttempt = this.attempts.get(key);
     if (!gangAttempt)
@@ -176,17 +176,17 @@
   }
 
   /** Adds a task to its gang. */
-  join(job: JobTruth, attempt: number, member: GangMember): void {
+  join(job: SimulatedJob, attempt: number, member: GangMember): void {
     this.attemptOf(job, attempt).join(member);
   }
 
   /** Called when a task is gone or its machine hangs. */
-  onMemberLost(job: JobTruth, attempt: number, member: GangMember, machineHangs: boolean): void {
+  onMemberLost(job: SimulatedJob, attempt: number, member: GangMember, machineHangs: boolean): void {
     this.attemptOf(job, attempt).onMemberLost(member, machineHangs);
   }
 
   /** Executes a stop command with this grace period for a task. */
-  stop(job: JobTruth, attempt: number, member: GangMember, graceS: number): void {
+  stop(job: SimulatedJob, attempt: number, member: GangMember, graceS: number): void {
     this.attemptOf(job, attempt).stop(member, graceS);
   }
 }
--- a/packages/region/src/models/jobs.ts
+++ b/packages/region/src/models/jobs.ts
@@ -40,7 +40,7 @@
  * The actual state of a simulated job, independent of what the scheduler knows: how long its tasks run, what they have
  * saved and which have completed. Checkpoints and results are stored outside the machines, so they are kept here.
  */
-export class JobTruth {
+export class SimulatedJob {
   /** Saved progress in seconds, by task index; a gang's under 0. */
   readonly saved = new Map<number, number>();
   /** Indexes of the completed tasks. */
@@ -72,26 +72,26 @@
 }
 
 /** All submitted jobs by id. */
-export class JobBook {
-  private readonly jobs = new Map<string, JobTruth>();
+export class SimulatedJobs {
+  private readonly jobs = new Map<string, SimulatedJob>();
 
   /** `findElsewhere` looks up jobs that were not added here. */
-  constructor(private readonly findElsewhere?: (ref: string) => JobTruth | undefined) {}
+  constructor(private readonly findElsewhere?: (ref: string) => SimulatedJob | undefined) {}
 
   /** Adds a job; replaces one with the same id. */
-  add(job: JobTruth): void {
+  add(job: SimulatedJob): void {
     this.jobs.set(job.spec.ref, job);
   }
 
   /** Returns a job; undefined if neither this collection nor `findElsewhere` knows it. */
-  get(ref: string): JobTruth | undefined {
+  get(ref: string): SimulatedJob | undefined {
     const job = this.jobs.get(ref) ?? this.findElsewhere?.(ref);
     if (job) this.jobs.set(ref, job);
     return job;
   }
 
   /** All jobs that were added or found so far. */
-  get all(): Iterable<JobTruth> {
+  get all(): Iterable<SimulatedJob> {
     return this.jobs.values();
   }
 }
--- a/packages/region/src/models/script.ts
+++ b/packages/region/src/models/script.ts
@@ -1,9 +1,9 @@
-import type { JobTruth } from './jobs.js';
+import type { SimulatedJob } from './jobs.js';
 
 /** A job that is submitted at a fixed time instead of a random one. Times in seconds since the start of the day. */
 export interface ScriptedJob {
   readonly atS: number;
-  readonly job: JobTruth;
+  readonly job: SimulatedJob;
   /** When its user cancels it; null: never. */
   readonly cancelAtS: number | null;
 }
--- a/packages/region/src/models/serve.ts
+++ b/packages/region/src/models/serve.ts
@@ -1,8 +1,8 @@
 import {
-  Lane,
+  FastPathConnection,
   type Connection,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
 } from '../../../../src/kernel/index.js';
@@ -46,7 +46,7 @@
   at: Endpoint,
   log: Logger,
   handle: (request: JsonRequest) => JsonResponse | Promise<JsonResponse>,
-): Listening {
+): TcpListener {
   const connections = new Set<Connection>();
   const listener = runtime.listen({
     ...at,
@@ -55,7 +55,7 @@
       connections.add(connection);
       connection.on('close', () => connections.delete(connection));
       const from = connection.remoteAddress ?? '';
-      Lane.serve(
+      FastPathConnection.serve(
         connection,
         () => async (head, body) => {
           const queryStart = head.path.indexOf('?');
--- a/packages/region/src/models/state.ts
+++ b/packages/region/src/models/state.ts
@@ -1,20 +1,20 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asNumber,
   asString,
   isObject,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
   type Timer,
 } from '../../../../src/kernel/index.js';
-import type { Luck } from '../sim/index.js';
+import type { RandomStream } from '../sim/index.js';
 import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './serve.js';
 
 /** Limits and latency of the simulated state service. */
-export interface StateFacts {
+export interface StateServiceConfig {
   /** Requests per second. */
   readonly rps: number;
   /** Changed keys per second; transactions whose guards fail count as well. */
@@ -60,7 +60,7 @@
 }
 
 /** An injected fault: the request is executed but not answered, or not executed at all. */
-export type Spoiled = 'lost-answer' | 'lost-request';
+export type InjectedFault = 'lost-answer' | 'lost-request';
 
 /** An open watch request. `deliverChanges` answers it if there are changes. */
 interface Watch {
@@ -113,17 +113,17 @@
   /** The latency is multiplied by this. */
   slowness = 1;
   /** This share of the transactions gets no answer and is applied seconds later, after newer ones. */
-  lateWrites = 0;
+  lateWriteShare = 0;
   /** Applies those transactions at once, so that only their answers are lost. */
-  lateAtOnce = false;
+  appliesLateWritesAtOnce = false;
   /** This share of the reads and transactions is executed at once and answered later. */
-  heldAnswers = 0;
+  heldAnswerShare = 0;
   /** Called for each change, for measurements; `value` is undefined for a deletion. */
   wrote: (key: string, value: unknown) => void = () => undefined;
   /** Set by tests: drops a change although the transaction is answered with success. */
-  loses: (key: string) => boolean = () => false;
+  dropsChange: (key: string) => boolean = () => false;
   /** Set by tests: the fault of a request; null: none. */
-  spoils: (request: JsonRequest) => Spoiled | null = () => null;
+  injectFault: (request: JsonRequest) => InjectedFault | null = () => null;
   readonly counts = { requests: 0, changes: 0, refused: 0 };
   /** Number of requests by kind. */
   readonly operations: Record<StateOperation, number> = {
@@ -132,15 +132,15 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly luck: Luck,
-    private config: StateFacts,
+    private readonly luck: RandomStream,
+    private config: StateServiceConfig,
   ) {
     this.requestBucket = new TokenBucket(runtime, config.rps, 1);
     this.changeBucket = new TokenBucket(runtime, config.writeRps, 1);
   }
 
   /** Serves the state protocol at an endpoint. */
-  listen(at: Endpoint, log: Logger): Listening {
+  listen(at: Endpoint, log: Logger): TcpListener {
     return serveJson(this.runtime, at, log, (request) => this.handleRequest(request));
   }
 
@@ -148,7 +148,7 @@
    * Starts or ends an outage: every request gets 503, open watches stay open, no lease expires, and leases get their full
    * TTL at the end.
    */
-  outage(on: boolean): void {
+  setOutage(on: boolean): void {
     this.inOutage = on;
     for (const [id, lease] of this.leases) {
       lease.timer.cancel();
@@ -175,7 +175,7 @@
   }
 
   /** Lowers limits from now on; stored values stay as they are. */
-  limit(lower: Partial<Pick<StateFacts, 'writeRps' | 'valueKb' | 'txnOps'>>): void {
+  limit(lower: Partial<Pick<StateServiceConfig, 'writeRps' | 'valueKb' | 'txnOps'>>): void {
     this.config = { ...this.config, ...lower };
     this.changeBucket.ratePerS = this.config.writeRps;
   }
@@ -217,25 +217,25 @@
   private async handleRequest(request: JsonRequest): Promise<JsonResponse> {
     this.counts.requests += 1;
     this.operations[operationOf(request)] += 1;
-    const delayFactor = this.luck.chance(SLOW_REQUEST_SHARE) ? this.luck.between(20, 60) : 1;
-    await this.runtime.sleep(this.config.latencyMs * this.luck.between(0.5, 1.5) * delayFactor * this.slowness);
+    const delayFactor = this.luck.chance(SLOW_REQUEST_SHARE) ? this.luck.uniform(20, 60) : 1;
+    await this.runtime.sleep(this.config.latencyMs * this.luck.uniform(0.5, 1.5) * delayFactor * this.slowness);
     if (this.inOutage || this.refusedNodes.has(request.from)) return UNAVAILABLE;
     if (!this.requestBucket.take(1)) {
       this.counts.refused += 1;
       return TOO_MANY_REQUESTS;
     }
-    if (this.lateWrites > 0 && request.path === '/txn' && this.luck.chance(this.lateWrites)) {
-      if (this.lateAtOnce) void this.dispatch(request);
-      else this.runtime.after(this.luck.between(...LATE_WRITE_DELAY_MS), () => void this.dispatch(request));
+    if (this.lateWriteShare > 0 && request.path === '/txn' && this.luck.chance(this.lateWriteShare)) {
+      if (this.appliesLateWritesAtOnce) void this.dispatch(request);
+      else this.runtime.after(this.luck.uniform(...LATE_WRITE_DELAY_MS), () => void this.dispatch(request));
       return new Promise<JsonResponse>(() => undefined);
     }
-    const mayHold = this.heldAnswers > 0 && request.path !== '/follow' && !request.path.startsWith('/leases');
-    if (mayHold && this.luck.chance(this.heldAnswers)) {
+    const mayHold = this.heldAnswerShare > 0 && request.path !== '/follow' && !request.path.startsWith('/leases');
+    if (mayHold && this.luck.chance(this.heldAnswerShare)) {
       const answer = this.dispatch(request);
-      await this.runtime.sleep(this.luck.between(...HELD_ANSWER_DELAY_MS));
+      await this.runtime.sleep(this.luck.uniform(...HELD_ANSWER_DELAY_MS));
       return answer;
     }
-    const fault = this.spoils(request);
+    const fault = this.injectFault(request);
     if (fault === 'lost-answer') void this.dispatch(request);
     return fault ? new Promise<JsonResponse>(() => undefined) : this.dispatch(request);
   }
@@ -284,9 +284,9 @@
   private transact(body: unknown): JsonResponse {
     if (!isObject(body)) return badRequest('the body must be a JSON object');
     if (JSON.stringify(body).length > MAX_TXN_BYTES) return badRequest('too long');
-    const guards = asList(body['guards']);
+    const guards = asArray(body['guards']);
     const writes: Write[] = [];
-    for (const item of asList(body['writes'])) {
+    for (const item of asArray(body['writes'])) {
       const write = this.decodeWrite(item);
       if (typeof write === 'string') return badRequest(write);
       writes.push(write);
@@ -296,7 +296,7 @@
     const failed: string[] = [];
     for (const guard of guards) {
       const key = isObject(guard) ? asString(guard['path']) : undefined;
-      const stamp = isObject(guard) ? asCount(guard['stamp']) : undefined;
+      const stamp = isObject(guard) ? asNonNegativeInteger(guard['stamp']) : undefined;
       if (key === undefined || stamp === undefined) return badRequest('a condition');
       if ((this.entries.get(key)?.stamp ?? 0) !== stamp) failed.push(key);
     }
@@ -321,7 +321,7 @@
     if (key === undefined || !KEY_PATTERN.test(key)) return 'a key';
     const { value = null } = item;
     if (JSON.stringify(value).length > this.config.valueKb * 1024) return 'a value is too long';
-    return { key, value, lease: asCount(item['mooring']) ?? null };
+    return { key, value, lease: asNonNegativeInteger(item['mooring']) ?? null };
   }
 
   /** Applies the writes as one revision. A write without a lease detaches the key from its lease. */
@@ -331,7 +331,7 @@
     const stamp = this.currentRevision;
     for (const write of writes) {
       const key = 'gone' in write ? write.gone : write.key;
-      if (this.loses(key)) continue;
+      if (this.dropsChange(key)) continue;
       this.wrote(key, 'gone' in write ? undefined : write.value);
       const previous = this.entries.get(key);
       if (previous?.lease != null) this.leases.get(previous.lease)?.keys.delete(key);
--- a/packages/region/src/models/tasks.ts
+++ b/packages/region/src/models/tasks.ts
@@ -1,25 +1,25 @@
 import { type Runtime, type TaskKey, type Timer } from '../../../../src/kernel/index.js';
-import type { Luck } from '../sim/index.js';
+import type { RandomStream } from '../sim/index.js';
 import type { Machine } from './cloud.js';
-import type { GangBook, GangMember } from './gangs.js';
+import type { GangCoordinator, GangMember } from './gangs.js';
 import { ImageCache } from './images.js';
-import type { JobBook, JobTruth } from './jobs.js';
+import type { SimulatedJobs, SimulatedJob } from './jobs.js';
 
 /** Phase of a task as its worker reports it. */
 export type TaskPhase = 'fetching' | 'gathering' | 'running' | 'flushing' | 'exited';
 /** Why a task exited, as its worker reports it. */
-export type Cause = 'done' | 'stopped' | 'mates_gone' | 'alone' | 'error' | 'no_room' | 'in_use' | 'no_such';
+export type TaskExitCause = 'done' | 'stopped' | 'mates_gone' | 'alone' | 'error' | 'no_room' | 'in_use' | 'no_such';
 
 /** Observes what really happens to tasks, whether or not the scheduler learns of it. */
-export interface TaskWatch {
+export interface TaskObserver {
   /** A start command was accepted; the task fetches its image next. */
-  ordered?(machine: Machine, job: JobTruth, index: number, attempt: number): void;
+  ordered?(machine: Machine, job: SimulatedJob, index: number, attempt: number): void;
   /** The task has its image; from now on it counts as present on the machine. */
-  entered(machine: Machine, job: JobTruth, index: number, attempt: number): void;
+  entered(machine: Machine, job: SimulatedJob, index: number, attempt: number): void;
   /** The task runs. */
-  running(machine: Machine, job: JobTruth, index: number, attempt: number): void;
+  running(machine: Machine, job: SimulatedJob, index: number, attempt: number): void;
   /** The task exited, was killed, or its machine is gone. */
-  left(machine: Machine, job: JobTruth, index: number, attempt: number, cause: Cause | 'killed'): void;
+  left(machine: Machine, job: SimulatedJob, index: number, attempt: number, cause: TaskExitCause | 'killed'): void;
 }
 
 /** An attempt of a task on a machine. */
@@ -28,9 +28,9 @@
   readonly index: number;
   readonly attempt: number;
   /** undefined if there is no such job; the task is refused then. */
-  readonly job: JobTruth | undefined;
+  readonly job: SimulatedJob | undefined;
   phase: TaskPhase;
-  cause: Cause | null;
+  cause: TaskExitCause | null;
   /** Its progress was saved before it exited. */
   stored: boolean;
   /** Has its image, and the observer has not been told yet that it left. */
@@ -46,10 +46,10 @@
 /** What {@link MachineTasks} depends on. */
 export interface TasksDeps {
   readonly runtime: Runtime;
-  readonly luck: Luck;
-  readonly jobs: JobBook;
-  readonly gangs: GangBook;
-  readonly watch: TaskWatch;
+  readonly luck: RandomStream;
+  readonly jobs: SimulatedJobs;
+  readonly gangs: GangCoordinator;
+  readonly watch: TaskObserver;
 }
 
 /** The tasks on one machine: fetching of images, progress, saving and exits. */
@@ -70,8 +70,8 @@
     private readonly onChange: () => void,
   ) {
     const { runtime, luck } = deps;
-    this.images = new ImageCache(runtime, machine.type.cacheGb, machine.type.fetchGbPerS * luck.between(0.67, 1.33));
-    this.nominalSpeed = luck.between(0.95, 1.05);
+    this.images = new ImageCache(runtime, machine.type.cacheGb, machine.type.fetchGbPerS * luck.uniform(0.67, 1.33));
+    this.nominalSpeed = luck.uniform(0.95, 1.05);
   }
 
   /** All tasks that the machine knows, exited ones included. */
@@ -118,14 +118,14 @@
   }
 
   /** Completes a running task that is not in a gang at once, whatever run time it has left. */
-  finish(key: string): void {
+  completeNow(key: string): void {
     for (const task of this.tasks.values()) {
       if (task.key !== key || task.phase !== 'running' || !task.job || task.member) continue;
       this.complete(task, task.job);
     }
   }
 
-  private complete(task: Task, job: JobTruth): void {
+  private complete(task: Task, job: SimulatedJob): void {
     job.usefulS += Math.max(0, job.runS(task.index) - (job.saved.get(task.index) ?? 0));
     job.finished.add(task.index);
     this.exit(task, 'done');
@@ -151,7 +151,7 @@
     }
   }
 
-  private fits({ spec }: JobTruth, others: readonly Task[]): boolean {
+  private fits({ spec }: SimulatedJob, others: readonly Task[]): boolean {
     const { type } = this.machine;
     let [cpus, gpus, memory] = [spec.vcpus, spec.accelerators, spec.ram_gb];
     for (const { job } of others) {
@@ -163,7 +163,7 @@
     return cpus <= type.cpus + tolerance && gpus <= type.gpus + tolerance && memory <= type.memoryGb + tolerance;
   }
 
-  private onImageReady(task: Task, job: JobTruth): void {
+  private onImageReady(task: Task, job: SimulatedJob): void {
     task.on = true;
     this.deps.watch.entered(this.machine, job, task.index, task.attempt);
     // The result of a completed task is stored, so it exits as done without running again.
@@ -218,7 +218,7 @@
   }
 
   /** Lets a task make progress, and schedules its end. */
-  private runTask(task: Task, job: JobTruth): void {
+  private runTask(task: Task, job: SimulatedJob): void {
     task.runningAt = this.deps.runtime.now();
     if (this.failsTasks || job.mistaken) {
       this.scheduleFailure(task);
@@ -230,7 +230,7 @@
   }
 
   private scheduleFailure(task: Task): void {
-    task.timer = this.deps.runtime.after(this.deps.luck.between(300, 2500), () => {
+    task.timer = this.deps.runtime.after(this.deps.luck.uniform(300, 2500), () => {
       if (task.member && task.job) this.deps.gangs.onMemberLost(task.job, task.attempt, task.member, false);
       this.exit(task, 'error');
     });
@@ -266,7 +266,7 @@
   }
 
   /** Saves progress, if it is more than what is saved already. */
-  private saveProgress(task: Task, job: JobTruth, progressS: number): void {
+  private saveProgress(task: Task, job: SimulatedJob, progressS: number): void {
     const savedS = job.saved.get(task.index) ?? 0;
     if (progressS <= savedS) return;
     job.usefulS += progressS - savedS;
@@ -274,13 +274,13 @@
   }
 
   /** Exits without saving; progress up to the last periodic checkpoint is kept. */
-  private exitWithoutSaving(task: Task, job: JobTruth, cause: Cause): void {
+  private exitWithoutSaving(task: Task, job: SimulatedJob, cause: TaskExitCause): void {
     this.recordProgress(task, job);
     this.exit(task, cause);
   }
 
   /** Keeps what periodic checkpoints have saved; the run time of a replica counts as useful work. */
-  private recordProgress(task: Task, job: JobTruth): void {
+  private recordProgress(task: Task, job: SimulatedJob): void {
     if (!task.on || task.member) return;
     if (job.spec.shape === 'daemon') job.usefulS += this.progressOf(task);
     else this.saveProgress(task, job, job.lastCheckpointBefore(this.progressOf(task)));
@@ -288,7 +288,7 @@
     task.runningAt = null;
   }
 
-  private exit(task: Task, cause: Cause): void {
+  private exit(task: Task, cause: TaskExitCause): void {
     if (task.phase === 'exited' || this.tasks.get(`${task.key}#${task.attempt}`) !== task) return;
     task.timer?.cancel();
     if (task.phase === 'fetching' && task.job) this.images.cancel(task.job.spec.bundle, `${task.key}#${task.attempt}`);
@@ -298,7 +298,7 @@
     this.onChange();
   }
 
-  private notifyLeft(task: Task, cause: Cause | 'killed'): void {
+  private notifyLeft(task: Task, cause: TaskExitCause | 'killed'): void {
     if (!task.on || !task.job) return;
     task.on = false;
     this.deps.watch.left(this.machine, task.job, task.index, task.attempt, cause);
--- a/packages/region/src/models/users.ts
+++ b/packages/region/src/models/users.ts
@@ -1,23 +1,23 @@
-import type { Answer, Endpoint, Runtime } from '../../../../src/kernel/index.js';
-import { ANY_TEAM, type Day, type DayClass, type DayPipeline } from '../day/index.js';
-import { Luck } from '../sim/index.js';
+import type { HttpResult, Endpoint, Runtime } from '../../../../src/kernel/index.js';
+import { ANY_TEAM, type SimulationScenario, type JobClass, type PipelineTemplate } from '../day/index.js';
+import { RandomStream } from '../sim/index.js';
 import type { Balancer, UserSession } from './balancer.js';
 import { phaseOf, statusOf } from './answers.js';
 import { AdversarialUsers } from './close.js';
-import { JobTruth, type JobBook, type Submission } from './jobs.js';
+import { SimulatedJob, type SimulatedJobs, type Submission } from './jobs.js';
 import type { ScriptedJob } from './script.js';
-import type { UserView, UserWitness } from './witness.js';
+import type { UserView, UserObserver } from './witness.js';
 
 /** What {@link UserModel} depends on. */
 export interface UserDeps {
   readonly runtime: Runtime;
   /** True time in milliseconds since the start of the day. */
   readonly now: () => number;
-  readonly luck: Luck;
-  readonly day: Day;
+  readonly luck: RandomStream;
+  readonly day: SimulationScenario;
   readonly balancer: Balancer;
-  readonly jobs: JobBook;
-  readonly checker: UserWitness;
+  readonly jobs: SimulatedJobs;
+  readonly checker: UserObserver;
   /** Called for each job before its submission. */
   readonly arrived: (view: UserView) => void;
   /** The endpoints of the controllers, for requests that bypass the balancer. */
@@ -63,7 +63,7 @@
     const adversarialRandom = luck.fork('close');
     this.close = new AdversarialUsers({
       ...{ runtime, nodes, checker, luck: adversarialRandom, accepted: this.accepted },
-      drawSubmission: () => this.drawJob(adversarialRandom.pick(day.classes)).spec,
+      drawSubmission: () => this.drawJob(adversarialRandom.pickOne(day.classes)).spec,
       resubmit: (view) => void this.withSession((session) => this.submitOnce(session, view)),
       cancel: (view) => void this.withSession((session) => this.cancel(session, view)),
     });
@@ -77,7 +77,7 @@
   }
 
   /** Sets the factor by which the arrival rate of a job class is multiplied. */
-  burst(jobClass: string, times: number): void {
+  setArrivalFactor(jobClass: string, times: number): void {
     this.arrivalFactors.set(jobClass, times);
   }
 
@@ -91,12 +91,12 @@
     }
     for (const jobClass of day.classes) {
       for (let i = 0; i < jobClass.initial; i++)
-        runtime.after(luck.between(0, INITIAL_JOBS_WINDOW_MS), () => void this.simulateJob(jobClass));
+        runtime.after(luck.uniform(0, INITIAL_JOBS_WINDOW_MS), () => void this.simulateJob(jobClass));
     }
     for (const pipeline of day.pipelines) {
       for (let i = 0; i < pipeline.initial; i++)
         runtime.after(
-          pipeline.start_s * 1000 + luck.between(0, INITIAL_JOBS_WINDOW_MS),
+          pipeline.start_s * 1000 + luck.uniform(0, INITIAL_JOBS_WINDOW_MS),
           () => void this.simulatePipeline(pipeline),
         );
     }
@@ -118,20 +118,20 @@
     for (const jobClass of day.classes) {
       const mean = (jobClass.per_minute / 60) * (this.arrivalFactors.get(jobClass.name) ?? 1);
       const arrivals = luck.poisson(mean);
-      for (let i = 0; i < arrivals; i++) runtime.after(luck.between(0, 1000), () => void this.simulateJob(jobClass));
+      for (let i = 0; i < arrivals; i++) runtime.after(luck.uniform(0, 1000), () => void this.simulateJob(jobClass));
     }
     for (const pipeline of day.pipelines) {
       if (pipeline.per_minute === 0 || now() < pipeline.start_s * 1000) continue;
       const arrivals = luck.poisson(pipeline.per_minute / 60);
       for (let i = 0; i < arrivals; i++)
-        runtime.after(luck.between(0, 1000), () => void this.simulatePipeline(pipeline));
+        runtime.after(luck.uniform(0, 1000), () => void this.simulatePipeline(pipeline));
     }
   }
 
   /** Returns an unused job id. */
   private newRef(): string {
     for (;;) {
-      const candidate = `j-${String(this.deps.luck.whole(1_000_000)).padStart(6, '0')}`;
+      const candidate = `j-${String(this.deps.luck.integerBelow(1_000_000)).padStart(6, '0')}`;
       if (this.usedRefs.has(candidate)) continue;
       this.usedRefs.add(candidate);
       return candidate;
@@ -139,24 +139,24 @@
   }
 
   /** Draws a job of a class. */
-  private drawJob(jobClass: DayClass | undefined, overrides: Partial<Submission> = {}): JobTruth {
+  private drawJob(jobClass: JobClass | undefined, overrides: Partial<Submission> = {}): SimulatedJob {
     if (!jobClass) throw new Error('the day defines no job classes');
     const { luck, day } = this.deps;
     const ref = this.newRef();
     const jobRandom = luck.fork(ref);
     const pieces =
       'sizes' in jobClass.tasks
-        ? (jobClass.tasks.sizes[jobRandom.weighted(jobClass.tasks.weights)] ?? 1)
-        : Math.max(1, Math.round(jobRandom.spread(jobClass.tasks)));
-    const runS = jobRandom.spread(jobClass.run_s);
-    const estimateFactor = jobRandom.spread({ median: 1, p95: 1 + jobClass.estimate_off, max: MAX_ESTIMATE_FACTOR });
+        ? (jobClass.tasks.sizes[jobRandom.weightedIndex(jobClass.tasks.weights)] ?? 1)
+        : Math.max(1, Math.round(jobRandom.logNormal(jobClass.tasks)));
+    const runS = jobRandom.logNormal(jobClass.run_s);
+    const estimateFactor = jobRandom.logNormal({ median: 1, p95: 1 + jobClass.estimate_off, max: MAX_ESTIMATE_FACTOR });
     const expectedS =
       jobClass.shape === 'service' ? 0 : runS * (jobRandom.chance(0.5) ? estimateFactor : 1 / estimateFactor);
-    const image = jobRandom.whole(jobClass.images.count);
+    const image = jobRandom.integerBelow(jobClass.images.count);
     const spec: Submission = {
       ref,
       jobclass: jobClass.name,
-      owner: jobClass.team === ANY_TEAM ? (jobRandom.fork('team').pick(day.teams)?.name ?? '') : jobClass.team,
+      owner: jobClass.team === ANY_TEAM ? (jobRandom.fork('team').pickOne(day.teams)?.name ?? '') : jobClass.team,
       shape: SHAPES[jobClass.shape],
       urgency: jobClass.priority,
       pieces,
@@ -166,7 +166,9 @@
       bundle: `${jobClass.name}-${image}`,
       // The size is drawn by image name, so that all jobs with the same image state the same size.
       pull_gb:
-        Math.round(new Luck(this.deps.day.seed, `${jobClass.name}-${image}`).spread(jobClass.images.gb) * 100) / 100,
+        Math.round(
+          new RandomStream(this.deps.day.seed, `${jobClass.name}-${image}`).logNormal(jobClass.images.gb) * 100,
+        ) / 100,
       hulls: jobClass.types ?? null,
       berth: jobClass.zone ?? null,
       same_place: jobClass.one_zone,
@@ -182,10 +184,10 @@
     const runTimeOf = (index: number): number => {
       let runTime = runTimes.get(index);
       if (runTime === undefined)
-        runTimes.set(index, (runTime = runS * jobRandom.fork(String(index)).between(0.85, 1.2)));
+        runTimes.set(index, (runTime = runS * jobRandom.fork(String(index)).uniform(0.85, 1.2)));
       return runTime;
     };
-    return new JobTruth(
+    return new SimulatedJob(
       spec,
       jobClass.shape === 'service' ? () => runS : runTimeOf,
       jobRandom.chance(jobClass.mistaken_share),
@@ -193,7 +195,7 @@
   }
 
   /** Simulates the user of one job, from its submission to the last poll. */
-  private async simulateJob(jobClass: DayClass): Promise<void> {
+  private async simulateJob(jobClass: JobClass): Promise<void> {
     const { runtime, luck } = this.deps;
     const job = this.drawJob(jobClass);
     const userRandom = luck.fork(`${job.spec.ref} user`);
@@ -201,13 +203,13 @@
     try {
       if (!(await this.submit(session, view))) return;
       if (userRandom.chance(RESUBMIT_SHARE))
-        runtime.after(userRandom.between(500, 20_000), () => void this.submitOnce(session, view));
+        runtime.after(userRandom.uniform(500, 20_000), () => void this.submitOnce(session, view));
       if (jobClass.shape === 'service') runtime.after(job.runS(0) * 1000, () => void this.cancel(session, view));
       else if (job.mistaken || userRandom.chance(jobClass.cancel_share))
-        runtime.after(userRandom.between(1000, jobClass.cancel_within_s * 1000), () => void this.cancel(session, view));
+        runtime.after(userRandom.uniform(1000, jobClass.cancel_within_s * 1000), () => void this.cancel(session, view));
       await this.pollUntilEnded(session, view, userRandom);
       if (!userRandom.chance(ASK_AFTER_END_SHARE)) return;
-      await runtime.sleep(userRandom.between(5000, 60_000));
+      await runtime.sleep(userRandom.uniform(5000, 60_000));
       await this.poll(session, view);
       await this.submitOnce(session, view);
     } finally {
@@ -220,7 +222,7 @@
    * stage of some pipelines only when all other jobs have ended. After a job that is not accepted no further ones are
    * submitted.
    */
-  private async simulatePipeline(pipeline: DayPipeline): Promise<void> {
+  private async simulatePipeline(pipeline: PipelineTemplate): Promise<void> {
     const { day, jobs } = this.deps;
     const pipelineRandom = this.deps.luck.fork(`pipeline ${this.newRef()}`);
     const lastStageWaits = pipelineRandom.chance(pipeline.late);
@@ -240,14 +242,14 @@
       if (this.stopped) return;
       const views: UserView[] = [];
       let longestS = 0;
-      for (let i = stage.jobs[0] + pipelineRandom.whole(stage.jobs[1] - stage.jobs[0] + 1); i > 0; i--) {
+      for (let i = stage.jobs[0] + pipelineRandom.integerBelow(stage.jobs[1] - stage.jobs[0] + 1); i > 0; i--) {
         const job = this.drawJob(jobClass, { awaits, due_s: null });
         longestS = Math.max(longestS, job.spec.expected_s);
         const { runS, mistaken, spec } = job;
         const due_s = isLastStage
           ? Math.round((estimateS + longestS) * pipeline.deadline_factor + pipeline.deadline_plus_s)
           : null;
-        const submission = this.prepareSubmission(new JobTruth({ ...spec, due_s }, runS, mistaken));
+        const submission = this.prepareSubmission(new SimulatedJob({ ...spec, due_s }, runS, mistaken));
         submissions.push(submission);
         if (!(await this.submit(submission.session, submission.view))) return;
         views.push(submission.view);
@@ -259,8 +261,8 @@
       viewsByStage.push(views);
     }
     if (!pipelineRandom.chance(pipeline.cancelled)) return;
-    await this.deps.runtime.sleep(pipelineRandom.between(0, 40_000));
-    const chosen = pipelineRandom.pick(submissions);
+    await this.deps.runtime.sleep(pipelineRandom.uniform(0, 40_000));
+    const chosen = pipelineRandom.pickOne(submissions);
     if (chosen && jobs.get(chosen.view.job.spec.ref)?.complete !== true) {
       const session = this.deps.balancer.openSession();
       await this.cancel(session, chosen.view);
@@ -269,11 +271,11 @@
   }
 
   /** Returns the id of one of the last accepted jobs that can still complete; services and faulty jobs can't. */
-  private pickUnfinishedBatchJob(pipelineRandom: Luck): string | undefined {
+  private pickUnfinishedBatchJob(pipelineRandom: RandomStream): string | undefined {
     const unfinished = this.accepted.filter(
       ({ job, toldDone, toldCancelled }) => job.spec.shape !== 'daemon' && !job.mistaken && !toldDone && !toldCancelled,
     );
-    return pipelineRandom.pick(unfinished.slice(-20))?.job.spec.ref;
+    return pipelineRandom.pickOne(unfinished.slice(-20))?.job.spec.ref;
   }
 
   /** Waits until the users know the end of all these jobs. */
@@ -297,10 +299,10 @@
   }
 
   /** Registers a job with the simulation and opens its user's session; nothing is sent yet. */
-  private prepareSubmission(job: JobTruth): { readonly view: UserView; readonly session: UserSession } {
+  private prepareSubmission(job: SimulatedJob): { readonly view: UserView; readonly session: UserSession } {
     const { checker, jobs, balancer, now } = this.deps;
     jobs.add(job);
-    checker.submits(job);
+    checker.jobSubmitted(job);
     const view: UserView = {
       ...{ job, submittedAt: now(), acceptedAt: null, refused: false },
       ...{ cancelAskedAt: null, toldDone: false, toldCancelled: false },
@@ -327,21 +329,21 @@
   }
 
   /** Waits as long as the response asks for, within bounds; returns false if the deadline passes before. */
-  private async waitToRetry(answer: Answer, startedAt: number): Promise<boolean> {
+  private async waitToRetry(answer: HttpResult, startedAt: number): Promise<boolean> {
     const retryAfterS = answer.kind === 'answered' ? answer.retryAfterS : null;
     const ms =
       Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, (retryAfterS ?? 0) * 1000)) +
-      this.deps.luck.between(0, 200);
+      this.deps.luck.uniform(0, 200);
     if (this.deps.now() + ms - startedAt > RETRY_DEADLINE_MS) return false;
     await this.deps.runtime.sleep(ms);
     return true;
   }
 
   /** Sends one submission and records the answer. */
-  private async submitOnce(session: UserSession, view: UserView): Promise<Answer> {
+  private async submitOnce(session: UserSession, view: UserView): Promise<HttpResult> {
     const { spec } = view.job;
     const call = { method: 'POST', path: '/v1/jobs', body: spec, timeoutMs: SUBMIT_TIMEOUT_MS } as const;
-    const known = this.deps.checker.asks(spec.ref);
+    const known = this.deps.checker.reportedSoFar(spec.ref);
     const answer = await session.call(call);
     if (answer.kind === 'answered') {
       this.deps.checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), known);
@@ -355,19 +357,19 @@
   }
 
   /** Polls until the user knows that the job is done or cancelled, or the users are stopped. */
-  private async pollUntilEnded(session: UserSession, view: UserView, userRandom: Luck): Promise<void> {
+  private async pollUntilEnded(session: UserSession, view: UserView, userRandom: RandomStream): Promise<void> {
     while (!view.toldDone && !view.toldCancelled && !this.stopped) {
-      await this.deps.runtime.sleep(POLL_INTERVAL_MS * userRandom.between(0.8, 1.2));
+      await this.deps.runtime.sleep(POLL_INTERVAL_MS * userRandom.uniform(0.8, 1.2));
       await this.poll(session, view);
     }
   }
 
   private async poll(session: UserSession, view: UserView): Promise<void> {
     const { ref } = view.job.spec;
-    const known = this.deps.checker.asks(ref);
+    const known = this.deps.checker.reportedSoFar(ref);
     const answer = await session.call({ method: 'GET', path: `/v1/jobs/${ref}`, timeoutMs: POLL_TIMEOUT_MS });
     const phase = phaseOf(answer);
-    this.deps.checker.polled(ref, statusOf(answer), phase, known);
+    this.deps.checker.pollAnswered(ref, statusOf(answer), phase, known);
     if (phase === 'done' || phase === 'withdrawn') this.recordEnd(view, phase);
   }
 
@@ -389,7 +391,7 @@
     view.cancelAskedAt = askedAt;
     for (;;) {
       const path = `/v1/jobs/${ref}/cancel`;
-      const known = checker.asks(ref);
+      const known = checker.reportedSoFar(ref);
       const answer = await session.call({ method: 'POST', path, body: {}, timeoutMs: SUBMIT_TIMEOUT_MS });
       if (answer.kind === 'answered') checker.cancelAnswered(ref, answer.status, phaseOf(answer), known);
       if (answer.kind === 'answered' && answer.status === 200) {
@@ -404,11 +406,11 @@
   /** Asks about a job that doesn't exist. */
   private async pollUnknownJob(): Promise<void> {
     if (this.stopped) return;
-    const ref = `j-x${String(this.deps.luck.whole(1_000_000)).padStart(6, '0')}`;
+    const ref = `j-x${String(this.deps.luck.integerBelow(1_000_000)).padStart(6, '0')}`;
     const session = this.deps.balancer.openSession();
-    const known = this.deps.checker.asks(ref);
+    const known = this.deps.checker.reportedSoFar(ref);
     const answer = await session.call({ method: 'GET', path: `/v1/jobs/${ref}`, timeoutMs: POLL_TIMEOUT_MS });
-    this.deps.checker.polled(ref, statusOf(answer), phaseOf(answer), known);
+    this.deps.checker.pollAnswered(ref, statusOf(answer), phaseOf(answer), known);
     session.close();
   }
 }
--- a/packages/region/src/models/witness.ts
+++ b/packages/region/src/models/witness.ts
@@ -1,8 +1,8 @@
-import type { JobTruth } from './jobs.js';
+import type { SimulatedJob } from './jobs.js';
 
 /** What users know of one job. Times in milliseconds of true time since the start of the day. */
 export interface UserView {
-  readonly job: JobTruth;
+  readonly job: SimulatedJob;
   readonly submittedAt: number;
   acceptedAt: number | null;
   /** Refused for good, or given up after a minute. */
@@ -14,25 +14,25 @@
 }
 
 /** What any node had reported of a job when a request about it was sent; the answer must not be older. */
-export interface Asked {
+export interface ReportedState {
   readonly accepted: boolean;
   readonly final: 'done' | 'withdrawn' | null;
 }
 
 /** Observes the users' requests and the answers. */
-export interface UserWitness {
+export interface UserObserver {
   /** A job is about to be submitted for the first time. */
-  submits(job: JobTruth): void;
+  jobSubmitted(job: SimulatedJob): void;
   /** Returns what has been reported of a job, at the moment at which a request about it is sent. */
-  asks(ref: string): Asked;
+  reportedSoFar(ref: string): ReportedState;
   /** Called for each answer to a submission, the first or a repeated one. */
-  submitAnswered(ref: string, status: number, phase: unknown, known: Asked): void;
+  submitAnswered(ref: string, status: number, phase: unknown, known: ReportedState): void;
   /** Called for each poll with its status; null if there was no answer. */
-  polled(ref: string, status: number | null, phase: unknown, known: Asked): void;
+  pollAnswered(ref: string, status: number | null, phase: unknown, known: ReportedState): void;
   /** A user cancels a job. */
   cancelAsked(ref: string): void;
   /** Called for each answer to a cancellation. */
-  cancelAnswered(ref: string, status: number, phase: unknown, known: Asked): void;
+  cancelAnswered(ref: string, status: number, phase: unknown, known: ReportedState): void;
   /** Called after an invalid submission with the expected status and the actual one; null if there was no answer. */
-  oddAnswered(description: string, expectedStatus: number, status: number | null): void;
+  invalidSubmissionAnswered(description: string, expectedStatus: number, status: number | null): void;
 }
--- a/packages/region/src/models/worker.ts
+++ b/packages/region/src/models/worker.ts
@@ -1,29 +1,29 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asNumber,
   asString,
   HttpClient,
   isObject,
   parseTaskKey,
-  type Answer as CallAnswer,
-  type Call,
+  type HttpResult as CallAnswer,
+  type HttpRequest,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type Logger,
   type Runtime,
   type TaskKey,
   type Timer,
 } from '../../../../src/kernel/index.js';
-import type { Luck } from '../sim/index.js';
+import type { RandomStream } from '../sim/index.js';
 import type { Machine } from './cloud.js';
-import type { GangBook } from './gangs.js';
-import type { JobBook } from './jobs.js';
+import type { GangCoordinator } from './gangs.js';
+import type { SimulatedJobs } from './jobs.js';
 import { serveJson, type JsonResponse, type JsonRequest } from './serve.js';
-import { MachineTasks, type TaskWatch } from './tasks.js';
+import { MachineTasks, type TaskObserver } from './tasks.js';
 
 /** Timings of workers. */
-export interface WorkerFacts {
+export interface WorkerTimings {
   /** Interval of reports. */
   readonly reportS: number;
   /** Time after the last answered report at which the worker's lease expires. */
@@ -49,13 +49,13 @@
   readonly runtime: Runtime;
   /** Keeps running while the machine hangs, so that its lease expires nevertheless. */
   readonly watchdog: Runtime;
-  readonly luck: Luck;
+  readonly luck: RandomStream;
   readonly log: Logger;
-  readonly facts: WorkerFacts;
+  readonly facts: WorkerTimings;
   readonly controllers: readonly { readonly name: string; readonly at: Endpoint }[];
-  readonly jobs: JobBook;
-  readonly gangs: GangBook;
-  readonly watch: TaskWatch;
+  readonly jobs: SimulatedJobs;
+  readonly gangs: GangCoordinator;
+  readonly watch: TaskObserver;
   /** Seconds until the cloud reclaims the machine; null: no notice was given. */
   readonly noticeS: () => number | null;
   /** Injected duplicates of reports; null: none. */
@@ -90,15 +90,15 @@
   private nextReport: Timer | undefined;
   private ended = false;
   private paused = false;
-  private listener: Listening | undefined;
+  private listener: TcpListener | undefined;
   /** Its messages arrive, but answers and commands don't reach it. */
-  deaf = false;
+  dropsInbound = false;
   /** Its connections don't reach any controller; commands do reach it. */
-  mute = false;
+  dropsOutbound = false;
   /** A command that is refused because of its session raises the token nevertheless; the protocol leaves that open. */
-  refusedRaise = false;
+  raisesTokenOnRefusal = false;
   /** Delays commands or their answers. */
-  holdsCommands = false;
+  delaysCommands = false;
   /** Number of reports whose answers have renewed its lease. */
   answers = 0;
   /** Number of reports sent, and of requests served. */
@@ -115,7 +115,7 @@
       this.onChange();
     });
     this.clients = controllers.map(({ at }) => new HttpClient(at, 1, runtime));
-    this.controllerIndex = luck.whole(Math.max(1, controllers.length));
+    this.controllerIndex = luck.integerBelow(Math.max(1, controllers.length));
     this.leaseStartedAt = deps.watchdog.now();
   }
 
@@ -127,7 +127,7 @@
   private listenEndpoint: Endpoint = { host: '', port: 0 };
 
   /** Serves the worker protocol at an endpoint. */
-  listen(at: Endpoint): Listening {
+  listen(at: Endpoint): TcpListener {
     this.listenEndpoint = at;
     this.listener = serveJson(this.deps.runtime, at, this.deps.log, (request) => this.handleRequest(request));
     return this.listener;
@@ -138,7 +138,7 @@
     this.address = address;
     this.machine.address = address;
     this.watchLease();
-    this.scheduleReport(this.deps.luck.between(0, 200));
+    this.scheduleReport(this.deps.luck.uniform(0, 200));
   }
 
   /** Ends the worker: the machine and everything on it is gone. */
@@ -211,7 +211,7 @@
     const call = { method: 'POST', path: '/v1/report', body: this.message(), timeoutMs: REPORT_TIMEOUT_MS } as const;
     const changesBefore = this.changeCount;
     const { incarnation } = this;
-    if (!this.mute) this.sendCopy(call.body);
+    if (!this.dropsOutbound) this.sendCopy(call.body);
     const answer = await this.sendReport(client, call);
     if (incarnation !== this.incarnation) return;
     this.reporting = false;
@@ -219,7 +219,7 @@
     const body = answer.kind === 'answered' && isObject(answer.body) ? answer.body : {};
     if (answer.kind === 'answered' && answer.status === 200) {
       if (sessionAtSend === this.session) this.onReply(body, sentAt);
-      const intervalMs = this.deps.facts.reportS * 1000 * this.deps.luck.between(0.75, 1.25);
+      const intervalMs = this.deps.facts.reportS * 1000 * this.deps.luck.uniform(0.75, 1.25);
       // What changed while the report was in flight is reported next.
       this.scheduleReport(this.changeCount === changesBefore ? intervalMs : CHANGE_REPORT_INTERVAL_MS);
       return;
@@ -227,22 +227,22 @@
     const namedIndex = this.deps.controllers.findIndex(({ name }) => name === asString(body['harbour']));
     if (answer.kind === 'answered' && answer.status === 421 && namedIndex >= 0 && namedIndex !== this.controllerIndex) {
       this.controllerIndex = namedIndex;
-      this.scheduleReport(this.deps.luck.between(1, 500));
+      this.scheduleReport(this.deps.luck.uniform(1, 500));
     } else {
       this.controllerIndex = (this.controllerIndex + 1) % this.clients.length;
       this.scheduleReport(FAILOVER_DELAY_MS);
     }
   }
 
-  private async sendReport(client: HttpClient, call: Call): Promise<CallAnswer> {
-    if (this.deaf) return this.sendWithoutAnswer(client, call);
-    if (!this.mute) return client.call(call);
+  private async sendReport(client: HttpClient, call: HttpRequest): Promise<CallAnswer> {
+    if (this.dropsInbound) return this.sendWithoutAnswer(client, call);
+    if (!this.dropsOutbound) return client.call(call);
     await this.deps.runtime.sleep(REPORT_TIMEOUT_MS);
     return { kind: 'failed', reason: 'no connection' };
   }
 
   /** Sends a report whose answer is lost. */
-  private async sendWithoutAnswer(client: HttpClient, call: Call): Promise<CallAnswer> {
+  private async sendWithoutAnswer(client: HttpClient, call: HttpRequest): Promise<CallAnswer> {
     const { runtime } = this.deps;
     const sentAt = runtime.now();
     await client.call(call);
@@ -259,9 +259,9 @@
       copies.keep(body);
       return;
     }
-    const at = luck.pick(controllers)?.at;
+    const at = luck.pickOne(controllers)?.at;
     if (!at) return;
-    runtime.after(copies.lateMs * luck.between(0.1, 1), () => {
+    runtime.after(copies.lateMs * luck.uniform(0.1, 1), () => {
       const client = new HttpClient(at, 1, runtime);
       const sent = client.call({ method: 'POST', path: '/v1/report', body, timeoutMs: REPORT_TIMEOUT_MS });
       void sent.finally(() => client.close());
@@ -269,7 +269,7 @@
   }
 
   /** Closes its listener and its connections. */
-  shut(): void {
+  closeConnections(): void {
     this.listener?.close();
     for (const client of this.clients) client.close();
   }
@@ -288,7 +288,7 @@
     this.listener?.close();
     this.deps.watchdog.after(downS * 1000, () => {
       if (this.ended) return;
-      this.beginAnew();
+      this.reset();
       [this.restarting, this.reporting] = [false, false];
       this.listen(this.listenEndpoint);
       this.scheduleReport(1);
@@ -296,7 +296,7 @@
   }
 
   /** Resets the worker to its initial state: first session, no token seen, no tasks. */
-  beginAnew(): void {
+  reset(): void {
     this.tasks.killAll();
     [this.seenToken, this.session, this.sequence] = [0, 1, 0];
     this.tokenReportedAt = Number.NEGATIVE_INFINITY;
@@ -310,13 +310,13 @@
 
   /** Handles the answer to a report that was sent at this time of the watchdog's clock. */
   onReply(body: Record<string, unknown>, sentAt: number): void {
-    const token = asCount(body['helm']);
+    const token = asNonNegativeInteger(body['helm']);
     // An answer with a lower token or without one is dropped, and the lease is not renewed.
     if (token === undefined || token < this.seenToken) return;
     this.raiseToken(token);
     this.answers += 1;
     if (sentAt > this.leaseStartedAt) this.leaseStartedAt = sentAt;
-    this.executeOrders(asList(body['orders']));
+    this.executeOrders(asArray(body['orders']));
   }
 
   /** Records a higher token, and reports it at once, but at most once in half a lease. */
@@ -341,13 +341,13 @@
       return;
     }
     if (this.restarting) this.leaseStartedAt = watchdog.now();
-    else this.expire();
+    else this.expireLease();
     if (!this.paused) this.onChange();
     this.watchLease();
   }
 
   /** Expires the lease: all tasks are killed and forgotten, and the next session begins. */
-  expire(): void {
+  expireLease(): void {
     this.tasks.killAll();
     this.session += 1;
     this.sequence = 0;
@@ -357,8 +357,8 @@
 
   /** Answers a request; leaves it unanswered while nothing reaches the worker. */
   private handleRequest(request: JsonRequest): JsonResponse | Promise<JsonResponse> {
-    if (this.deaf || this.restarting) return new Promise<JsonResponse>(() => undefined);
-    return this.holdsCommands && request.path === '/commands' ? this.serveDelayed(request) : this.serve(request);
+    if (this.dropsInbound || this.restarting) return new Promise<JsonResponse>(() => undefined);
+    return this.delaysCommands && request.path === '/commands' ? this.serveDelayed(request) : this.serve(request);
   }
 
   /** Executes a command late, or answers it late; it is not executed if the machine ends or restarts before. */
@@ -366,8 +366,8 @@
     const { runtime, luck } = this.deps;
     const { incarnation } = this;
     const [delayBeforeMs, delayAfterMs] = luck.chance(0.5)
-      ? [luck.between(...HELD_COMMAND_DELAY_MS), 0]
-      : [0, luck.between(...HELD_COMMAND_DELAY_MS)];
+      ? [luck.uniform(...HELD_COMMAND_DELAY_MS), 0]
+      : [0, luck.uniform(...HELD_COMMAND_DELAY_MS)];
     await runtime.sleep(delayBeforeMs);
     if (this.ended || this.restarting || incarnation !== this.incarnation)
       return new Promise<JsonResponse>(() => undefined);
@@ -381,16 +381,16 @@
     this.counts.commands += 1;
     if (method === 'GET' && path === '/status') return { status: 200, body: this.message() };
     if (method !== 'POST' || path !== '/commands') return { status: 404, body: { error: 'no such call' } };
-    const token = isObject(body) ? asCount(body['helm']) : undefined;
-    const session = isObject(body) ? asCount(body['tide']) : undefined;
+    const token = isObject(body) ? asNonNegativeInteger(body['helm']) : undefined;
+    const session = isObject(body) ? asNonNegativeInteger(body['tide']) : undefined;
     if (token === undefined || session === undefined)
       return { status: 400, body: { error: 'helm or tide is missing' } };
     if (token < this.seenToken || session !== this.session) {
-      if (this.refusedRaise) this.raiseToken(token);
+      if (this.raisesTokenOnRefusal) this.raiseToken(token);
       return { status: 409, body: this.message() };
     }
     this.raiseToken(token);
-    this.executeOrders(asList(isObject(body) ? body['orders'] : undefined));
+    this.executeOrders(asArray(isObject(body) ? body['orders'] : undefined));
     return { status: 200, body: this.message() };
   }
 
@@ -399,7 +399,7 @@
     for (const order of orders) {
       if (!isObject(order)) continue;
       const piece = asString(order['piece']) ?? '';
-      const attempt = asCount(order['launch']);
+      const attempt = asNonNegativeInteger(order['launch']);
       const parsedKey = parseTaskKey(piece);
       if (!parsedKey || attempt === undefined) continue;
       const key = piece as TaskKey;
--- a/packages/region/src/parts.ts
+++ b/packages/region/src/parts.ts
@@ -1,24 +1,32 @@
 import { HttpClient, wallMillis, type Endpoint, type Logger, type Runtime } from '../../../src/kernel/index.js';
 import { encodeWishes, NO_WISHES } from '../../../src/rollout/index.js';
-import { ROLLOUT_WISHES } from '../../../src/state/index.js';
-import { RuleChecker, type Breach, type Room } from './checker/index.js';
-import type { Day } from './day/index.js';
+import { ROLLOUT_WISHES_KEY } from '../../../src/state/index.js';
+import { RuleChecker, type RuleViolation, type FreeCapacity } from './checker/index.js';
+import type { SimulationScenario } from './day/index.js';
 import { JobStatistics } from './daybook.js';
-import { Balancer, CloudModel, GangBook, JobBook, StateModel, UserModel, WorkerModel } from './models/index.js';
+import {
+  Balancer,
+  CloudModel,
+  GangCoordinator,
+  SimulatedJobs,
+  StateModel,
+  UserModel,
+  WorkerModel,
+} from './models/index.js';
 import type {
-  Cause,
-  JobTruth,
+  TaskExitCause,
+  SimulatedJob,
   Machine,
   ReportCopies,
   Script,
-  TaskWatch,
+  TaskObserver,
   UserView,
-  WorkerFacts,
+  WorkerTimings,
 } from './models/index.js';
-import type { Luck } from './sim/index.js';
+import type { RandomStream } from './sim/index.js';
 
 /** Where a model runs: a simulated host, or the loopback interface of this machine. */
-export interface Seat {
+export interface ModelHost {
   readonly runtime: Runtime;
   /** Keeps running while `runtime` is paused. */
   readonly watchdog: Runtime;
@@ -29,15 +37,15 @@
 }
 
 /** Creates the hosts of the models and tells the time. */
-export interface Place {
+export interface HostProvider {
   /** Creates the host of a model. A null zone means that the model belongs to no zone. */
-  seat(name: string, zone: string | null): Seat;
+  createHost(name: string, zone: string | null): ModelHost;
   /** True time in milliseconds since the day began. */
   now(): number;
 }
 
 /** Name, zone and listen addresses of one controller. */
-export interface ControllerSeat {
+export interface ControllerSpec {
   readonly name: string;
   readonly zone: string;
   /** Address for users, workers and operators. */
@@ -49,11 +57,11 @@
 /** A worker model and the host that it runs on. */
 export interface HostedWorker {
   readonly model: WorkerModel;
-  readonly host: Seat;
+  readonly host: ModelHost;
 }
 
 /** Runs the workers outside this process. */
-export interface WorkerHosts {
+export interface ExternalWorkers {
   /** The machine is up: starts a worker that reports for it, and sets the machine's address. */
   up(machine: Machine): void;
   /** The machine is gone: ends its worker. */
@@ -61,66 +69,66 @@
 }
 
 /** Observes the true state of tasks, and every job that a user submits. */
-export interface RegionObserver extends TaskWatch {
+export interface RegionObserver extends TaskObserver {
   /** A user has submitted a job. */
-  arrived(view: UserView): void;
+  jobSubmitted(view: UserView): void;
 }
 
 /** Options of `RegionParts`. */
 export interface RegionPartsOptions {
-  readonly day: Day;
-  readonly luck: Luck;
+  readonly day: SimulationScenario;
+  readonly luck: RandomStream;
   /** Creates the hosts of the models and tells the time. */
-  readonly place: Place;
+  readonly place: HostProvider;
   readonly log: Logger;
-  readonly controllers: readonly ControllerSeat[];
+  readonly controllers: readonly ControllerSpec[];
   /** Called with one line of text for each event. */
   readonly note: (what: string) => void;
   /** Called for each violated rule. */
-  readonly broken?: (breach: Breach) => void;
+  readonly broken?: (breach: RuleViolation) => void;
   /** Jobs and the fates of machines, instead of those drawn at random for the day. */
   readonly script?: Script;
   /** Runs the workers outside this process; when given, no worker models are created here. */
-  readonly hosts?: WorkerHosts;
+  readonly hosts?: ExternalWorkers;
   /** Observes every task's start command, start and end, and every job, in addition to the checker. */
   readonly observer?: RegionObserver;
   /** Looks up a job that no simulated user submitted; undefined if there is none. */
-  readonly findJob?: (ref: string, state: StateModel) => JobTruth | undefined;
+  readonly findJob?: (ref: string, state: StateModel) => SimulatedJob | undefined;
 }
 
 /** Intervals and limits of a day's workers, in seconds. */
-export const workerFacts = ({ workers: w }: Day): WorkerFacts => ({
+export const workerTimings = ({ workers: w }: SimulationScenario): WorkerTimings => ({
   ...{ reportS: w.report_s, leaseS: w.lease_s, cancelS: w.cancel_s },
   ...{ gangWaitS: w.gang_wait_s, gangPeerS: w.gang_peer_s },
 });
 
 /** All models of a region except its controllers, in simulated time or on real sockets. */
-export class RegionParts implements TaskWatch {
+export class RegionParts implements TaskObserver {
   readonly state: StateModel;
   readonly cloud: CloudModel;
   readonly users: UserModel;
   readonly balancer: Balancer;
   readonly checker: RuleChecker;
-  readonly daybook: JobStatistics;
-  readonly jobs: JobBook;
+  readonly statistics: JobStatistics;
+  readonly jobs: SimulatedJobs;
   /** The worker models that run, by machine ID. */
   readonly workers = new Map<string, HostedWorker>();
   /** Makes workers send delayed duplicates of their reports; null while none are sent. */
   duplicateReports: ReportCopies | null = null;
-  readonly stateHost: Seat;
-  readonly cloudHost: Seat;
-  readonly userHost: Seat;
-  private readonly gangs: GangBook;
-  private readonly timings: WorkerFacts;
+  readonly stateHost: ModelHost;
+  readonly cloudHost: ModelHost;
+  readonly userHost: ModelHost;
+  private readonly gangs: GangCoordinator;
+  private readonly timings: WorkerTimings;
 
   constructor(private readonly options: RegionPartsOptions) {
     const { day, luck: rng, place } = options;
-    this.timings = workerFacts(day);
+    this.timings = workerTimings(day);
     // A job that no simulated user submitted is looked up with `findJob`, if given.
-    this.jobs = new JobBook(options.findJob && ((ref) => options.findJob?.(ref, this.state)));
-    this.stateHost = place.seat('state', null);
-    this.cloudHost = place.seat('cloud', null);
-    this.userHost = place.seat('users', null);
+    this.jobs = new SimulatedJobs(options.findJob && ((ref) => options.findJob?.(ref, this.state)));
+    this.stateHost = place.createHost('state', null);
+    this.cloudHost = place.createHost('cloud', null);
+    this.userHost = place.createHost('users', null);
     const { runtime } = this.userHost;
     const now = (): number => place.now();
     this.checker = new RuleChecker(
@@ -133,7 +141,7 @@
         options.broken?.(violation);
       },
     );
-    this.daybook = new JobStatistics(day, now);
+    this.statistics = new JobStatistics(day, now);
     const { state, cloud } = day;
     this.state = new StateModel(this.stateHost.runtime, rng.fork('state'), {
       ...{ rps: state.rps, writeRps: state.write_rps, valueKb: state.value_kb },
@@ -145,9 +153,9 @@
       {
         ...{ rps: cloud.rps, latencyMs: cloud.latency_ms, listLagS: cloud.list_lag_s },
         spot: {
-          perHour: cloud.spot_losses_per_hour,
+          reclaimsPerHour: cloud.spot_losses_per_hour,
           noticeS: cloud.spot_notice_s,
-          silentShare: cloud.spot_silent_share,
+          noNoticeShare: cloud.spot_silent_share,
         },
         types: day.machine_types.map((t) => ({
           ...{ name: t.name, cpus: t.cpus, gpus: t.gpus, memoryGb: t.memory_gb, price: t.price },
@@ -159,7 +167,7 @@
       },
       { up: (machine) => this.startWorker(machine), gone: (machine) => this.endWorker(machine) },
     );
-    this.gangs = new GangBook(this.cloudHost.runtime, rng.fork('gangs'), {
+    this.gangs = new GangCoordinator(this.cloudHost.runtime, rng.fork('gangs'), {
       ...{ waitS: this.timings.gangWaitS, peerS: this.timings.gangPeerS },
     });
     this.balancer = new Balancer(
@@ -172,8 +180,8 @@
       arrived: (view) => {
         const { ref, jobclass, pieces } = view.job.spec;
         options.note(`arrives ${ref} ${jobclass} ${pieces}`);
-        this.daybook.addJob(view);
-        options.observer?.arrived(view);
+        this.statistics.addJob(view);
+        options.observer?.jobSubmitted(view);
       },
       nodes: options.controllers.map(({ serveOn }) => serveOn),
       ...(options.script ? { script: options.script.jobs } : {}),
@@ -189,15 +197,15 @@
     const request = { wish: 'allow', at: wallMillis(0) } as const;
     const allowedFeatures = day.controllers.allow.map((feature) => [feature, request] as const);
     if (allowedFeatures.length > 0)
-      this.state.put(ROLLOUT_WISHES, encodeWishes({ ...NO_WISHES, features: new Map(allowedFeatures) }));
+      this.state.put(ROLLOUT_WISHES_KEY, encodeWishes({ ...NO_WISHES, features: new Map(allowedFeatures) }));
     const state = this.state.listen(this.stateHost.at, log);
     const cloud = this.cloud.listen(this.cloudHost.at, log);
-    for (const { type, zone, spot, count } of day.machines) this.cloud.begin(type, zone, spot, count);
+    for (const { type, zone, spot, count } of day.machines) this.cloud.addInitialMachines(type, zone, spot, count);
     return Promise.all([state.ready, cloud.ready]);
   }
 
   /** Starts the users, and the load balancer's health checks of the controllers. */
-  open(): void {
+  startUsers(): void {
     this.balancer.start();
     this.users.start();
   }
@@ -212,7 +220,7 @@
       externalWorkers.up(machine);
       return;
     }
-    const host = place.seat(machine.id, machine.zone);
+    const host = place.createHost(machine.id, machine.zone);
     const model = new WorkerModel(machine, {
       runtime: host.runtime,
       watchdog: host.watchdog,
@@ -252,28 +260,28 @@
 
   // ---- Tasks
 
-  entered(machine: Machine, job: JobTruth, index: number, attempt: number): void {
+  entered(machine: Machine, job: SimulatedJob, index: number, attempt: number): void {
     this.options.note(`on ${job.spec.ref}/${index} ${attempt} ${machine.id}`);
     this.checker.entered(machine, job, index, attempt);
     this.options.observer?.entered(machine, job, index, attempt);
   }
 
-  ordered(machine: Machine, job: JobTruth, index: number, attempt: number): void {
+  ordered(machine: Machine, job: SimulatedJob, index: number, attempt: number): void {
     this.options.observer?.ordered?.(machine, job, index, attempt);
   }
 
-  running(machine: Machine, job: JobTruth, index: number, attempt: number): void {
+  running(machine: Machine, job: SimulatedJob, index: number, attempt: number): void {
     this.options.note(`runs ${job.spec.ref}/${index} ${machine.id}`);
-    this.daybook.running(machine, job, index);
+    this.statistics.running(machine, job, index);
     this.options.observer?.running(machine, job, index, attempt);
   }
 
-  left(machine: Machine, job: JobTruth, index: number, attempt: number, cause: Cause | 'killed'): void {
+  left(machine: Machine, job: SimulatedJob, index: number, attempt: number, cause: TaskExitCause | 'killed'): void {
     this.options.note(`off ${job.spec.ref}/${index} ${attempt} ${machine.id} ${cause}`);
     this.checker.left(machine, job, index);
-    this.daybook.left(machine, job, index, attempt, cause);
+    this.statistics.left(machine, job, index, attempt, cause);
     this.options.observer?.left(machine, job, index, attempt, cause);
-    if (cause === 'done' && job.complete) this.users.close.completed(job);
+    if (cause === 'done' && job.complete) this.users.close.onJobCompleted(job);
   }
 
   /** Sends a duplicate of a report to every controller and ignores the responses. */
@@ -287,8 +295,8 @@
   }
 
   /** The free resources of each machine that is up and not about to be reclaimed. */
-  get freeResources(): Room[] {
-    const free: Room[] = [];
+  get freeResources(): FreeCapacity[] {
+    const free: FreeCapacity[] = [];
     for (const { model } of this.workers.values()) {
       const { machine, tasks } = model;
       if (machine.takenAt !== null) continue;
--- a/packages/region/src/real.ts
+++ b/packages/region/src/real.ts
@@ -1,14 +1,14 @@
 import { jobId, type Endpoint, type Logger } from '../../../src/kernel/index.js';
-import { decodeRecord } from '../../../src/jobs/index.js';
+import { decodeJobRecord } from '../../../src/jobs/index.js';
 import { jobKey } from '../../../src/state/index.js';
-import type { Day } from './day/index.js';
-import { EndingRuntime } from './ending.js';
-import { JobTruth, type StateModel, type Submission } from './models/index.js';
-import { RegionParts, type ControllerSeat, type Place, type Seat } from './parts.js';
-import { Luck } from './sim/index.js';
+import type { SimulationScenario } from './day/index.js';
+import { DisposableRuntime } from './ending.js';
+import { SimulatedJob, type StateModel, type Submission } from './models/index.js';
+import { RegionParts, type ControllerSpec, type HostProvider, type ModelHost } from './parts.js';
+import { RandomStream } from './sim/index.js';
 
 /** The address on which all services of a region on loopback listen. */
-export const LOOPBACK = '127.0.0.1';
+export const LOOPBACK_ADDRESS = '127.0.0.1';
 
 /** The users' word for each kind of job. */
 const SHAPE_BY_KIND = { array: 'sweep', gang: 'ensemble', service: 'daemon' } as const;
@@ -20,8 +20,8 @@
  * owner's estimate serves as the true run time. Simulated users hand their descriptions to the worker models directly,
  * but a job submitted by hand is known to the controllers only.
  */
-export function jobFromStoredRecord(ref: string, state: StateModel): JobTruth | undefined {
-  const spec = decodeRecord(state.get(jobKey(jobId(ref))))?.spec;
+export function jobFromStoredRecord(ref: string, state: StateModel): SimulatedJob | undefined {
+  const spec = decodeJobRecord(state.get(jobKey(jobId(ref))))?.spec;
   if (!spec) return undefined;
   const submission: Submission = {
     ...{ ref, jobclass: spec.jobClass, owner: spec.team, shape: SHAPE_BY_KIND[spec.kind], pieces: spec.tasks },
@@ -35,7 +35,7 @@
     ...{ same_place: spec.oneZone, scatter: spec.spread, flotsam: spec.spot, expected_s: spec.estimateS },
     ...{ mark_every_s: spec.checkpointS, mark_cost_s: spec.saveS, due_s: spec.deadlineS },
   };
-  return new JobTruth(submission, () => spec.estimateS, false);
+  return new SimulatedJob(submission, () => spec.estimateS, false);
 }
 
 /** A region on loopback sockets, without its controllers. */
@@ -48,33 +48,33 @@
 }
 
 /** Loopback addresses of a day's controllers; each takes two consecutive ports, from `basePort` on. */
-export const loopbackSeats = (day: Day, basePort: number): ControllerSeat[] =>
+export const loopbackControllerSpecs = (day: SimulationScenario, basePort: number): ControllerSpec[] =>
   Array.from({ length: day.controllers.count }, (_, i) => ({
     name: `node-${i}`,
     zone: day.zones[i % day.zones.length] ?? '',
-    serveOn: { host: LOOPBACK, port: basePort + 2 * i },
-    peerOn: { host: LOOPBACK, port: basePort + 2 * i + 1 },
+    serveOn: { host: LOOPBACK_ADDRESS, port: basePort + 2 * i },
+    peerOn: { host: LOOPBACK_ADDRESS, port: basePort + 2 * i + 1 },
   }));
 
 /**
  * Runs the models of a simulated region on loopback sockets in real time, on ports that the operating system chooses.
  * Starts no controllers.
  */
-export async function serveRegion(
-  day: Day,
+export async function startLoopbackRegion(
+  day: SimulationScenario,
   seed: number,
-  controllers: readonly ControllerSeat[],
+  controllers: readonly ControllerSpec[],
   log: Logger,
   logEvent: (what: string) => void,
 ): Promise<LoopbackRegion> {
-  const runtime = new EndingRuntime();
+  const runtime = new DisposableRuntime();
   const startedAt = runtime.now();
-  const at = { host: LOOPBACK, port: 0 };
-  const place: Place = {
-    seat: (): Seat => ({ runtime, watchdog: runtime, at, close: () => undefined }),
+  const at = { host: LOOPBACK_ADDRESS, port: 0 };
+  const place: HostProvider = {
+    createHost: (): ModelHost => ({ runtime, watchdog: runtime, at, close: () => undefined }),
     now: () => runtime.now() - startedAt,
   };
-  const rng = new Luck(seed, day.name);
+  const rng = new RandomStream(seed, day.name);
   const parts = new RegionParts({
     day,
     luck: rng,
@@ -87,10 +87,10 @@
   const [state = 0, cloud = 0] = await parts.start();
   return {
     parts,
-    state: { host: LOOPBACK, port: state },
-    cloud: { host: LOOPBACK, port: cloud },
+    state: { host: LOOPBACK_ADDRESS, port: state },
+    cloud: { host: LOOPBACK_ADDRESS, port: cloud },
     close: () => {
-      runtime.end();
+      runtime.dispose();
       for (const { model } of parts.workers.values()) model.end();
     },
   };
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -2,15 +2,22 @@
 import { bytesToHex, utf8ToBytes } from '@noble/hashes/utils.js';
 import { pino } from 'pino';
 import { HttpClient, isObject, type Logger } from '../../../src/kernel/index.js';
-import type { Breach } from './checker/index.js';
+import type { RuleViolation } from './checker/index.js';
 import { Controller } from './controller.js';
-import type { Day, Trouble } from './day/index.js';
+import type { SimulationScenario, Fault } from './day/index.js';
 import type { ClassResult, TaskCounts } from './daybook.js';
-import { RegionParts, type ControllerSeat, type Place, type Seat } from './parts.js';
+import { RegionParts, type ControllerSpec, type HostProvider, type ModelHost } from './parts.js';
 import type { Script } from './models/index.js';
-import { Releases, THIS, type Running } from './releases/index.js';
-import { settingsFor } from './settings.js';
-import { DAY_BEGINS, Luck, Network, rest, SimProcess, World } from './sim/index.js';
+import { ReleaseCatalog, CURRENT_RELEASE, type ControllerHandle } from './releases/index.js';
+import { controllerSettingsToml } from './settings.js';
+import {
+  SIMULATED_START_UTC_MS,
+  RandomStream,
+  Network,
+  settlePendingCallbacks,
+  SimProcess,
+  EventQueue,
+} from './sim/index.js';
 import { HELD_REPORT_RETENTION_S, defaultDuplicateDelayS, startFault, type FaultTarget } from './troubles.js';
 
 const STATE_ADDRESS = { host: '10.2.0.1', port: 2379 };
@@ -32,7 +39,7 @@
 
 /** Options of a simulated region. */
 export interface RegionOptions {
-  readonly day: Day;
+  readonly day: SimulationScenario;
   /** Seed of all random streams; the day's own seed when not given. */
   readonly seed?: number;
   /** Receives the log lines of the controllers; they log nothing when not given. */
@@ -40,13 +47,13 @@
   /** Called with each line of the event log, up to `MAX_EVENT_LOG_BYTES` in total. */
   readonly event?: (line: string) => void;
   /** Called for each violated rule. */
-  readonly broken?: (breach: Breach) => void;
+  readonly broken?: (breach: RuleViolation) => void;
   /** Jobs and the fates of machines and controllers, instead of those drawn at random for the day. */
   readonly script?: Script;
   /** How many of its latest events each controller keeps for recorders to fetch. */
   readonly trailEvents?: number;
   /** The controllers of earlier releases, for days that run them; those in the repository when not given. */
-  readonly releases?: Releases;
+  readonly releases?: ReleaseCatalog;
   /** For tests: rewrites the settings file (TOML) that a controller gets. */
   readonly settings?: (toml: string) => string;
 }
@@ -79,7 +86,7 @@
   /** Snapshots at intervals of a few seconds, from the day's beginning. */
   readonly timeline: readonly RegionSnapshot[];
   /** Violated rules. */
-  readonly breaches: readonly Breach[];
+  readonly breaches: readonly RuleViolation[];
   /** Task starts after the user was told that the job is cancelled, and how long after that the latest of them came. */
   readonly startsAfterCancel: { readonly count: number; readonly latestMs: number };
   /** Errors that the simulated programs threw, with their stacks. */
@@ -99,12 +106,12 @@
 
 /** A whole region in simulated time. The controllers are the real program, unchanged; everything else is a model. */
 export class Region implements FaultTarget {
-  readonly world = new World();
+  readonly world = new EventQueue();
   readonly network: Network;
   readonly parts: RegionParts;
   readonly controllers: readonly Controller[];
-  readonly rng: Luck;
-  readonly day: Day;
+  readonly rng: RandomStream;
+  readonly day: SimulationScenario;
   readonly seed: number;
   /** Processes of the models, by name; a worker's is named after its machine. */
   private readonly processes = new Map<string, SimProcess>();
@@ -116,21 +123,21 @@
   private nextWorkerNumber = 0;
   private externalProcessCount = 0;
   private readonly timeline: RegionSnapshot[] = [];
-  private readonly releases: Releases;
+  private readonly releases: ReleaseCatalog;
 
   constructor(private readonly options: RegionOptions) {
     const { day } = options;
-    this.releases = options.releases ?? new Releases(RELEASES_DIR);
+    this.releases = options.releases ?? new ReleaseCatalog(RELEASES_DIR);
     this.day = day;
     this.seed = options.seed ?? day.seed;
-    this.rng = new Luck(this.seed, day.name);
+    this.rng = new RandomStream(this.seed, day.name);
     const { network: latencies } = day;
     this.network = new Network(
       this.world,
       { sameZoneMs: latencies.same_zone_ms, crossZoneMs: latencies.cross_zone_ms, jitter: latencies.jitter },
       this.rng.fork('network'),
     );
-    const specs = Array.from({ length: day.controllers.count }, (_, i): ControllerSeat => {
+    const specs = Array.from({ length: day.controllers.count }, (_, i): ControllerSpec => {
       const host = `10.0.0.${i + 1}`;
       return {
         name: `node-${i}`,
@@ -139,8 +146,8 @@
         peerOn: { host, port: 8081 },
       };
     });
-    const place: Place = {
-      seat: (name, zone) => this.createHost(name, zone),
+    const place: HostProvider = {
+      createHost: (name, zone) => this.createHost(name, zone),
       now: () => this.world.now,
     };
     this.parts = new RegionParts({
@@ -150,16 +157,16 @@
       ...(options.script ? { script: options.script } : {}),
     });
     this.controllers = specs.map((spec, i) => {
-      const host = this.network.host(spec.serveOn.host, spec.zone);
+      const host = this.network.addHost(spec.serveOn.host, spec.zone);
       const controller = new Controller(spec, host, (self) => this.launch(self, specs), day.controllers.releases[i]);
       // Throws before the day begins if the release does not exist.
-      this.releases.of(controller.release);
+      this.releases.get(controller.release);
       return controller;
     });
-    for (const fault of day.troubles) if (fault.kind === 'rollout') this.releases.of(fault.to);
+    for (const fault of day.troubles) if (fault.kind === 'rollout') this.releases.get(fault.to);
     const rolloutTargets = day.troubles.flatMap((fault) => (fault.kind === 'rollout' ? [fault.to] : []));
     this.parts.checker.judgesOdd = [...day.controllers.releases, ...rolloutTargets].every(
-      (release) => release === THIS,
+      (release) => release === CURRENT_RELEASE,
     );
   }
 
@@ -178,14 +185,14 @@
   }
 
   /** Creates the host of a model: at a fixed address for the services and users, at the next free one for a worker. */
-  private createHost(name: string, zone: string | null): Seat {
+  private createHost(name: string, zone: string | null): ModelHost {
     const fixedAddress = { state: STATE_ADDRESS, cloud: CLOUD_ADDRESS, users: USERS_ADDRESS }[name];
     const workerNumber = fixedAddress ? 0 : this.nextWorkerNumber++;
     const at = fixedAddress ?? { host: `10.1.${workerNumber >> 8}.${workerNumber & 255}`, port: WORKER_PORT };
-    const host = this.network.host(at.host, zone);
+    const host = this.network.addHost(at.host, zone);
     const rng = this.rng.fork(`process ${name}`);
     // The clocks of the services and users are exact. Those of the workers drift, as they do on real machines.
-    const drift = fixedAddress ? 0 : rng.between(-1, 1) * this.day.controllers.drift;
+    const drift = fixedAddress ? 0 : rng.uniform(-1, 1) * this.day.controllers.drift;
     const clocks = { drift, wanderMs: 0 };
     const process = new SimProcess(name, host, this.world, this.network, rng, clocks);
     const watchdog = new SimProcess(`${name} watchdog`, host, this.world, this.network, rng, clocks);
@@ -193,7 +200,7 @@
     return {
       ...{ runtime: process, watchdog, at },
       close: () => {
-        this.network.remove(host);
+        this.network.removeHost(host);
         process.kill();
         watchdog.kill();
         this.processes.delete(name);
@@ -202,11 +209,11 @@
   }
 
   /** Wall-clock time at which the day begins, in milliseconds since the Unix epoch. */
-  readonly wallAt0 = DAY_BEGINS;
+  readonly dayStartWallMs = SIMULATED_START_UTC_MS;
 
   /** Creates a process outside the region, such as an operator's tool, on a host of its own. */
-  bystander(name: string): SimProcess {
-    const host = this.network.host(`10.4.0.${++this.externalProcessCount}`, null);
+  createExternalProcess(name: string): SimProcess {
+    const host = this.network.addHost(`10.4.0.${++this.externalProcessCount}`, null);
     return new SimProcess(name, host, this.world, this.network, this.rng.fork(name));
   }
 
@@ -216,14 +223,17 @@
   }
 
   /** Starts the program of a controller's release in a new process. */
-  private launch(controller: Controller, specs: readonly ControllerSeat[]): { process: SimProcess; service: Running } {
+  private launch(
+    controller: Controller,
+    specs: readonly ControllerSpec[],
+  ): { process: SimProcess; service: ControllerHandle } {
     const { day, settings, controllerLog, trailEvents } = this.options;
-    const { seat: spec, host, starts, release } = controller;
+    const { spec: spec, host, starts, release } = controller;
     const rng = this.rng.fork(`${spec.name} ${starts}`);
-    const clocks = { drift: rng.between(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
+    const clocks = { drift: rng.uniform(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
     const { max_connections: maxConnections } = day.controllers;
     const process = new SimProcess(spec.name, host, this.world, this.network, rng, clocks, maxConnections);
-    const toml = settingsFor(day, spec, specs, { state: STATE_ADDRESS, cloud: CLOUD_ADDRESS });
+    const toml = controllerSettingsToml(day, spec, specs, { state: STATE_ADDRESS, cloud: CLOUD_ADDRESS });
     const log: Logger = controllerLog
       ? pino(
           {
@@ -235,17 +245,19 @@
         )
       : this.log;
     const options = trailEvents === undefined ? {} : { trailEvents };
-    const service = this.releases.of(release).make(settings ? settings(toml) : toml, log, process, options);
-    this.logEvent(`starts ${spec.name}${release === THIS ? '' : ` as ${release}`}`);
+    const service = this.releases
+      .get(release)
+      .createController(settings ? settings(toml) : toml, log, process, options);
+    this.logEvent(`starts ${spec.name}${release === CURRENT_RELEASE ? '' : ` as ${release}`}`);
     return { process, service };
   }
 
   /** Crashes a controller and starts it again after `downS` seconds. Does nothing if it is already down. */
   crash(controller: Controller, downS: number): void {
     if (!controller.process) return;
-    this.logEvent(`ends ${controller.seat.name}`);
+    this.logEvent(`ends ${controller.spec.name}`);
     controller.crash();
-    this.world.plan(this.world.now + downS * 1000, () => controller.start());
+    this.world.schedule(this.world.now + downS * 1000, () => controller.start());
   }
 
   /**
@@ -262,8 +274,8 @@
   }
 
   /** Asks a controller to leave, and waits until it has left or `LEAVE_TIMEOUT_MS` is over. */
-  private async requestLeave({ seat: spec }: Controller): Promise<void> {
-    const operator = this.bystander(`operator of ${spec.name}`);
+  private async requestLeave({ spec: spec }: Controller): Promise<void> {
+    const operator = this.createExternalProcess(`operator of ${spec.name}`);
     const client = new HttpClient(spec.serveOn, 1, operator);
     const request = async (method: 'GET' | 'POST', path: string): Promise<unknown> => {
       const response = await client.call({
@@ -290,29 +302,29 @@
   get leader(): Controller | undefined {
     const value = this.parts.state.get('live/leader');
     const name = isObject(value) ? value['node'] : undefined;
-    return this.controllers.find(({ seat: spec }) => spec.name === name);
+    return this.controllers.find(({ spec: spec }) => spec.name === name);
   }
 
   /** Takes snapshots at regular intervals. They draw no random numbers and take no simulated time. */
   private takeSnapshot(): void {
     this.timeline.push({
-      ...this.parts.daybook.taskCounts(),
+      ...this.parts.statistics.taskCounts(),
       machinesUp: this.parts.cloud.up.length,
       controllersUp: this.controllers.filter(({ process }) => process?.running === true).length,
     });
-    this.parts.checker.look(this.parts.freeResources);
-    this.world.plan(this.world.now + SNAPSHOT_INTERVAL_MS, () => this.takeSnapshot());
+    this.parts.checker.checkWaitingJobs(this.parts.freeResources);
+    this.world.schedule(this.world.now + SNAPSHOT_INTERVAL_MS, () => this.takeSnapshot());
   }
 
   /** Starts the models and controllers and schedules the day's faults. */
   private startDay(): void {
     void this.parts.start();
     for (const controller of this.controllers) controller.start();
-    this.parts.open();
+    this.parts.startUsers();
     this.takeSnapshot();
     for (const { controller, atS, downS } of this.options.script?.crashes ?? []) {
       const target = this.controllers[controller];
-      if (target) this.world.plan(atS * 1000, () => this.crash(target, downS));
+      if (target) this.world.schedule(atS * 1000, () => this.crash(target, downS));
     }
     // The last replacement of a rollout is a fault, too. A fault without a duration gets the downtime of a controller or
     // the hang of a machine on top, which also gives users the time to poll again.
@@ -322,16 +334,16 @@
         : fault.at_s + ('gap_s' in fault ? fault.gap_s * this.controllers.length : 0) + this.downtimeS(fault),
     );
     this.parts.checker.quietFrom = Math.max(0, ...faultEndsS) * 1000;
-    for (const fault of this.day.troubles) this.world.plan(fault.at_s * 1000, () => startFault(fault, this));
+    for (const fault of this.day.troubles) this.world.schedule(fault.at_s * 1000, () => startFault(fault, this));
   }
 
   /** The longest delay of duplicate reports in seconds. */
-  private maxDuplicateDelayS({ late_s, for_next }: Extract<Trouble, { kind: 'reports_again' }>): number {
+  private maxDuplicateDelayS({ late_s, for_next }: Extract<Fault, { kind: 'reports_again' }>): number {
     return late_s ?? defaultDuplicateDelayS(this.day) + (for_next === true ? HELD_REPORT_RETENTION_S : 0);
   }
 
   /** Seconds for which a fault leaves a controller down, or machines hung, after its last action. */
-  private downtimeS(fault: Trouble): number {
+  private downtimeS(fault: Fault): number {
     if (fault.kind === 'cancel_now') return fault.hang_s ?? 0;
     return ('down_s' in fault ? fault.down_s : undefined) ?? this.day.controllers.restart_s;
   }
@@ -342,20 +354,20 @@
   async play(untilS = this.day.duration_s, options: PlayOptions = {}): Promise<void> {
     if (!this.started) {
       this.started = true;
-      this.world.plan(0, () => this.startDay());
+      this.world.schedule(0, () => this.startDay());
     }
-    await this.world.run(untilS * 1000, { rest, ...options });
+    await this.world.run(untilS * 1000, { rest: settlePendingCallbacks, ...options });
   }
 
   /** Ends the day and returns its figures. Nothing can be simulated after this. */
   close(): DayResult {
     const { parts } = this;
     parts.users.stop();
-    parts.checker.close();
-    const classes = parts.daybook.close();
-    const { open, failures } = parts.daybook;
+    parts.checker.finish();
+    const classes = parts.statistics.close();
+    const { open, failures } = parts.statistics;
     for (const { model } of parts.workers.values()) model.end();
-    const spent = parts.cloud.settle();
+    const spent = parts.cloud.billAll();
     const usefulCost = parts.usefulCost();
     return {
       day: this.day.name,
--- a/packages/region/src/releases/releases.ts
+++ b/packages/region/src/releases/releases.ts
@@ -14,7 +14,7 @@
 export class ReleaseError extends Error {}
 
 /** A controller of any release, which can be started and stopped. */
-export interface Running {
+export interface ControllerHandle {
   start(): void;
   stop(): void;
 }
@@ -23,15 +23,15 @@
 export interface Release {
   readonly name: string;
   /** Creates a controller from settings in TOML; throws if they are invalid. */
-  make(toml: string, log: Logger, runtime: Runtime, options: ServiceOptions): Running;
+  createController(toml: string, log: Logger, runtime: Runtime, options: ServiceOptions): ControllerHandle;
 }
 
 /** Name of the release that is built from the present sources; scenarios use it by default. */
-export const THIS = 'this';
+export const CURRENT_RELEASE = 'this';
 
 const currentRelease: Release = {
-  name: THIS,
-  make: (toml, log, runtime, options) => new Service(parseSettings(toml), log, runtime, options),
+  name: CURRENT_RELEASE,
+  createController: (toml, log, runtime, options) => new Service(parseSettings(toml), log, runtime, options),
 };
 
 /** Schema of `releases.json`: commit, checksum and size of each frozen release, by name. */
@@ -43,19 +43,19 @@
 /** Exports of a frozen module, see `scripts/freeze.mjs`. Its own types may differ from the present ones. */
 interface FrozenModule {
   readonly parseSettings: (toml: string) => unknown;
-  readonly Service: new (settings: unknown, log: Logger, runtime: Runtime, options: ServiceOptions) => Running;
+  readonly Service: new (settings: unknown, log: Logger, runtime: Runtime, options: ServiceOptions) => ControllerHandle;
 }
 
 /** The present release and frozen builds of earlier commits. Each frozen build is read and verified once, on first use. */
-export class Releases {
-  private readonly loaded = new Map<string, Release>([[THIS, currentRelease]]);
+export class ReleaseCatalog {
+  private readonly loaded = new Map<string, Release>([[CURRENT_RELEASE, currentRelease]]);
   private cachedManifest: v.InferOutput<typeof manifestSchema> | undefined;
 
   constructor(private readonly dir: string) {}
 
   /** Names of all available releases, the present one first. */
   get names(): readonly string[] {
-    return [THIS, ...Object.keys(this.manifest)];
+    return [CURRENT_RELEASE, ...Object.keys(this.manifest)];
   }
 
   private get manifest(): v.InferOutput<typeof manifestSchema> {
@@ -68,7 +68,7 @@
   }
 
   /** Returns a release by name; throws a ReleaseError if it is unknown, missing or modified. */
-  of(name: string): Release {
+  get(name: string): Release {
     const cached = this.loaded.get(name);
     if (cached) return cached;
     const entry = this.manifest[name];
@@ -87,7 +87,8 @@
     const { Service: FrozenService, parseSettings: parseFrozenSettings } = module.exports as FrozenModule;
     const release: Release = {
       name,
-      make: (toml, log, runtime, options) => new FrozenService(parseFrozenSettings(toml), log, runtime, options),
+      createController: (toml, log, runtime, options) =>
+        new FrozenService(parseFrozenSettings(toml), log, runtime, options),
     };
     this.loaded.set(name, release);
     return release;
--- a/packages/region/src/report/charts.ts
+++ b/packages/region/src/report/charts.ts
@@ -1,9 +1,9 @@
 /** Charts of a played day. */
 
-import { svg } from './svg.js';
+import { renderSvg } from './svg.js';
 import type { Field } from 'vega-lite/build/src/channeldef.js';
 import type { UnitSpec } from 'vega-lite/build/src/spec/unit.js';
-import type { Trouble } from '../day/index.js';
+import type { Fault } from '../day/index.js';
 import type { DayResult } from '../region.js';
 
 const CHART_WIDTH_PX = 860;
@@ -14,7 +14,7 @@
 const timeAxis = { field: 'atS', type: 'quantitative', title: 'seconds since the start of the day' } as const;
 
 /** Marks troubles in a chart: a line at the beginning of each, and a band for those with a duration. */
-const troubleMarks = (troubles: readonly Trouble[]): UnitSpec<Field>[] => {
+const troubleMarks = (troubles: readonly Fault[]): UnitSpec<Field>[] => {
   const values = troubles.map((t) => ({
     kind: t.kind,
     atS: t.at_s,
@@ -38,12 +38,12 @@
 export function renderTasksChart(
   { timeline }: DayResult,
   which: 'running' | 'waiting',
-  troubles: readonly Trouble[],
+  troubles: readonly Fault[],
 ): Promise<string> {
   const values = timeline.flatMap((sample) =>
     Object.entries(sample[which]).map(([name, tasks]) => ({ atS: sample.atS, class: name, tasks })),
   );
-  return svg({
+  return renderSvg({
     ...chartDefaults,
     height: 200,
     layer: [
@@ -65,10 +65,10 @@
 export function renderUpChart(
   { timeline }: DayResult,
   which: 'machinesUp' | 'controllersUp',
-  troubles: readonly Trouble[],
+  troubles: readonly Fault[],
 ): Promise<string> {
   const machines = which === 'machinesUp';
-  return svg({
+  return renderSvg({
     ...chartDefaults,
     height: machines ? 120 : 60,
     layer: [
@@ -102,7 +102,7 @@
       q ? (['p50', 'p95', 'p99'] as const).map((p) => ({ class: name, what, percentile: p, seconds: q[p] })) : [],
     ),
   );
-  return svg({
+  return renderSvg({
     ...chartDefaults,
     width: CHART_WIDTH_PX / 2 - 60,
     data: { values },
--- a/packages/region/src/report/index.ts
+++ b/packages/region/src/report/index.ts
@@ -1,4 +1,4 @@
 /** Reports of played days: text tables and HTML pages with charts. */
-export { svg } from './svg.js';
+export { renderSvg } from './svg.js';
 export * from './page.js';
 export * from './table.js';
--- a/packages/region/src/report/page.ts
+++ b/packages/region/src/report/page.ts
@@ -1,7 +1,7 @@
 /** HTML report of a played day. */
 
 import { Eta } from 'eta';
-import type { Day } from '../day/index.js';
+import type { SimulationScenario } from '../day/index.js';
 import type { DayResult } from '../region.js';
 import { renderTasksChart, renderLatencyChart, renderUpChart } from './charts.js';
 import { formatAim, formatQuantiles } from './table.js';
@@ -53,7 +53,7 @@
 `;
 
 /** Renders the result of a played day as one HTML page. */
-export async function renderDayPage(result: DayResult, day: Day): Promise<string> {
+export async function renderDayPage(result: DayResult, day: SimulationScenario): Promise<string> {
   const { troubles } = day;
   const charts = {
     running: await renderTasksChart(result, 'running', troubles),
--- a/packages/region/src/scale/capacity.ts
+++ b/packages/region/src/scale/capacity.ts
@@ -1,7 +1,7 @@
 /** Measures how the resource usage of controllers grows with each dimension of the load. */
 
 import { linearRegression, linearRegressionLine, rSquared } from 'simple-statistics';
-import { scaledDay, type Day, type DayClass } from '../day/index.js';
+import { scaleScenario, type SimulationScenario, type JobClass } from '../day/index.js';
 import type { ScaleResult } from './run.js';
 
 /** Dimensions of the load. A measurement varies one of them and keeps the others fixed. */
@@ -23,7 +23,7 @@
   readonly dimension: CapacityDimension;
   /** Part of the full size; 1 is the full size. */
   readonly part: number;
-  readonly day: Day;
+  readonly day: SimulationScenario;
   readonly changesPerMinute: number;
 }
 
@@ -51,19 +51,23 @@
 const DEFAULT_CHANGES_PER_MINUTE = 12;
 
 /** Returns the day with one of its classes changed. */
-const replaceClass = (day: Day, name: string, change: (c: DayClass) => DayClass): Day => ({
+const replaceClass = (
+  day: SimulationScenario,
+  name: string,
+  change: (c: JobClass) => JobClass,
+): SimulationScenario => ({
   ...day,
   classes: day.classes.map((c) => (c.name === name ? change(c) : c)),
 });
 
 /** Scales the machines and the load of a day by different parts. */
-function scaleMachinesAndLoad(day: Day, machinePart: number, loadPart: number): Day {
-  const { classes, pipelines } = scaledDay(day, loadPart);
-  return { ...scaledDay(day, machinePart), classes, pipelines, teams: day.teams };
+function scaleMachinesAndLoad(day: SimulationScenario, machinePart: number, loadPart: number): SimulationScenario {
+  const { classes, pipelines } = scaleScenario(day, loadPart);
+  return { ...scaleScenario(day, machinePart), classes, pipelines, teams: day.teams };
 }
 
 /** Replaces the batch arrays of a day by arrays of short tasks that arrive at fixed rates of jobs and task starts. */
-function withSteadyArrays(day: Day, jobsPerS: number, startsPerS: number): Day {
+function withSteadyArrays(day: SimulationScenario, jobsPerS: number, startsPerS: number): SimulationScenario {
   const tasks = Math.max(1, Math.round(startsPerS / jobsPerS));
   return replaceClass(day, 'batch', (c) => ({
     ...c,
@@ -73,11 +77,11 @@
 }
 
 /** Returns the day of a run, with one dimension at a part of its full size. */
-function capacityDay(day: Day, dimension: CapacityDimension, part: number): Day {
+function capacityDay(day: SimulationScenario, dimension: CapacityDimension, part: number): SimulationScenario {
   const fixedDay = scaleMachinesAndLoad(day, FIXED_MACHINE_PART, FIXED_LOAD_PART);
   switch (dimension) {
     case 'size':
-      return scaledDay(day, part);
+      return scaleScenario(day, part);
     case 'workers':
       return scaleMachinesAndLoad(day, part, FIXED_LOAD_PART);
     case 'tasks':
@@ -105,7 +109,7 @@
 }
 
 /** Returns the run of a dimension at a part of its full size. The day must have the classes of the shipped day `scale`. */
-export function capacityRun(fullDay: Day, dimension: CapacityDimension, part: number): CapacityRun {
+export function capacityRun(fullDay: SimulationScenario, dimension: CapacityDimension, part: number): CapacityRun {
   const day = capacityDay({ ...fullDay, troubles: [], duration_s: 100_000, quiet_end_s: 0 }, dimension, part);
   const changesPerMinute = dimension === 'changes' ? FULL_CHANGES_PER_MINUTE * part : DEFAULT_CHANGES_PER_MINUTE;
   return { dimension, part, day, changesPerMinute };
--- a/packages/region/src/scale/controllers.ts
+++ b/packages/region/src/scale/controllers.ts
@@ -5,10 +5,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { HttpClient, isObject, systemRuntime, type Connection, type Runtime } from '../../../../src/kernel/index.js';
-import type { Day } from '../day/index.js';
-import { LOOPBACK } from '../real.js';
-import { settingsFor } from '../settings.js';
-import type { ControllerSeat } from '../parts.js';
+import type { SimulationScenario } from '../day/index.js';
+import { LOOPBACK_ADDRESS } from '../real.js';
+import { controllerSettingsToml } from '../settings.js';
+import type { ControllerSpec } from '../parts.js';
 import type { Endpoint } from '../../../../src/kernel/index.js';
 import { ScaleError } from './errors.js';
 import type { ProcessLaunch } from './fleet.js';
@@ -26,7 +26,7 @@
 
 /** Returns whether this process can listen on a loopback port. */
 async function isFree(port: number): Promise<boolean> {
-  const at = { host: LOOPBACK, port };
+  const at = { host: LOOPBACK_ADDRESS, port };
   const accept = (socket: Connection): void => void socket.destroy();
   const free = await new Promise<boolean>((resolve) => {
     const listening = systemRuntime.listen({ ...at, accept, failed: () => resolve(false) });
@@ -64,7 +64,7 @@
 
 /** A controller of the run and its current process. */
 interface ControllerProcess {
-  readonly seat: ControllerSeat;
+  readonly seat: ControllerSpec;
   /** Path of the settings file. */
   readonly file: string;
   child: ChildProcess | undefined;
@@ -77,8 +77,8 @@
 
 /** What controller processes need in order to start and to report failures. */
 export interface ControllerProcessesOptions {
-  readonly day: Day;
-  readonly seats: readonly ControllerSeat[];
+  readonly day: SimulationScenario;
+  readonly seats: readonly ControllerSpec[];
   /** Addresses of the state service and of the cloud API. */
   readonly services: { readonly state: Endpoint; readonly cloud: Endpoint };
   readonly launch: ProcessLaunch;
@@ -101,7 +101,7 @@
     const { day, seats, services } = options;
     this.controllers = seats.map((seat) => {
       const file = join(this.dir, `${seat.name}.toml`);
-      writeFileSync(file, settingsFor(day, seat, seats, services));
+      writeFileSync(file, controllerSettingsToml(day, seat, seats, services));
       return { seat, file, child: undefined, exited: false, exitExpected: false, launches: 0 };
     });
   }
@@ -179,7 +179,7 @@
   }
 
   /** Names, zones and addresses of the controllers. */
-  get seats(): readonly ControllerSeat[] {
+  get seats(): readonly ControllerSpec[] {
     return this.controllers.map(({ seat }) => seat);
   }
 
--- a/packages/region/src/scale/faults.ts
+++ b/packages/region/src/scale/faults.ts
@@ -1,16 +1,16 @@
 /** Injects the troubles of a day into the processes and models of a scale run. */
 
 import { isObject, type Runtime } from '../../../../src/kernel/index.js';
-import type { Day, Trouble } from '../day/index.js';
+import type { SimulationScenario, Fault } from '../day/index.js';
 import type { RegionParts } from '../parts.js';
-import type { Luck } from '../sim/index.js';
+import type { RandomStream } from '../sim/index.js';
 import { chooseMachines } from '../troubles.js';
 import type { ControllerProcesses } from './controllers.js';
 import { ScaleError } from './errors.js';
 import type { HollowFleet } from './fleet.js';
 
 /** Kinds of troubles that can be injected into real processes. */
-const SUPPORTED_FAULTS = new Set<Trouble['kind']>([
+const SUPPORTED_FAULTS = new Set<Fault['kind']>([
   'machines_restart',
   'machines_die',
   'zone_cut',
@@ -26,7 +26,7 @@
  *
  * @throws ScaleError that names the unsupported field.
  */
-export function checkScaleDay(day: Day): void {
+export function checkScaleDay(day: SimulationScenario): void {
   const spotMachinesIndex = day.machines.findIndex((entry) => entry.spot);
   if (spotMachinesIndex >= 0)
     throw new ScaleError(`${day.name}: machines.${spotMachinesIndex}.spot: a scale run does not support spot machines`);
@@ -43,12 +43,12 @@
 
 /** What faults are injected into. */
 export interface FaultTargets {
-  readonly day: Day;
+  readonly day: SimulationScenario;
   readonly parts: RegionParts;
   readonly fleet: HollowFleet;
   readonly controllers: ControllerProcesses;
   readonly runtime: Runtime;
-  readonly rng: Luck;
+  readonly rng: RandomStream;
 }
 
 /** Returns the names of the controllers that a trouble means; none if there is no leader now. */
@@ -61,7 +61,7 @@
 }
 
 /** Begins a trouble and schedules its end. A zone cut only disconnects the workers of the zone; its controllers stay reachable. */
-export function injectFault(trouble: Trouble, targets: FaultTargets): void {
+export function injectFault(trouble: Fault, targets: FaultTargets): void {
   const { day, parts, fleet, controllers, runtime, rng } = targets;
   const schedule = (seconds: number, action: () => void): void => void runtime.after(seconds * 1000, action);
   switch (trouble.kind) {
@@ -70,7 +70,7 @@
         fleet.applyFault(id, 'restart', trouble.down_s);
       break;
     case 'machines_die':
-      for (const machine of chooseMachines(parts.cloud.up, rng, trouble)) parts.cloud.die(machine);
+      for (const machine of chooseMachines(parts.cloud.up, rng, trouble)) parts.cloud.failMachine(machine);
       break;
     case 'zone_cut': {
       const cutMachines = parts.cloud.up.filter(({ zone }) => zone === trouble.zone);
@@ -86,16 +86,16 @@
       for (const name of targetControllers(targets, trouble.controller)) controllers.pause(name, trouble.for_s);
       break;
     case 'state_outage':
-      parts.state.outage(true);
-      schedule(trouble.for_s, () => parts.state.outage(false));
+      parts.state.setOutage(true);
+      schedule(trouble.for_s, () => parts.state.setOutage(false));
       break;
     case 'state_slow':
       parts.state.slowness = trouble.times;
       schedule(trouble.for_s, () => (parts.state.slowness = 1));
       break;
     case 'burst':
-      parts.users.burst(trouble.class, trouble.times);
-      schedule(trouble.for_s, () => parts.users.burst(trouble.class, 1));
+      parts.users.setArrivalFactor(trouble.class, trouble.times);
+      schedule(trouble.for_s, () => parts.users.setArrivalFactor(trouble.class, 1));
       break;
     default:
       throw new ScaleError(`a scale run does not support ${trouble.kind}`);
--- a/packages/region/src/scale/fleet.ts
+++ b/packages/region/src/scale/fleet.ts
@@ -2,9 +2,9 @@
 
 import { fork, type ChildProcess } from 'node:child_process';
 import type { Endpoint, Runtime } from '../../../../src/kernel/index.js';
-import type { Day } from '../day/index.js';
-import type { JobTruth, Machine } from '../models/index.js';
-import { workerFacts, type WorkerHosts } from '../parts.js';
+import type { SimulationScenario } from '../day/index.js';
+import type { SimulatedJob, Machine } from '../models/index.js';
+import { workerTimings, type ExternalWorkers } from '../parts.js';
 import { ScaleError } from './errors.js';
 import type { HollowCommand, HollowEvent, HollowMeasurement, TaskEvent, WorkerFault } from './messages.js';
 
@@ -31,7 +31,7 @@
 
 /** What the hollow workers of a run need in order to start and to report events. */
 export interface HollowFleetOptions {
-  readonly day: Day;
+  readonly day: SimulationScenario;
   readonly seed: number;
   /** Number of processes that share the workers. */
   readonly processes: number;
@@ -45,7 +45,7 @@
 }
 
 /** Names of the machine types that gangs of this day may run on. */
-function gangMachineTypes(day: Day): ReadonlySet<string> {
+function gangMachineTypes(day: SimulationScenario): ReadonlySet<string> {
   const gangs = day.classes.filter(({ shape }) => shape === 'gang');
   const types = day.machine_types.filter((type) =>
     gangs.some((c) => (c.types?.includes(type.name) ?? true) && type.gpus >= c.gpus && type.cpus >= c.cpus),
@@ -57,7 +57,7 @@
  * Hosts the hollow workers of a scale run in a few child processes, and starts and ends those. A hollow worker speaks the
  * whole worker protocol, but its tasks only let time pass.
  */
-export class HollowFleet implements WorkerHosts {
+export class HollowFleet implements ExternalWorkers {
   private readonly workerProcesses: WorkerProcess[] = [];
   private readonly processByMachine = new Map<string, WorkerProcess>();
   private readonly machines = new Map<string, Machine>();
@@ -74,7 +74,7 @@
   /** Starts the processes. Resolves when each accepts machines; rejects if one is not ready in time. */
   async start(): Promise<void> {
     const { processes, launch, day, seed, controllers } = this.options;
-    const facts = workerFacts(day);
+    const facts = workerTimings(day);
     const gangs = { waitS: facts.gangWaitS, peerS: facts.gangPeerS };
     const ready: Promise<void>[] = [];
     for (let i = 0; i < processes; i++) {
@@ -176,7 +176,7 @@
   }
 
   /** Sends a job to every process, because any of them may receive start commands for its tasks. */
-  addJob({ spec, runS, mistaken }: JobTruth): void {
+  addJob({ spec, runS, mistaken }: SimulatedJob): void {
     const runs = spec.shape === 'sweep' ? Array.from({ length: spec.pieces }, (_, i) => runS(i)) : [runS(0)];
     for (const workerProcess of this.workerProcesses)
       this.send(workerProcess, { kind: 'job', job: { spec, runS: runs, mistaken } });
--- a/packages/region/src/scale/hollow.ts
+++ b/packages/region/src/scale/hollow.ts
@@ -1,10 +1,17 @@
 /** The process side of hollow workers: executes commands of a scale run and reports task events to it. */
 
 import type { Endpoint, Logger } from '../../../../src/kernel/index.js';
-import { EndingRuntime } from '../ending.js';
-import { GangBook, JobBook, JobTruth, WorkerModel, type Machine, type TaskWatch } from '../models/index.js';
-import { LOOPBACK } from '../real.js';
-import { Luck } from '../sim/index.js';
+import { DisposableRuntime } from '../ending.js';
+import {
+  GangCoordinator,
+  SimulatedJobs,
+  SimulatedJob,
+  WorkerModel,
+  type Machine,
+  type TaskObserver,
+} from '../models/index.js';
+import { LOOPBACK_ADDRESS } from '../real.js';
+import { RandomStream } from '../sim/index.js';
 import type { HollowCommand, HollowEvent, HollowMachine, HollowMeasurement, TaskEventKind } from './messages.js';
 
 /** Sends events to the scale run. */
@@ -12,7 +19,7 @@
   send(event: HollowEvent): void;
 }
 
-const ANY_LOOPBACK_PORT: Endpoint = { host: LOOPBACK, port: 0 };
+const ANY_LOOPBACK_PORT: Endpoint = { host: LOOPBACK_ADDRESS, port: 0 };
 
 /** Builds the model of a machine that runs and has not failed. */
 const toMachine = ({ id, type, zone }: HollowMachine): Machine => ({
@@ -21,18 +28,19 @@
 });
 
 /** Builds the model of a job; a job with one run time uses it for all of its tasks. */
-const toJobTruth = ({ job }: Extract<HollowCommand, { kind: 'job' }>): JobTruth =>
-  new JobTruth(job.spec, (index) => job.runS[Math.min(index, job.runS.length - 1)] ?? 0, job.mistaken);
+const toJobTruth = ({ job }: Extract<HollowCommand, { kind: 'job' }>): SimulatedJob =>
+  new SimulatedJob(job.spec, (index) => job.runS[Math.min(index, job.runS.length - 1)] ?? 0, job.mistaken);
 
 /**
  * Hosts the hollow workers of many machines in one process. Each worker reports, holds leases and answers commands with the
  * whole protocol on its own sockets, but its tasks only let time pass. Task events are sent to the run, which checks them.
  */
 export class HollowWorkers {
-  private readonly runtime = new EndingRuntime();
+  private readonly runtime = new DisposableRuntime();
   private readonly workers = new Map<string, WorkerModel>();
-  private readonly jobs = new JobBook();
-  private configuration: (Extract<HollowCommand, { kind: 'configure' }> & { readonly gangBook: GangBook }) | undefined;
+  private readonly jobs = new SimulatedJobs();
+  private configuration:
+    (Extract<HollowCommand, { kind: 'configure' }> & { readonly gangBook: GangCoordinator }) | undefined;
   /** Totals of the workers that have been removed. */
   private readonly removedWorkerCounts = { reports: 0, commands: 0 };
 
@@ -68,12 +76,12 @@
   /** Ends all workers and closes their sockets. */
   end(): void {
     for (const worker of this.workers.values()) worker.end();
-    this.runtime.end();
+    this.runtime.dispose();
   }
 
   private configure(command: Extract<HollowCommand, { kind: 'configure' }>): void {
-    const rng = new Luck(command.seed, 'hollow gangs');
-    this.configuration = { ...command, gangBook: new GangBook(this.runtime, rng, command.gangs) };
+    const rng = new RandomStream(command.seed, 'hollow gangs');
+    this.configuration = { ...command, gangBook: new GangCoordinator(this.runtime, rng, command.gangs) };
     this.channel.send({ kind: 'ready' });
   }
 
@@ -82,7 +90,7 @@
     if (!configuration) throw new Error('received a machine before the configuration');
     const { facts, controllers, gangBook: gangs, seed } = configuration;
     const machine = toMachine(hollowMachine);
-    const rng = new Luck(seed, `hollow ${hollowMachine.id}`);
+    const rng = new RandomStream(seed, `hollow ${hollowMachine.id}`);
     const model = new WorkerModel(machine, {
       ...{ runtime, watchdog: runtime, luck: rng, log, facts, controllers, jobs, gangs },
       watch: this.taskWatch,
@@ -90,7 +98,7 @@
     });
     this.workers.set(hollowMachine.id, model);
     void model.listen(ANY_LOOPBACK_PORT).ready.then((port) => {
-      const address = `${LOOPBACK}:${port}`;
+      const address = `${LOOPBACK_ADDRESS}:${port}`;
       model.start(address);
       this.channel.send({ kind: 'listening', machine: hollowMachine.id, address });
     });
@@ -104,17 +112,17 @@
     this.removedWorkerCounts.commands += worker.counts.commands;
     worker.tasks.killAll();
     worker.end();
-    worker.shut();
+    worker.closeConnections();
   }
 
   private applyFault({ machine, fault, downS }: Extract<HollowCommand, { kind: 'fault' }>): void {
     const worker = this.workers.get(machine);
     if (!worker) return;
     if (fault === 'restart') worker.restart(downS * 1000 > 0 ? downS : 1);
-    else worker.mute = worker.deaf = fault === 'cut';
+    else worker.dropsOutbound = worker.dropsInbound = fault === 'cut';
   }
 
-  private readonly taskWatch: TaskWatch = {
+  private readonly taskWatch: TaskObserver = {
     ordered: (machine, job, index, attempt) => this.sendTaskEvent('ordered', machine, job, index, attempt),
     entered: (machine, job, index, attempt) => this.sendTaskEvent('entered', machine, job, index, attempt),
     running: (machine, job, index, attempt) => this.sendTaskEvent('running', machine, job, index, attempt),
@@ -124,10 +132,10 @@
   private sendTaskEvent(
     kind: TaskEventKind,
     machine: Machine,
-    job: JobTruth,
+    job: SimulatedJob,
     index: number,
     attempt: number,
-    cause: Parameters<TaskWatch['left']>[4] | null = null,
+    cause: Parameters<TaskObserver['left']>[4] | null = null,
   ): void {
     const atMs = this.runtime.wall();
     const event = { kind, atMs, machine: machine.id, job: job.spec.ref, index, attempt, cause };
--- a/packages/region/src/scale/messages.ts
+++ b/packages/region/src/scale/messages.ts
@@ -2,12 +2,12 @@
 
 import type { Endpoint } from '../../../../src/kernel/index.js';
 import type { Traffic } from '../ending.js';
-import type { Cause, GangFacts, Submission, TypeFacts, WorkerFacts } from '../models/index.js';
+import type { TaskExitCause, GangTimeouts, Submission, MachineTypeConfig, WorkerTimings } from '../models/index.js';
 
 /** A machine for which a hollow worker is to run. */
 export interface HollowMachine {
   readonly id: string;
-  readonly type: TypeFacts;
+  readonly type: MachineTypeConfig;
   readonly zone: string;
 }
 
@@ -28,8 +28,8 @@
   | {
       readonly kind: 'configure';
       readonly seed: number;
-      readonly facts: WorkerFacts;
-      readonly gangs: GangFacts;
+      readonly facts: WorkerTimings;
+      readonly gangs: GangTimeouts;
       readonly controllers: readonly { readonly name: string; readonly at: Endpoint }[];
     }
   | { readonly kind: 'job'; readonly job: HollowJob }
@@ -51,7 +51,7 @@
   readonly index: number;
   readonly attempt: number;
   /** Why the task left its machine; only of `left`. */
-  readonly cause: Cause | 'killed' | null;
+  readonly cause: TaskExitCause | 'killed' | null;
 }
 
 /** Totals of what the workers of one process have sent and received since it began. */
--- a/packages/region/src/scale/meter.ts
+++ b/packages/region/src/scale/meter.ts
@@ -1,7 +1,7 @@
 /** Measures how long tasks take from submission to their first start. */
 
 import { build, type Histogram } from 'hdr-histogram-js';
-import type { JobTruth, Machine, TaskWatch, UserView } from '../models/index.js';
+import type { SimulatedJob, Machine, TaskObserver, UserView } from '../models/index.js';
 
 const MAX_RECORDED_MS = 3_600_000;
 
@@ -63,7 +63,7 @@
 }
 
 /** Counts starts and running tasks, and measures the delays of first starts by class. All times are true times. */
-export class StartMeter implements TaskWatch {
+export class StartMeter implements TaskObserver {
   private readonly userViews = new Map<string, UserView>();
   private readonly pendingStarts = new Map<string, PendingStart>();
   private readonly startedTasks = new Set<string>();
@@ -97,17 +97,17 @@
     this.jobs += 1;
   }
 
-  ordered(_machine: Machine, { spec }: JobTruth, index: number): void {
+  ordered(_machine: Machine, { spec }: SimulatedJob, index: number): void {
     const nowMs = this.now();
     this.pendingStarts.set(`${spec.ref}/${index}`, { orderedAt: nowMs, enteredAt: nowMs });
   }
 
-  entered(_machine: Machine, { spec }: JobTruth, index: number): void {
+  entered(_machine: Machine, { spec }: SimulatedJob, index: number): void {
     const pendingStart = this.pendingStarts.get(`${spec.ref}/${index}`);
     if (pendingStart) pendingStart.enteredAt = this.now();
   }
 
-  running(_machine: Machine, { spec }: JobTruth, index: number): void {
+  running(_machine: Machine, { spec }: SimulatedJob, index: number): void {
     const key = `${spec.ref}/${index}`;
     this.starts += 1;
     this.runningTasks.add(key);
@@ -120,7 +120,7 @@
     if (view.submittedAt >= this.measuredFrom) this.recordFirstStart(view, pendingStart);
   }
 
-  left(_machine: Machine, { spec }: JobTruth, index: number): void {
+  left(_machine: Machine, { spec }: SimulatedJob, index: number): void {
     this.runningTasks.delete(`${spec.ref}/${index}`);
     this.pendingStarts.delete(`${spec.ref}/${index}`);
   }
