--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -2,13 +2,13 @@
 
 import type { Logger, Runtime } from '../../../../src/kernel/index.js';
 import { isObject, HttpClient } from '../../../../src/kernel/index.js';
-import type { Breach } from '../checker/index.js';
-import type { Day } from '../day/index.js';
-import { EndingRuntime, type Traffic } from '../ending.js';
+import type { RuleViolation } from '../checker/index.js';
+import type { SimulationScenario } from '../day/index.js';
+import { DisposableRuntime, type Traffic } from '../ending.js';
 import type { StateOperation } from '../models/index.js';
-import { RegionParts, type ControllerSeat, type Place, type RegionObserver, type Seat } from '../parts.js';
-import { LOOPBACK } from '../real.js';
-import { Luck } from '../sim/index.js';
+import { RegionParts, type ControllerSpec, type HostProvider, type RegionObserver, type ModelHost } from '../parts.js';
+import { LOOPBACK_ADDRESS } from '../real.js';
+import { RandomStream } from '../sim/index.js';
 import { ConfigurationLoad, type ConfigurationResult } from './configuration.js';
 import { ControllerProcesses, findFreePorts } from './controllers.js';
 import { ScaleError } from './errors.js';
@@ -21,7 +21,7 @@
 import { UsageMeter, type ProcessResult, type WatchedProcess } from './usage.js';
 
 /** Listens on loopback, on a port that the operating system assigns. */
-const ANY_LOOPBACK_PORT = { host: LOOPBACK, port: 0 };
+const ANY_LOOPBACK_PORT = { host: LOOPBACK_ADDRESS, port: 0 };
 /** Events of worker processes are delivered to the checker this long after they happened, so that they can be ordered by time. */
 const EVENT_REORDER_DELAY_MS = 400;
 const EVENT_RELEASE_INTERVAL_MS = 20;
@@ -33,7 +33,7 @@
 /** Options of a scale run. */
 export interface ScaleOptions {
   /** The day, already scaled to the size of the run. */
-  readonly day: Day;
+  readonly day: SimulationScenario;
   /** Number of processes that share the hollow workers. */
   readonly hollowProcesses: number;
   /** Seconds before the measurement begins. */
@@ -93,7 +93,7 @@
   readonly waits: readonly StartWaits[];
   readonly configuration: ConfigurationResult;
   /** Violations of protocol rules. Whether jobs wait too long is not checked here. */
-  readonly breaches: readonly Breach[];
+  readonly breaches: readonly RuleViolation[];
   /** Worker events that arrived too late to be ordered by time. */
   readonly lateEvents: number;
   /** Warnings in the logs of the controllers: their number and the first of them. */
@@ -118,8 +118,8 @@
 }
 
 /** A part of the region that runs in this process, with its own runtime so that its traffic is counted separately. */
-interface MeteredSeat extends Seat {
-  readonly runtime: EndingRuntime;
+interface MeteredSeat extends ModelHost {
+  readonly runtime: DisposableRuntime;
 }
 
 /**
@@ -154,7 +154,7 @@
       tasks: workers * ESTIMATED_TASKS_PER_WORKER,
     };
     checkRunSize(size, machineBytes);
-    this.runtime = new EndingRuntime();
+    this.runtime = new DisposableRuntime();
     this.startedAtWallMs = this.runtime.wall();
     this.events = new OrderedEvents(EVENT_REORDER_DELAY_MS, (event, atMs) => this.deliverEvent(event, atMs));
     const aims = day.classes.flatMap(({ name, aims: all }) =>
@@ -184,8 +184,8 @@
     this.configuration?.close();
     this.controllers?.end();
     this.fleet?.end();
-    for (const { runtime } of this.meteredSeats.values()) runtime.end();
-    (this.runtime as EndingRuntime).end();
+    for (const { runtime } of this.meteredSeats.values()) runtime.dispose();
+    (this.runtime as DisposableRuntime).dispose();
   }
 
   /** Milliseconds since the start: the time of the event that is being delivered, or else the current time. */
@@ -210,8 +210,8 @@
 
   /** Creates a runtime of its own for a part of the region. */
   private createSeat(name: string): MeteredSeat {
-    const runtime = new EndingRuntime();
-    const seat: MeteredSeat = { runtime, watchdog: runtime, at: ANY_LOOPBACK_PORT, close: () => runtime.end() };
+    const runtime = new DisposableRuntime();
+    const seat: MeteredSeat = { runtime, watchdog: runtime, at: ANY_LOOPBACK_PORT, close: () => runtime.dispose() };
     this.meteredSeats.set(name, seat);
     return seat;
   }
@@ -225,13 +225,13 @@
   private async startAll(): Promise<void> {
     const { day, hollowProcesses, launch, log, progress } = this.options;
     const ports = await findFreePorts(2 * day.controllers.count);
-    const seats = Array.from({ length: day.controllers.count }, (_, i): ControllerSeat => ({
+    const seats = Array.from({ length: day.controllers.count }, (_, i): ControllerSpec => ({
       name: `node-${i}`,
       zone: day.zones[i % day.zones.length] ?? '',
-      serveOn: { host: LOOPBACK, port: ports[2 * i] ?? 0 },
-      peerOn: { host: LOOPBACK, port: ports[2 * i + 1] ?? 0 },
+      serveOn: { host: LOOPBACK_ADDRESS, port: ports[2 * i] ?? 0 },
+      peerOn: { host: LOOPBACK_ADDRESS, port: ports[2 * i + 1] ?? 0 },
     }));
-    const rng = new Luck(day.seed, day.name);
+    const rng = new RandomStream(day.seed, day.name);
     const fleet = new HollowFleet({
       ...{ day, seed: day.seed, processes: hollowProcesses, launch, runtime: this.runtime, failed: this.recordFailure },
       controllers: seats.map(({ name, serveOn }) => ({ name, at: serveOn })),
@@ -240,7 +240,7 @@
     this.fleet = fleet;
     progress?.(`starting ${hollowProcesses} worker processes`);
     await fleet.start();
-    const place: Place = { seat: (name) => this.createSeat(name), now: () => this.now() };
+    const place: HostProvider = { createHost: (name) => this.createSeat(name), now: () => this.now() };
     const parts = new RegionParts({
       ...{ day, luck: rng, place, log, controllers: seats, note: () => undefined, hosts: fleet },
       observer: this.createObserver(fleet),
@@ -249,7 +249,7 @@
     const [state = 0, cloud = 0] = await parts.start();
     const controllers = new ControllerProcesses({
       ...{ day, seats, launch, runtime: this.runtime, failed: this.recordFailure },
-      services: { state: { host: LOOPBACK, port: state }, cloud: { host: LOOPBACK, port: cloud } },
+      services: { state: { host: LOOPBACK_ADDRESS, port: state }, cloud: { host: LOOPBACK_ADDRESS, port: cloud } },
     });
     this.controllers = controllers;
     progress?.(`starting ${seats.length} controllers`);
@@ -260,7 +260,7 @@
       this.runtime,
       () => parts.cloud.up.map(({ id }) => id),
     );
-    parts.open();
+    parts.startUsers();
     for (const trouble of day.troubles) {
       const targets = { day, parts, fleet, controllers, runtime: this.runtime, rng: rng.fork('faults') };
       this.runtime.after(trouble.at_s * 1000, () => injectFault(trouble, targets));
@@ -271,7 +271,7 @@
   private createObserver(fleet: HollowFleet): RegionObserver {
     const { meter } = this;
     return {
-      arrived: (view) => {
+      jobSubmitted: (view) => {
         fleet.addJob(view.job);
         meter.arrived(view);
       },
@@ -371,7 +371,7 @@
     for (const { serveOn } of this.controllers?.seats ?? []) {
       const client = new HttpClient(serveOn, 1, this.runtime);
       const path = '/admin/v1/status';
-      const answer = await client.call({ method: 'GET', path, timeoutMs: STATUS_TIMEOUT_MS, maxBytes: 32e6 });
+      const answer = await client.call({ method: 'GET', path, timeoutMs: STATUS_TIMEOUT_MS, maxResponseBytes: 32e6 });
       client.close();
       const peers = answer.kind === 'answered' && isObject(answer.body) ? answer.body['peers'] : undefined;
       const sent = isObject(peers) && isObject(peers['sent']) ? peers['sent'] : {};
--- a/packages/region/src/settings.ts
+++ b/packages/region/src/settings.ts
@@ -1,13 +1,13 @@
 import { stringify } from 'smol-toml';
 import type { Endpoint } from '../../../src/kernel/index.js';
-import type { Day } from './day/index.js';
-import type { ControllerSeat } from './parts.js';
+import type { SimulationScenario } from './day/index.js';
+import type { ControllerSpec } from './parts.js';
 
 /** Formats an address as `host:port`. */
 const formatEndpoint = ({ host, port }: Endpoint): string => `${host}:${port}`;
 
 /** The objectives of all job classes of a day, as the settings file lists them. */
-const objectives = (day: Day): unknown[] =>
+const objectives = (day: SimulationScenario): unknown[] =>
   day.classes.flatMap((c) =>
     c.aims.map((aim) => ({
       kind: aim.kind,
@@ -18,10 +18,10 @@
   );
 
 /** Builds the settings file (TOML) of one controller. `all` holds every controller, including `self`. */
-export function settingsFor(
-  day: Day,
-  self: ControllerSeat,
-  all: readonly ControllerSeat[],
+export function controllerSettingsToml(
+  day: SimulationScenario,
+  self: ControllerSpec,
+  all: readonly ControllerSpec[],
   services: { readonly state: Endpoint; readonly cloud: Endpoint },
 ): string {
   return stringify({
--- a/packages/region/src/sim/luck.ts
+++ b/packages/region/src/sim/luck.ts
@@ -21,7 +21,7 @@
 }
 
 /** A seeded stream of random numbers. The same seed and name give the same numbers on every machine. */
-export class Luck {
+export class RandomStream {
   private readonly generator: RandomGenerator;
   private readonly uniformSource: () => number;
 
@@ -35,8 +35,8 @@
   }
 
   /** Returns an independent stream whose seed is derived from this seed and a name. */
-  fork(name: string): Luck {
-    return new Luck(deriveSeed(this.seed, name), name);
+  fork(name: string): RandomStream {
+    return new RandomStream(deriveSeed(this.seed, name), name);
   }
 
   /** Returns a uniformly distributed number from 0 to 1, 1 excluded. */
@@ -45,7 +45,7 @@
   }
 
   /** Returns a uniformly distributed number from `low` to `high`, `high` excluded. */
-  between(low: number, high: number): number {
+  uniform(low: number, high: number): number {
     return randomUniform.source(this.uniformSource)(low, high)();
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Returns a uniformly distributed integer from 0 to `bound`, `bound` excluded. */
-  whole(bound: number): number {
+  integerBelow(bound: number): number {
     return Math.floor(this.next() * bound);
   }
 
@@ -70,27 +70,27 @@
   }
 
   /** Returns a log-normally distributed number, given by median and 95th percentile and cut off at `max`. */
-  spread({ median, p95, max }: LogNormalParameters): number {
+  logNormal({ median, p95, max }: LogNormalParameters): number {
     const sigma = Math.log(Math.max(p95, median) / median) / STANDARD_NORMAL_P95;
     return Math.min(max, randomLogNormal.source(this.uniformSource)(Math.log(median), sigma)());
   }
 
   /** Returns one element, each with the same probability; undefined for an empty list. */
-  pick<T>(items: readonly T[]): T | undefined {
-    return items[this.whole(items.length)];
+  pickOne<T>(items: readonly T[]): T | undefined {
+    return items[this.integerBelow(items.length)];
   }
 
   /** Draws up to `count` elements without replacement and returns them in the order drawn. */
-  some<T>(items: readonly T[], count: number): T[] {
+  sample<T>(items: readonly T[], count: number): T[] {
     const remaining = [...items];
     const sampled: T[] = [];
     while (sampled.length < count && remaining.length > 0)
-      sampled.push(...remaining.splice(this.whole(remaining.length), 1));
+      sampled.push(...remaining.splice(this.integerBelow(remaining.length), 1));
     return sampled;
   }
 
   /** Returns an index with a probability proportional to its weight. */
-  weighted(weights: readonly number[]): number {
+  weightedIndex(weights: readonly number[]): number {
     let remaining = this.next() * weights.reduce((sum, w) => sum + w, 0);
     for (const [i, weight] of weights.entries()) {
       remaining -= weight;
--- a/packages/region/src/sim/network.ts
+++ b/packages/region/src/sim/network.ts
@@ -1,7 +1,7 @@
 import { Duplex } from 'node:stream';
-import type { Connection, Endpoint, Listening, ListenOptions, Runtime, Timer } from '../../../../src/kernel/index.js';
-import type { Luck } from './luck.js';
-import type { World } from './world.js';
+import type { Connection, Endpoint, TcpListener, ListenOptions, Runtime, Timer } from '../../../../src/kernel/index.js';
+import type { RandomStream } from './luck.js';
+import type { EventQueue } from './world.js';
 
 /** A host of the simulated network. Without power it neither answers packets nor resets connections. */
 export interface Host {
@@ -26,11 +26,11 @@
  * partition ends, even if the sender has closed the connection by then. `reset`: open connections are reset at once,
  * new ones hang. `refuse`: open connections are reset at once and new ones are refused.
  */
-export type CutKind = 'hold' | 'reset' | 'refuse';
+export type PartitionKind = 'hold' | 'reset' | 'refuse';
 
 /** A network partition, which is in force from `Network.addPartition` to `Network.removePartition`. */
-export interface Cut {
-  readonly kind: CutKind;
+export interface Partition {
+  readonly kind: PartitionKind;
   /** Returns whether the partition separates `a` from `b`. Called with the hosts in both orders. */
   readonly between: (a: Host, b: Host) => boolean;
 }
@@ -194,36 +194,36 @@
   private readonly listeners = new Map<string, Listener>();
   private readonly sockets = new Map<SocketOwner, Set<SimSocket>>();
   private readonly listenerBySocket = new Map<SimSocket, Listener>();
-  private readonly partitions = new Set<Cut>();
+  private readonly partitions = new Set<Partition>();
   private readonly pipesWithHeldPackets = new Set<Pipe>();
   private nextPort = FIRST_EPHEMERAL_PORT;
 
   constructor(
-    private readonly eventQueue: World,
+    private readonly eventQueue: EventQueue,
     private readonly parameters: NetworkParameters,
-    private readonly random: Luck,
+    private readonly random: RandomStream,
   ) {}
 
   /** Adds a powered host. */
-  host(ip: string, zone: string | null): Host {
+  addHost(ip: string, zone: string | null): Host {
     const host: Host = { ip, zone, powered: true };
     this.hosts.set(ip, host);
     return host;
   }
 
   /** Powers a host off and removes it from the network. */
-  remove(host: Host): void {
+  removeHost(host: Host): void {
     host.powered = false;
     this.hosts.delete(host.ip);
   }
 
   /** Number of open connections of a process. */
-  socketsOf(process: SocketOwner): number {
+  socketCount(process: SocketOwner): number {
     return this.sockets.get(process)?.size ?? 0;
   }
 
   /** Puts a partition into force. Unless it holds packets, it resets all open connections that it separates. */
-  cut(partition: Cut): void {
+  addPartition(partition: Partition): void {
     this.partitions.add(partition);
     if (partition.kind === 'hold') return;
     for (const processSockets of this.sockets.values()) {
@@ -236,7 +236,7 @@
   }
 
   /** Ends a partition and delivers the packets that it held, unless another partition still separates the hosts. */
-  heal(partition: Cut): void {
+  removePartition(partition: Partition): void {
     this.partitions.delete(partition);
     for (const pipe of [...this.pipesWithHeldPackets]) {
       if (this.partitionBetween(pipe.from, pipe.to.owner.host)) continue;
@@ -247,11 +247,11 @@
     }
   }
 
-  private liesBetween(partition: Cut, a: Host, b: Host): boolean {
+  private liesBetween(partition: Partition, a: Host, b: Host): boolean {
     return partition.between(a, b) || partition.between(b, a);
   }
 
-  private partitionBetween(a: Host, b: Host): Cut | undefined {
+  private partitionBetween(a: Host, b: Host): Partition | undefined {
     for (const partition of this.partitions) if (this.liesBetween(partition, a, b)) return partition;
     return undefined;
   }
@@ -270,7 +270,7 @@
       this.eventQueue.now + this.oneWayDelayMs(pipe.from, pipe.to.owner.host),
     );
     pipe.lastArrivalMs = arrivalMs;
-    this.eventQueue.plan(arrivalMs, () => this.deliver(pipe, packet));
+    this.eventQueue.schedule(arrivalMs, () => this.deliver(pipe, packet));
   }
 
   private deliver(pipe: Pipe, packet: Packet): void {
@@ -282,7 +282,7 @@
   }
 
   /** Listens on a port; port 0 takes the next free one. An address in use is reported through `options.failed`. */
-  listen(owner: SocketOwner, options: ListenOptions): Listening {
+  listen(owner: SocketOwner, options: ListenOptions): TcpListener {
     const port = options.port === 0 ? this.nextPort++ : options.port;
     const key = `${owner.host.ip}:${port}`;
     const existing = this.listeners.get(key);
@@ -303,7 +303,7 @@
       socket.ownerEnded = true;
       return socket;
     }
-    if (this.socketsOf(from) >= from.maxSockets) {
+    if (this.socketCount(from) >= from.maxSockets) {
       from.after(0, () => socket.fail('EMFILE'));
       return socket;
     }
@@ -313,7 +313,7 @@
     if (partition?.kind === 'refuse') from.after(1, () => socket.fail('ECONNREFUSED'));
     else if (!remoteHost || partition) from.after(SYN_TIMEOUT_MS, () => socket.fail('ETIMEDOUT'));
     else
-      this.eventQueue.plan(this.eventQueue.now + this.oneWayDelayMs(from.host, remoteHost), () =>
+      this.eventQueue.schedule(this.eventQueue.now + this.oneWayDelayMs(from.host, remoteHost), () =>
         this.completeHandshake(socket, remoteHost, port),
       );
     return socket;
@@ -333,9 +333,9 @@
     const atConnectionLimit =
       listener !== undefined &&
       ((maxConnections !== undefined && listener.openConnections >= maxConnections) ||
-        this.socketsOf(listener.owner) >= listener.owner.maxSockets);
+        this.socketCount(listener.owner) >= listener.owner.maxSockets);
     if (!listener?.owner.alive || atConnectionLimit) {
-      this.eventQueue.plan(this.eventQueue.now + returnDelayMs, () => from.run(() => socket.fail('ECONNREFUSED')));
+      this.eventQueue.schedule(this.eventQueue.now + returnDelayMs, () => from.run(() => socket.fail('ECONNREFUSED')));
       return;
     }
     const serverSocket = new SimSocket(listener.owner, this, from.host.ip, listener.options.allowHalfOpen === true);
@@ -349,7 +349,7 @@
       heldPackets: [],
     });
     // The operating system completes the handshake; the program sees the connection when it runs.
-    this.eventQueue.plan(this.eventQueue.now + returnDelayMs, () => {
+    this.eventQueue.schedule(this.eventQueue.now + returnDelayMs, () => {
       if (socket.destroyed || socket.ownerEnded) {
         serverSocket.owner.run(() => serverSocket.receive({ kind: 'end' }));
         return;
--- a/packages/region/src/sim/process.ts
+++ b/packages/region/src/sim/process.ts
@@ -5,19 +5,19 @@
   wallMillis,
   type Connection,
   type Endpoint,
-  type Listening,
+  type TcpListener,
   type ListenOptions,
   type Millis,
   type Runtime,
   type Timer,
   type WallMillis,
 } from '../../../../src/kernel/index.js';
-import type { Luck } from './luck.js';
+import type { RandomStream } from './luck.js';
 import type { Host, Network, SocketOwner } from './network.js';
-import type { World } from './world.js';
+import type { EventQueue } from './world.js';
 
 /** Wall-clock time at the start of every simulation, in milliseconds since the Unix epoch. */
-export const DAY_BEGINS = Date.UTC(2026, 0, 5, 18, 0, 0);
+export const SIMULATED_START_UTC_MS = Date.UTC(2026, 0, 5, 18, 0, 0);
 
 /** Errors of a process's clocks. */
 export interface ClockFaults {
@@ -67,9 +67,9 @@
   constructor(
     readonly name: string,
     readonly host: Host,
-    private readonly eventQueue: World,
+    private readonly eventQueue: EventQueue,
     private readonly network: Network,
-    private readonly randomStream: Luck,
+    private readonly randomStream: RandomStream,
     private readonly clockFaults: ClockFaults = { drift: 0, wanderMs: 0 },
     readonly maxSockets = Number.POSITIVE_INFINITY,
   ) {
@@ -103,7 +103,7 @@
     this.frozen = false;
     const deferred = this.backlog;
     this.backlog = [];
-    for (const work of deferred) this.eventQueue.plan(this.eventQueue.now, () => this.run(work));
+    for (const work of deferred) this.eventQueue.schedule(this.eventQueue.now, () => this.run(work));
   }
 
   /** Ends the process at once, without notice to its program. */
@@ -121,7 +121,7 @@
   /** Wall clock of this process, in milliseconds since the Unix epoch. */
   wall(): WallMillis {
     const offsetMs = Math.sin(this.eventQueue.now / 47_000 + this.wallOffsetPhase) * this.clockFaults.wanderMs;
-    return wallMillis(Math.round(DAY_BEGINS + this.eventQueue.now + offsetMs));
+    return wallMillis(Math.round(SIMULATED_START_UTC_MS + this.eventQueue.now + offsetMs));
   }
 
   after(ms: number, work: () => void): Timer {
@@ -129,7 +129,7 @@
     // As with operating-system timers, delays are whole milliseconds and at least one.
     const trueMs = Math.max(1, Math.ceil(ms)) / (1 + this.clockFaults.drift);
     let cancelled = false;
-    const event = this.eventQueue.plan(this.eventQueue.now + trueMs, () =>
+    const event = this.eventQueue.schedule(this.eventQueue.now + trueMs, () =>
       this.run(() => {
         if (!cancelled) work();
       }),
@@ -172,7 +172,7 @@
     return this.network.connect(this, to);
   }
 
-  listen(options: ListenOptions): Listening {
+  listen(options: ListenOptions): TcpListener {
     return this.network.listen(this, options);
   }
 }
--- a/packages/region/src/sim/rest.ts
+++ b/packages/region/src/sim/rest.ts
@@ -2,4 +2,4 @@
  * Resolves once all pending promise and stream callbacks have run. This is the only place where the simulation
  * uses the real event loop; it takes no simulated time.
  */
-export const rest = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+export const settlePendingCallbacks = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
--- a/packages/region/src/sim/world.ts
+++ b/packages/region/src/sim/world.ts
@@ -25,12 +25,12 @@
  * which they were scheduled, and the pending callbacks of each event run before the next event, so that the same
  * schedule gives the same run on every machine.
  */
-export class World {
+export class EventQueue {
   private readonly queue = new TinyQueue<ScheduledEvent>([], (a, b) => a.at - b.at || a.order - b.order);
   private scheduledCount = 0;
   private nowMs = 0;
   /** Number of events executed so far. */
-  played = 0;
+  executedCount = 0;
   /** Uncaught errors of event callbacks. Each is a defect of a model or of the service. */
   readonly defects: unknown[] = [];
 
@@ -40,7 +40,7 @@
   }
 
   /** Schedules a callback; a moment in the past counts as now. */
-  plan(atMs: number, callback: () => void): ScheduledEvent {
+  schedule(atMs: number, callback: () => void): ScheduledEvent {
     const event: ScheduledEvent = { at: Math.max(atMs, this.nowMs), order: this.scheduledCount++, callback };
     this.queue.push(event);
     return event;
@@ -60,7 +60,7 @@
         const pacing = options.moved?.(this.nowMs);
         if (pacing) await pacing;
       }
-      this.played += 1;
+      this.executedCount += 1;
       try {
         callback();
       } catch (error) {
--- a/packages/region/src/troubles.ts
+++ b/packages/region/src/troubles.ts
@@ -1,25 +1,25 @@
 /** Fault injection: starts and ends the faults that a day schedules. */
 
 import { isObject } from '../../../src/kernel/index.js';
-import type { Day, Trouble } from './day/index.js';
+import type { SimulationScenario, Fault } from './day/index.js';
 import type { Machine, WorkerModel } from './models/index.js';
 import type { Controller } from './controller.js';
 import type { RegionParts } from './parts.js';
-import type { Cut, CutKind, Host, Luck, Network, SimProcess, World } from './sim/index.js';
+import type { Partition, PartitionKind, Host, RandomStream, Network, SimProcess, EventQueue } from './sim/index.js';
 
 /** The fault of a given kind. */
-type FaultOf<K extends Trouble['kind']> = Extract<Trouble, { kind: K }>;
+type FaultOf<K extends Fault['kind']> = Extract<Fault, { kind: K }>;
 
 const isWorker = (host: Host): boolean => host.ip.startsWith('10.1.');
 const isController = (host: Host): boolean => host.ip.startsWith('10.0.');
 
 /** The region as fault injection sees it: everything that a fault can act on. */
 export interface FaultTarget {
-  readonly day: Day;
+  readonly day: SimulationScenario;
   readonly parts: RegionParts;
   readonly network: Network;
-  readonly world: World;
-  readonly rng: Luck;
+  readonly world: EventQueue;
+  readonly rng: RandomStream;
   readonly controllers: readonly Controller[];
   readonly leader: Controller | undefined;
   /** Appends a line to the event log. */
@@ -46,7 +46,7 @@
     worker.pause();
     region.workerProcessOf(worker.machine.id)?.freeze();
   }
-  world.plan(world.now + forS * 1000, () => {
+  world.schedule(world.now + forS * 1000, () => {
     for (const worker of hung) {
       if (!parts.workers.has(worker.machine.id)) continue;
       worker.resume();
@@ -63,7 +63,7 @@
 const ROLE_POLL_INTERVAL_MS = 50;
 
 /** The longest delay of duplicate reports in seconds when the day sets none: well over the duration of a lease. */
-export const defaultDuplicateDelayS = (day: Day): number => 1.7 * day.workers.lease_s;
+export const defaultDuplicateDelayS = (day: SimulationScenario): number => 1.7 * day.workers.lease_s;
 
 /** The leader and the holder of each shard with its incarnation, as a string that can be compared. */
 function currentRoles(region: FaultTarget): string {
@@ -89,7 +89,7 @@
   const duplicates = { share, lateMs: 0, keep };
   parts.duplicateReports = duplicates;
   const endAt = world.now + forS * 1000;
-  world.plan(endAt, () => {
+  world.schedule(endAt, () => {
     if (parts.duplicateReports === duplicates) parts.duplicateReports = null;
   });
   let roles = currentRoles(region);
@@ -98,10 +98,11 @@
     if (latest !== roles) {
       roles = latest;
       for (const body of held.splice(0)) {
-        world.plan(world.now + rng.between(0, 1500), () => parts.deliverReport(body));
+        world.schedule(world.now + rng.uniform(0, 1500), () => parts.deliverReport(body));
       }
     }
-    if (world.now < endAt + HELD_REPORT_RETENTION_S * 1000) world.plan(world.now + ROLE_POLL_INTERVAL_MS, pollRoles);
+    if (world.now < endAt + HELD_REPORT_RETENTION_S * 1000)
+      world.schedule(world.now + ROLE_POLL_INTERVAL_MS, pollRoles);
   };
   pollRoles();
 }
@@ -126,11 +127,11 @@
 /** Chooses machines at random, by count or else by share, from one zone if given. `all` holds the machines up. */
 export function chooseMachines(
   all: readonly Machine[],
-  rng: Luck,
+  rng: RandomStream,
   { count, share, zone }: MachineSelection,
 ): Machine[] {
   const candidates = all.filter((machine) => zone === undefined || machine.zone === zone);
-  return rng.some(candidates, count ?? Math.round(candidates.length * (share ?? 0)));
+  return rng.sample(candidates, count ?? Math.round(candidates.length * (share ?? 0)));
 }
 
 /** Chooses the machines that a fault affects, with a random stream for this moment. */
@@ -145,19 +146,19 @@
 }
 
 /** Starts a fault and schedules its end. */
-export function startFault(fault: Trouble, region: FaultTarget): void {
+export function startFault(fault: Fault, region: FaultTarget): void {
   const { day, parts, network, world } = region;
   region.logEvent(`trouble ${fault.kind}`);
   const scheduleEnd = (seconds: number, work: () => void): void => {
-    world.plan(world.now + seconds * 1000, () => {
+    world.schedule(world.now + seconds * 1000, () => {
       region.logEvent(`over ${fault.kind}`);
       work();
     });
   };
-  const cutFor = (seconds: number, kind: CutKind, between: Cut['between']): void => {
-    const cut: Cut = { kind, between };
-    network.cut(cut);
-    scheduleEnd(seconds, () => network.heal(cut));
+  const cutFor = (seconds: number, kind: PartitionKind, between: Partition['between']): void => {
+    const cut: Partition = { kind, between };
+    network.addPartition(cut);
+    scheduleEnd(seconds, () => network.removePartition(cut));
   };
   /** Applies a fault of the state service to some controllers only, until the fault is over. */
   const applyToControllers = (
@@ -178,11 +179,11 @@
 
   switch (fault.kind) {
     case 'burst':
-      parts.users.burst(fault.class, fault.times);
-      scheduleEnd(fault.for_s, () => parts.users.burst(fault.class, 1));
+      parts.users.setArrivalFactor(fault.class, fault.times);
+      scheduleEnd(fault.for_s, () => parts.users.setArrivalFactor(fault.class, 1));
       break;
     case 'machines_die':
-      for (const machine of selectMachines(region, fault)) parts.cloud.die(machine);
+      for (const machine of selectMachines(region, fault)) parts.cloud.failMachine(machine);
       break;
     case 'machines_hang': {
       hangWorkers(region, workersOf(selectMachines(region, fault)), fault.for_s);
@@ -217,8 +218,8 @@
     case 'spot_wave': {
       const spot = parts.cloud.up.filter((machine) => machine.spot);
       const rng = region.rng.fork(`wave ${region.world.now}`);
-      for (const machine of rng.some(spot, Math.round(spot.length * fault.share)))
-        parts.cloud.takeBack(machine, fault.notice);
+      for (const machine of rng.sample(spot, Math.round(spot.length * fault.share)))
+        parts.cloud.reclaim(machine, fault.notice);
       break;
     }
     case 'controller_crash':
@@ -247,14 +248,14 @@
       break;
     case 'rolling_restart':
       for (const [i, controller] of region.controllers.entries())
-        world.plan(world.now + i * fault.gap_s * 1000, () => region.crash(controller, day.controllers.restart_s));
+        world.schedule(world.now + i * fault.gap_s * 1000, () => region.crash(controller, day.controllers.restart_s));
       break;
     case 'rollout': {
       const order = fault.order ?? region.controllers.map((_, i) => i);
       for (const [i, number] of order.entries()) {
         const controller = region.controllers[number];
         if (!controller) continue;
-        world.plan(world.now + i * fault.gap_s * 1000, () =>
+        world.schedule(world.now + i * fault.gap_s * 1000, () =>
           region.replace(controller, fault.to, fault.down_s ?? day.controllers.restart_s, fault.leave),
         );
       }
@@ -270,58 +271,61 @@
     }
     case 'machines_deaf': {
       const chosen = workersOf(selectMachines(region, fault));
-      for (const worker of chosen) worker.deaf = true;
+      for (const worker of chosen) worker.dropsInbound = true;
       scheduleEnd(fault.for_s, () => {
-        for (const worker of chosen) worker.deaf = false;
+        for (const worker of chosen) worker.dropsInbound = false;
       });
       break;
     }
     case 'machines_mute': {
       const chosen = workersOf(selectMachines(region, fault));
-      for (const worker of chosen) worker.mute = true;
+      for (const worker of chosen) worker.dropsOutbound = true;
       scheduleEnd(fault.for_s, () => {
-        for (const worker of chosen) worker.mute = false;
+        for (const worker of chosen) worker.dropsOutbound = false;
       });
       break;
     }
     case 'commands_held': {
       const chosen = workersOf(selectMachines(region, fault));
-      for (const worker of chosen) worker.holdsCommands = true;
+      for (const worker of chosen) worker.delaysCommands = true;
       scheduleEnd(fault.for_s, () => {
-        for (const worker of chosen) worker.holdsCommands = false;
+        for (const worker of chosen) worker.delaysCommands = false;
       });
       break;
     }
     case 'cancel_now': {
-      const views = parts.users.close.cancelNow(fault.count, ({ spec }) => parts.machinesOf(spec.ref).length > 0);
+      const views = parts.users.close.cancelRunningJobs(
+        fault.count,
+        ({ spec }) => parts.machinesOf(spec.ref).length > 0,
+      );
       const { hang_s } = fault;
       if (hang_s === undefined) break;
       const machines = new Set(views.flatMap(({ job }) => parts.machinesOf(job.spec.ref)));
       // The jobs are cancelled within 200 ms. Spreading the hangs over 250 ms makes some machines hang before the
       // cancellation and some after it.
       for (const worker of [...machines].slice(0, MAX_HUNG_WORKERS))
-        world.plan(world.now + region.rng.between(0, 250), () => hangWorkers(region, [worker], hang_s));
+        world.schedule(world.now + region.rng.uniform(0, 250), () => hangWorkers(region, [worker], hang_s));
       break;
     }
     case 'cancel_at_end':
-      parts.users.close.habits.cancelsAtEnd = fault.share;
-      scheduleEnd(fault.for_s, () => (parts.users.close.habits.cancelsAtEnd = 0));
+      parts.users.close.behavior.cancelAtCompletionShare = fault.share;
+      scheduleEnd(fault.for_s, () => (parts.users.close.behavior.cancelAtCompletionShare = 0));
       break;
     case 'odd_requests':
-      parts.users.close.habits.odd = true;
-      scheduleEnd(fault.for_s, () => (parts.users.close.habits.odd = false));
+      parts.users.close.behavior.sendsUnusualRequests = true;
+      scheduleEnd(fault.for_s, () => (parts.users.close.behavior.sendsUnusualRequests = false));
       break;
     case 'close_looks':
-      parts.users.close.habits.looks = true;
-      scheduleEnd(fault.for_s, () => (parts.users.close.habits.looks = false));
+      parts.users.close.behavior.queriesAllNodes = true;
+      scheduleEnd(fault.for_s, () => (parts.users.close.behavior.queriesAllNodes = false));
       break;
     case 'answers_held':
-      parts.state.heldAnswers = fault.share;
-      scheduleEnd(fault.for_s, () => (parts.state.heldAnswers = 0));
+      parts.state.heldAnswerShare = fault.share;
+      scheduleEnd(fault.for_s, () => (parts.state.heldAnswerShare = 0));
       break;
     case 'boots_at_once':
-      parts.cloud.bootsAtOnce = true;
-      scheduleEnd(fault.for_s, () => (parts.cloud.bootsAtOnce = false));
+      parts.cloud.bootsFast = true;
+      scheduleEnd(fault.for_s, () => (parts.cloud.bootsFast = false));
       break;
     case 'reports_again': {
       if (fault.for_next === true) {
@@ -339,36 +343,36 @@
       for (const worker of workersOf(selectMachines(region, fault))) worker.restart(fault.down_s);
       break;
     case 'state_outage':
-      parts.state.outage(true);
-      scheduleEnd(fault.for_s, () => parts.state.outage(false));
+      parts.state.setOutage(true);
+      scheduleEnd(fault.for_s, () => parts.state.setOutage(false));
       break;
     case 'state_slow':
       parts.state.slowness = fault.times;
       scheduleEnd(fault.for_s, () => (parts.state.slowness = 1));
       break;
     case 'late_writes':
-      parts.state.lateWrites = fault.share;
-      parts.state.lateAtOnce = fault.at_once === true;
-      scheduleEnd(fault.for_s, () => (parts.state.lateWrites = 0));
+      parts.state.lateWriteShare = fault.share;
+      parts.state.appliesLateWritesAtOnce = fault.at_once === true;
+      scheduleEnd(fault.for_s, () => (parts.state.lateWriteShare = 0));
       break;
     case 'watch_forgets':
       parts.state.forget();
       break;
     case 'cloud_outage':
-      parts.cloud.outage(true);
-      scheduleEnd(fault.for_s, () => parts.cloud.outage(false));
+      parts.cloud.setOutage(true);
+      scheduleEnd(fault.for_s, () => parts.cloud.setOutage(false));
       break;
     case 'capacity_drop':
       parts.cloud.capacityShare = 1 - fault.share;
       scheduleEnd(fault.for_s, () => (parts.cloud.capacityShare = 1));
       break;
     case 'boots_late':
-      parts.cloud.bootFactor = fault.times;
-      scheduleEnd(fault.for_s, () => (parts.cloud.bootFactor = 1));
+      parts.cloud.bootTimeFactor = fault.times;
+      scheduleEnd(fault.for_s, () => (parts.cloud.bootTimeFactor = 1));
       break;
     case 'boots_never':
-      parts.cloud.neverShare = fault.share;
-      scheduleEnd(fault.for_s, () => (parts.cloud.neverShare = 0));
+      parts.cloud.neverBootShare = fault.share;
+      scheduleEnd(fault.for_s, () => (parts.cloud.neverBootShare = 0));
       break;
     case 'zone_cut':
       cutFor(fault.for_s, fault.manner, (a, b) => a.zone === fault.zone && b.zone !== fault.zone);
--- a/packages/region/test/adopted.test.ts
+++ b/packages/region/test/adopted.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Region, type Day } from '../src/index.js';
+import { Region, type SimulationScenario } from '../src/index.js';
 import { shortDay } from './days.js';
 
 test('after a restart of all controllers, runs that the new holders find in progress make no machine count as slow', async () => {
   // Guards against timing such a run from when the new holder first saw it: the run then seems short, and every later
   // run on the machine seems slow.
   const base = shortDay(140, [{ kind: 'controller_crash', at_s: 40, controller: 'all' }]);
-  const day: Day = {
+  const day: SimulationScenario = {
     ...base,
     // Long queues of equal tasks, so that most machines run such tasks before, during and after the restart.
     classes: base.classes
--- a/packages/region/test/blocks.test.ts
+++ b/packages/region/test/blocks.test.ts
@@ -3,7 +3,7 @@
 import { decodeShard, encodeShard } from '../../../src/membership/index.js';
 import { shardKey } from '../../../src/state/index.js';
 import { shardName } from '../../../src/kernel/index.js';
-import type { Day, DayResult, Region, Trouble } from '../src/index.js';
+import type { SimulationScenario, DayResult, Region, Fault } from '../src/index.js';
 import { playWithActions, shippedDay, type TimedAction } from './days.js';
 
 /** The last release in which the shard record does not guard the block pages. */
@@ -15,7 +15,7 @@
   readonly countLogged: (text: string) => number;
 }
 
-async function playDayWith(day: Day, actions: readonly TimedAction[] = []): Promise<PlayedDay> {
+async function playDayWith(day: SimulationScenario, actions: readonly TimedAction[] = []): Promise<PlayedDay> {
   const logs: string[] = [];
   const controllerLog = { level: 'info', write: (line: string) => logs.push(line) };
   const region = await playWithActions({ day, controllerLog }, actions);
@@ -44,7 +44,7 @@
 /** Removes every second machine from the shard records, as a process with an outdated record would. */
 function removeMachines(region: Region): void {
   const { state } = region.parts;
-  for (const { seat: spec } of region.controllers) {
+  for (const { spec: spec } of region.controllers) {
     const key = shardKey(shardName(spec.name));
     const value = decodeShard(state.get(key));
     if (!value || value.epoch !== null) continue;
@@ -62,7 +62,7 @@
 });
 
 /** The same day with controllers that start as these releases. */
-const withReleases = (day: Day, releases: readonly string[]): Day => ({
+const withReleases = (day: SimulationScenario, releases: readonly string[]): SimulationScenario => ({
   ...day,
   controllers: { ...day.controllers, releases: [...releases] },
 });
@@ -77,7 +77,7 @@
 });
 
 /** A rollout to a release, from `at_s` on, without asking controllers to leave. */
-const rolloutTo = (to: string, at_s: number): Trouble => ({ kind: 'rollout', at_s, gap_s: 6, to, leave: false });
+const rolloutTo = (to: string, at_s: number): Fault => ({ kind: 'rollout', at_s, gap_s: 6, to, leave: false });
 
 test('limits drop after a rollout from the previous release or production to this one, and after a rollback', async () => {
   const { troubles, ...limits } = shippedDay('limits');
--- a/packages/region/test/day.test.ts
+++ b/packages/region/test/day.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { DayError, readDay } from '../src/index.js';
-import { drawSchedule, shrink, writeDay } from '../src/hunt/index.js';
+import { ScenarioError, parseScenario } from '../src/index.js';
+import { drawFaultSchedule, shrink, formatScenario } from '../src/hunt/index.js';
 import { dayText, shippedDay, shortDay } from './days.js';
 
 test('errors in a scenario name the file, the line and the field', () => {
@@ -28,9 +28,9 @@
     const toml = quiet.replace(from, to);
     assert.notEqual(toml, quiet, from);
     assert.throws(
-      () => readDay(toml, 'mine.toml'),
+      () => parseScenario(toml, 'mine.toml'),
       (error: unknown) => {
-        assert.ok(error instanceof DayError, String(error));
+        assert.ok(error instanceof ScenarioError, String(error));
         const [, line, rest] = /^mine\.toml:(\d+): (.*)$/.exec(error.message) ?? [];
         assert.match(rest ?? error.message, pattern);
         if (at !== '[[classes]]') assert.equal(Number(line), lineOf(at, toml), error.message);
@@ -38,21 +38,21 @@
       },
     );
   }
-  assert.throws(() => readDay('name = ', 'mine.toml'), /^DayError|mine\.toml:1: /);
+  assert.throws(() => parseScenario('name = ', 'mine.toml'), /^DayError|mine\.toml:1: /);
   const late = `${quiet}\n[[troubles]]\nkind = "state_outage"\nat_s = 700.0\nfor_s = 5.0\n`;
-  assert.throws(() => readDay(late, 'm'), /troubles\.0\.at_s: starts after the end of the scenario/);
+  assert.throws(() => parseScenario(late, 'm'), /troubles\.0\.at_s: starts after the end of the scenario/);
   const both = `${quiet}\n[[troubles]]\nkind = "machines_die"\nat_s = 7.0\n`;
-  assert.throws(() => readDay(both, 'm'), /either a count or a share/);
+  assert.throws(() => parseScenario(both, 'm'), /either a count or a share/);
   const unknownController = `${quiet}\n[[troubles]]\nkind = "controller_pause"\nat_s = 7.0\nfor_s = 2.0\ncontroller = 3\n`;
   assert.throws(
-    () => readDay(unknownController, 'm'),
+    () => parseScenario(unknownController, 'm'),
     /troubles\.0\.controller: there are 3 controllers, numbered from 0/,
   );
 });
 
 test("the operators' names of faults are accepted; shares above 1, missing and contradicting fields are reported", () => {
   const day = (trouble: string): string => `${dayText('quiet')}\n[[troubles]]\nat_s = 7.0\n${trouble}\n`;
-  const kindOf = (trouble: string): string | undefined => readDay(day(trouble), 'm').troubles[0]?.kind;
+  const kindOf = (trouble: string): string | undefined => parseScenario(day(trouble), 'm').troubles[0]?.kind;
   assert.equal(kindOf('kind = "machine_mute"\nfor_s = 3.0\nshare = 0.2'), 'machines_mute');
   assert.equal(kindOf('kind = "machine_deaf"\nfor_s = 3.0\ncount = 2'), 'machines_deaf');
   assert.equal(kindOf('kind = "late_reports"\nfor_s = 3.0\nshare = 0.2\nfor_next = true'), 'reports_again');
@@ -67,7 +67,7 @@
     ],
     ['kind = "close_look"\nfor_s = 3.0', /troubles\.0\.kind: /],
   ];
-  for (const [trouble, pattern] of wrong) assert.throws(() => readDay(day(trouble), 'm'), pattern);
+  for (const [trouble, pattern] of wrong) assert.throws(() => parseScenario(day(trouble), 'm'), pattern);
 });
 
 test('the shipped scenarios are valid, and every drawn schedule survives formatting and parsing unchanged', () => {
@@ -75,17 +75,17 @@
   const base = shortDay(300, []);
   fc.assert(
     fc.property(fc.integer({ min: 0, max: 2 ** 30 }), (seed) => {
-      const day = { ...base, seed, troubles: drawSchedule(seed, base) };
+      const day = { ...base, seed, troubles: drawFaultSchedule(seed, base) };
       assert.ok(day.troubles.length > 0);
-      assert.deepEqual(readDay(writeDay(day), 'drawn'), day);
+      assert.deepEqual(parseScenario(formatScenario(day), 'drawn'), day);
     }),
     { seed: 3, numRuns: 300 },
   );
 });
 
 test('shrinking leaves exactly the faults that fail together', async () => {
-  const { troubles } = { troubles: drawSchedule(5, shortDay(300, [])) };
-  const many = [...troubles, ...drawSchedule(6, shortDay(300, [])), ...drawSchedule(9, shortDay(300, []))];
+  const { troubles } = { troubles: drawFaultSchedule(5, shortDay(300, [])) };
+  const many = [...troubles, ...drawFaultSchedule(6, shortDay(300, [])), ...drawFaultSchedule(9, shortDay(300, []))];
   assert.ok(many.length >= 8);
   const needed = [many[1], many[many.length - 2]];
   let runs = 0;
--- a/packages/region/test/days.ts
+++ b/packages/region/test/days.ts
@@ -1,16 +1,23 @@
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { readDay, Region, type Day, type DayResult, type RegionOptions, type Trouble } from '../src/index.js';
+import {
+  parseScenario,
+  Region,
+  type SimulationScenario,
+  type DayResult,
+  type RegionOptions,
+  type Fault,
+} from '../src/index.js';
 
 /** Reads the TOML text of a day in packages/region/days. */
 export const dayText = (name: string): string =>
   readFileSync(join(process.cwd(), 'packages/region/days', `${name}.toml`), 'utf8');
 
 /** Reads and validates a day in packages/region/days. */
-export const shippedDay = (name: string): Day => readDay(dayText(name), `${name}.toml`);
+export const shippedDay = (name: string): SimulationScenario => parseScenario(dayText(name), `${name}.toml`);
 
 /** The fleet and job classes of the day `quiet`, with another duration and these faults. */
-export const shortDay = (durationS: number, troubles: readonly Trouble[], seed = 7): Day => ({
+export const shortDay = (durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario => ({
   ...shippedDay('quiet'),
   name: 'short',
   seed,
@@ -20,7 +27,7 @@
 });
 
 /** A day on which four one-task jobs arrive per second, a quarter of which are cancelled, and little else. */
-export const swarmDay = (durationS: number, troubles: readonly Trouble[], seed = 7): Day => {
+export const highArrivalRateDay = (durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario => {
   const day = shortDay(durationS, troubles, seed);
   const oneTask = { sizes: [1], weights: [1] };
   const arrivals = { per_minute: 240, cancel_share: 0.25, cancel_within_s: 12 };
@@ -35,7 +42,7 @@
 };
 
 /** A night in which every controller is cut off from all hosts for 70 s; packets are held and delivered afterwards. */
-export const cutOffNight = (seed: number): Day => ({
+export const isolatedControllersNight = (seed: number): SimulationScenario => ({
   ...shippedDay('night'),
   seed,
   duration_s: 125,
@@ -44,7 +51,7 @@
 });
 
 /** Simulates a whole day and returns its result. */
-export async function played(day: Day, options: Omit<RegionOptions, 'day'> = {}): Promise<DayResult> {
+export async function playDay(day: SimulationScenario, options: Omit<RegionOptions, 'day'> = {}): Promise<DayResult> {
   const region = new Region({ day, ...options });
   await region.play();
   return region.close();
--- a/packages/region/test/limits.test.ts
+++ b/packages/region/test/limits.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { isObject } from '../../../src/kernel/index.js';
 import { decodeShard } from '../../../src/membership/index.js';
-import { Region, type Day } from '../src/index.js';
+import { Region, type SimulationScenario } from '../src/index.js';
 import { hangWorkers } from '../src/troubles.js';
 import { shortDay } from './days.js';
 
@@ -12,7 +12,7 @@
 const STEP_MS = 0.1;
 
 /** A day on which one team is always at its limit: its long array jobs need far more than it may use, little else runs. */
-const saturatedDay = (seed: number): Day => {
+const saturatedDay = (seed: number): SimulationScenario => {
   const day = shortDay(130, [], seed);
   return {
     ...day,
@@ -70,15 +70,18 @@
   });
   await region.play(55);
   const heldBefore = holderOf(region);
-  const oldHolder = region.controllers.find(({ seat: spec }) => spec.name === heldBefore?.holder);
+  const oldHolder = region.controllers.find(({ spec: spec }) => spec.name === heldBefore?.holder);
   assert.ok(heldBefore && oldHolder);
   region.crash(oldHolder, 40);
   await region.play(56.5);
-  const cancelled = region.parts.users.close.cancelNow(12, ({ spec }) => region.parts.machinesOf(spec.ref).length > 0);
+  const cancelled = region.parts.users.close.cancelRunningJobs(
+    12,
+    ({ spec }) => region.parts.machinesOf(spec.ref).length > 0,
+  );
   assert.ok(cancelled.length >= 3);
   const pending = new Set(cancelled.flatMap(({ job }) => region.parts.machinesOf(job.spec.ref)));
   const tokens = new Map([...pending].map((worker) => [worker, worker.highestToken]));
-  for (const worker of pending) [worker.mute, worker.refusedRaise] = [true, true];
+  for (const worker of pending) [worker.dropsOutbound, worker.raisesTokenOnRefusal] = [true, true];
   let hung = 0;
   while (pending.size > 0 && region.now < 62_000) {
     await region.play((region.now + STEP_MS) / 1000);
@@ -86,10 +89,10 @@
       if (worker.highestToken === tokens.get(worker)) continue;
       pending.delete(worker);
       hung += 1;
-      region.world.plan(region.now + RESPONSE_SENT_MS, () => hangWorkers(region, [worker], 16));
+      region.world.schedule(region.now + RESPONSE_SENT_MS, () => hangWorkers(region, [worker], 16));
     }
   }
-  for (const worker of tokens.keys()) worker.mute = false;
+  for (const worker of tokens.keys()) worker.dropsOutbound = false;
   await region.play();
   const { breaches, defects, classes } = region.close();
   assert.deepEqual(defects, []);
--- a/packages/region/test/meetings.test.ts
+++ b/packages/region/test/meetings.test.ts
@@ -3,10 +3,17 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { drawCombination, MEETINGS, playMeetings } from '../src/hunt/index.js';
-import { onCancelled } from '../src/measure/index.js';
-import { Luck, Region, Releases, type Day, type DayResult, type Trouble } from '../src/index.js';
-import { played, shippedDay, shortDay, swarmDay } from './days.js';
+import { drawCombination, FAULT_COMBINATIONS, runCombinations } from '../src/hunt/index.js';
+import { onCancelConfirmed } from '../src/measure/index.js';
+import {
+  RandomStream,
+  Region,
+  ReleaseCatalog,
+  type SimulationScenario,
+  type DayResult,
+  type Fault,
+} from '../src/index.js';
+import { playDay, shippedDay, shortDay, highArrivalRateDay } from './days.js';
 
 /** A completed run. The combinations of faults are those of docs/meetings.md: together they violated rules, each alone did not. */
 interface CompletedRun {
@@ -14,7 +21,7 @@
   readonly logs: readonly { readonly msg: string; readonly time: number; readonly node: string }[];
 }
 
-async function runWithRelease(day: Day, release = 'this'): Promise<CompletedRun> {
+async function runWithRelease(day: SimulationScenario, release = 'this'): Promise<CompletedRun> {
   const logs: string[] = [];
   const releases = Array.from({ length: day.controllers.count }, () => release);
   const region = new Region({
@@ -25,7 +32,7 @@
   return { result: region.close(), logs: logs.map((line) => JSON.parse(line) as CompletedRun['logs'][number]) };
 }
 
-async function runWithoutViolation(day: Day): Promise<CompletedRun> {
+async function runWithoutViolation(day: SimulationScenario): Promise<CompletedRun> {
   const played = await runWithRelease(day);
   assert.deepEqual([played.result.breaches, played.result.defects], [[], []]);
   assert.ok(played.result.classes.some(({ tasksStarted }) => tasksStarted > 10));
@@ -33,7 +40,7 @@
 }
 
 /** A short scenario with many long arrays, most of which are cancelled within a minute. */
-const withManyCancellations = (troubles: readonly Trouble[], seed: number, durationS = 190): Day => {
+const withManyCancellations = (troubles: readonly Fault[], seed: number, durationS = 190): SimulationScenario => {
   const day = shortDay(durationS, troubles, seed);
   return {
     ...day,
@@ -55,7 +62,7 @@
   controller: ControllerSelector,
   refusedS: number,
   outageS: number,
-): Trouble[] => [
+): Fault[] => [
   { kind: 'controller_refused', at_s, for_s: refusedS + 12, controller },
   { kind: 'state_outage', at_s: at_s + refusedS, for_s: outageS },
 ];
@@ -79,7 +86,7 @@
   assert.deepEqual([...new Set(result.breaches.map(({ rule }) => rule))], ['ran_cancelled']);
 });
 
-const rollout = (to: string, at_s: number, order: number[], leave = false): Trouble => ({
+const rollout = (to: string, at_s: number, order: number[], leave = false): Fault => ({
   ...{ kind: 'rollout', at_s, gap_s: 12, to, order, leave },
 });
 
@@ -110,10 +117,10 @@
 });
 
 /** Number of cancellations that users were told of between two moments, given in seconds. */
-async function countCancelReports(day: Day, fromS: number, toS: number): Promise<number> {
+async function countCancelReports(day: SimulationScenario, fromS: number, toS: number): Promise<number> {
   const region = new Region({ day });
   let told = 0;
-  onCancelled(region, (_ref, _askedAt, at) => {
+  onCancelConfirmed(region, (_ref, _askedAt, at) => {
     if (at > fromS * 1000 && at < toS * 1000) told += 1;
   });
   await region.play();
@@ -138,7 +145,7 @@
   );
   assert.deepEqual(logLines(outage, 'is heard'), []);
   assert.deepEqual(logLines(outage, 'are heard'), []);
-  const cut: Trouble = {
+  const cut: Fault = {
     ...{ kind: 'controller_cut', at_s: 50, for_s: 75, controller: 1 },
     ...{ from: 'state and controllers', manner: 'hold' },
   };
@@ -158,7 +165,7 @@
 
 test('users of a controller that reaches neither the state service nor its peers are served by others before they count as forgotten', async () => {
   // Longer than the 90 s after which a job counts as forgotten while other polls are answered.
-  const isolated: Trouble = {
+  const isolated: Fault = {
     ...{ kind: 'controller_cut', at_s: 45, for_s: 110, controller: 2 },
     ...{ from: 'state and controllers', manner: 'hold' },
   };
@@ -166,16 +173,16 @@
 });
 
 test('each fault combination of docs/meetings.md alone violates no rule', async () => {
-  for (const [i, [name, draw]] of Object.entries(MEETINGS).entries()) {
+  for (const [i, [name, draw]] of Object.entries(FAULT_COMBINATIONS).entries()) {
     const base = shortDay(150, [], 40 + i);
-    const troubles = [...draw(new Luck(40 + i, name), 50, base)].sort((a, b) => a.at_s - b.at_s);
+    const troubles = [...draw(new RandomStream(40 + i, name), 50, base)].sort((a, b) => a.at_s - b.at_s);
     await runWithoutViolation(withManyCancellations(troubles, 40 + i, 150));
   }
 });
 
 test('drawn pairs of fault combinations violate no rule', async () => {
   for (let seed = 1; seed <= 6; seed++) {
-    const { breaches, defects } = await played(drawCombination(seed, shippedDay('quiet')).day);
+    const { breaches, defects } = await playDay(drawCombination(seed, shippedDay('quiet')).day);
     assert.deepEqual([breaches, defects], [[], []], String(seed));
   }
 });
@@ -184,10 +191,10 @@
   const list = join(mkdtempSync(join(tmpdir(), 'meetings-')), 'list.jsonl');
   const told: string[] = [];
   const run = (from: number): Promise<boolean> =>
-    playMeetings(
+    runCombinations(
       shippedDay('quiet'),
       { from, count: 2, as: 'this', list },
-      new Releases('packages/region/frozen'),
+      new ReleaseCatalog('packages/region/frozen'),
       (line) => told.push(line),
     );
   const line = (seed: number, broken: string[]): string => JSON.stringify({ seed, as: 'this', broken, names: [] });
@@ -202,7 +209,7 @@
 });
 
 /** Times from submission to acceptance of a job in milliseconds, sorted in ascending order. */
-async function acceptanceDelaysMs(day: Day): Promise<number[]> {
+async function acceptanceDelaysMs(day: SimulationScenario): Promise<number[]> {
   const region = new Region({ day });
   await region.play();
   const { breaches, defects } = region.close();
@@ -212,21 +219,24 @@
 }
 
 test('four one-task jobs a second, a quarter cancelled, at 20 writes a second: jobs are accepted quickly, and a leader may crash', async () => {
-  const withLowWriteRate = (day: Day): Day => ({ ...day, state: { ...day.state, write_rps: 20 } });
+  const withLowWriteRate = (day: SimulationScenario): SimulationScenario => ({
+    ...day,
+    state: { ...day.state, write_rps: 20 },
+  });
   for (const seed of [7, 8]) {
-    const delaysMs = await acceptanceDelaysMs(withLowWriteRate(swarmDay(120, [], seed)));
+    const delaysMs = await acceptanceDelaysMs(withLowWriteRate(highArrivalRateDay(120, [], seed)));
     assert.ok(delaysMs.length > 350, String(delaysMs.length));
     // It was 1.5 s when most jobs went to one shard, whose holder makes two writes for each job that ends.
     const p95Ms = delaysMs[Math.floor(delaysMs.length * 0.95)] ?? Infinity;
     assert.ok(p95Ms < 300, `${p95Ms} ms`);
   }
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     { kind: 'close_looks', at_s: 20, for_s: 70 },
     { kind: 'controller_crash', at_s: 45, controller: 'leader', down_s: 8 },
     { kind: 'late_writes', at_s: 60, for_s: 20, share: 0.1, at_once: true },
     { kind: 'cancel_at_end', at_s: 20, for_s: 90, share: 0.2 },
   ];
-  await acceptanceDelaysMs(withLowWriteRate(swarmDay(120, troubles, 9)));
+  await acceptanceDelaysMs(withLowWriteRate(highArrivalRateDay(120, troubles, 9)));
 });
 
 test('further fault combinations during a rollout, from the previous release and from production, and during a rollback', async () => {
@@ -245,7 +255,7 @@
         const base = shortDay(160, [], seed);
         const troubles = [
           rollout(to, 42, [0, 1, 2], j === 1),
-          ...(MEETINGS[name]?.(new Luck(seed, name), 60, base) ?? []),
+          ...(FAULT_COMBINATIONS[name]?.(new RandomStream(seed, name), 60, base) ?? []),
         ];
         const day = withManyCancellations(
           troubles.sort((a, b) => a.at_s - b.at_s),
@@ -253,7 +263,7 @@
           160,
         );
         const releases = base.controllers.count;
-        const { breaches, defects } = await played({
+        const { breaches, defects } = await playDay({
           ...day,
           controllers: { ...day.controllers, releases: Array.from({ length: releases }, () => from) },
         });
--- a/packages/region/test/models.test.ts
+++ b/packages/region/test/models.test.ts
@@ -4,31 +4,31 @@
 import {
   Balancer,
   CloudModel,
-  GangBook,
+  GangCoordinator,
   ImageCache,
-  JobBook,
-  JobTruth,
+  SimulatedJobs,
+  SimulatedJob,
   WorkerModel,
   type CloudConfig,
   type GangMember,
   type Machine,
-  type StateFacts,
+  type StateServiceConfig,
   type Submission,
 } from '../src/index.js';
-import { Lab } from './lab.js';
+import { SimulationHarness } from './lab.js';
 
 type Json = Record<string, unknown>;
 const fields = (value: unknown): Json => (isObject(value) ? value : {});
 
 // ---- the state service
 
-function stateService(limits: Partial<StateFacts> = {}) {
-  const lab = new Lab();
+function stateService(limits: Partial<StateServiceConfig> = {}) {
+  const lab = new SimulationHarness();
   const { model, at } = lab.state(limits);
   const node = lab.process('10.0.0.1');
   const other = lab.process('10.0.0.2');
   const ask = async (method: 'GET' | 'POST' | 'DELETE', path: string, body?: unknown, from = node) => {
-    const answer = await lab.ask(from, at, { method, path, ...(body === undefined ? {} : { body }) }, 70_000);
+    const answer = await lab.request(from, at, { method, path, ...(body === undefined ? {} : { body }) }, 70_000);
     assert.ok(answer.kind === 'answered', JSON.stringify(answer));
     return { status: answer.status, body: fields(answer.body) };
   };
@@ -61,17 +61,17 @@
   const { lab, model, ask, txn } = stateService();
   const { mooring } = (await ask('POST', '/leases', { life_ms: 2000 })).body;
   await txn([{ write: 'node', value: 1, mooring }]);
-  await lab.pass(1500);
+  await lab.advance(1500);
   assert.equal((await ask('POST', `/leases/${String(mooring)}/extend`)).status, 200);
-  await lab.pass(1900);
+  await lab.advance(1900);
   assert.equal(model.get('node'), 1);
-  model.outage(true);
-  await lab.pass(60_000);
+  model.setOutage(true);
+  await lab.advance(60_000);
   assert.equal((await ask('GET', '/store/node')).status, 503);
-  model.outage(false);
-  await lab.pass(1900);
+  model.setOutage(false);
+  await lab.advance(1900);
   assert.equal(model.get('node'), 1);
-  await lab.pass(250);
+  await lab.advance(250);
   assert.equal(model.get('node'), undefined);
   assert.equal((await ask('POST', `/leases/${String(mooring)}/extend`)).status, 404);
   const again = (await ask('POST', '/leases', { life_ms: 60_000 })).body['mooring'];
@@ -94,11 +94,11 @@
   assert.equal((await ask('GET', '/store/c/1', undefined, other)).status, 200, 'only one node is refused');
   model.refuse(node.host.ip, false);
   const waiting = ask('GET', `/follow?under=c/&after=${String(epoch)}&wait_ms=10000`);
-  await lab.pass(100);
+  await lab.advance(100);
   model.refuse(node.host.ip, true);
   model.put('d/1', 0);
   model.put('c/2', 2);
-  await lab.pass(3000);
+  await lab.advance(3000);
   model.refuse(node.host.ip, false);
   const { log } = (await waiting).body;
   assert.deepEqual(
@@ -115,7 +115,7 @@
   for (let i = 0; i < 8; i++) statuses.push((await txn([{ write: 'k', value: i }], [{ path: 'k', stamp: 77 }])).status);
   assert.deepEqual(statuses.slice(0, 5), [409, 409, 409, 409, 409]);
   assert.ok(statuses.includes(429));
-  await lab.pass(1000);
+  await lab.advance(1000);
   assert.equal((await txn([{ write: 'k', value: 1 }])).status, 200);
 });
 
@@ -127,16 +127,16 @@
 };
 
 function cloud(overrides: Partial<CloudConfig> = {}) {
-  const lab = new Lab(3);
+  const lab = new SimulationHarness(3);
   const at = { host: '10.2.0.2', port: 8443 };
   const [up, gone]: [string[], string[]] = [[], []];
   const model = new CloudModel(
     lab.process(at.host),
-    lab.luck,
+    lab.rng,
     {
       ...{ rps: 100, latencyMs: 50, listLagS: 5, types: [type] },
       capacity: [{ type: 'm', zone: 'a', ordinary: 3, spot: 2 }],
-      spot: { perHour: 0, noticeS: 20, silentShare: 0 },
+      spot: { reclaimsPerHour: 0, noticeS: 20, noNoticeShare: 0 },
       ...overrides,
     },
     { up: (m) => up.push(m.id), gone: (m) => gone.push(m.id) },
@@ -144,7 +144,7 @@
   model.listen(at, lab.log);
   const node = lab.process('10.0.0.1');
   const ask = async (method: 'GET' | 'POST', path: string, body?: unknown) => {
-    const answer = await lab.ask(node, at, { method, path, ...(body === undefined ? {} : { body }) });
+    const answer = await lab.request(node, at, { method, path, ...(body === undefined ? {} : { body }) });
     assert.ok(answer.kind === 'answered');
     return { status: answer.status, body: fields(answer.body) };
   };
@@ -164,7 +164,7 @@
   const refused = await rent('r-3', 1);
   assert.deepEqual([refused.status, refused.body['error']], [503, 'no capacity']);
   assert.equal((await rent('r-4', 1, true)).status, 200, 'spot capacity is separate');
-  await lab.pass(61_000);
+  await lab.advance(61_000);
   assert.equal(up.length, 4);
   const returned = await ask('POST', '/rentals/return', { drifters: [...(first.body['drifters'] as []), 'host-none'] });
   assert.equal(returned.status, 200);
@@ -176,12 +176,12 @@
   const { lab, ask, rent, listedIds } = cloud();
   const [id] = (await rent('r-1', 1)).body['drifters'] as string[];
   assert.deepEqual(await listedIds(), []);
-  await lab.pass(11_000);
+  await lab.advance(11_000);
   assert.deepEqual(await listedIds(), [id]);
   for (let i = 0; i < 40; i++) assert.deepEqual(await listedIds(), [id]);
   await ask('POST', '/rentals/return', { drifters: [id] });
   assert.deepEqual(await listedIds(), [id], 'still listed after it is gone');
-  await lab.pass(11_000);
+  await lab.advance(11_000);
   assert.deepEqual(await listedIds(), []);
 });
 
@@ -189,23 +189,23 @@
   const { lab, model, ask, rent, gone } = cloud();
   const [id] = (await rent('r-1', 1)).body['drifters'] as string[];
   await ask('POST', '/rentals/return', { drifters: [id] });
-  assert.ok(Math.abs(model.settle() - 3.6 / 60) < 1e-9, 'a minute of the hourly price');
-  model.begin('m', 'a', false, 1);
-  model.begin('m', 'a', true, 1);
+  assert.ok(Math.abs(model.billAll() - 3.6 / 60) < 1e-9, 'a minute of the hourly price');
+  model.addInitialMachines('m', 'a', false, 1);
+  model.addInitialMachines('m', 'a', true, 1);
   const [ordinary, spot] = model.up;
   assert.ok(ordinary && spot);
-  await lab.pass(100_000);
-  model.die(ordinary);
-  const spent = model.settle();
-  model.takeBack(spot, true);
-  await lab.pass(9000);
+  await lab.advance(100_000);
+  model.failMachine(ordinary);
+  const spent = model.billAll();
+  model.reclaim(spot, true);
+  await lab.advance(9000);
   assert.deepEqual(gone, [ordinary.id]);
   const phase = async (): Promise<unknown> =>
     ((await ask('GET', '/rentals')).body['drifters'] as Json[]).find((d) => d['ref'] === ordinary.id)?.['phase'];
   assert.equal(await phase(), 'running', 'still listed as running for a while');
-  await lab.pass(35_000);
+  await lab.advance(35_000);
   assert.deepEqual(gone, [ordinary.id, spot.id]);
-  const after = model.settle() - spent;
+  const after = model.billAll() - spent;
   assert.ok(after < (0.9 * 1.34 * 45) / 3600, `the spot machine cost ${after} after its notice`);
   assert.equal(await phase(), 'failed');
 });
@@ -215,8 +215,8 @@
   const statuses = [];
   for (let i = 0; i < 4; i++) statuses.push((await ask('GET', '/machine_types')).status);
   assert.deepEqual(statuses, [200, 200, 429, 429]);
-  model.outage(true);
-  await lab.pass(3000);
+  model.setOutage(true);
+  await lab.advance(3000);
   assert.equal((await ask('GET', '/machine_types')).status, 503);
 });
 
@@ -239,18 +239,18 @@
 });
 
 function worker(specs: Submission[], runS = 10) {
-  const lab = new Lab(5);
+  const lab = new SimulationHarness(5);
   const at = { host: '10.1.0.0', port: 9000 };
   const process = lab.process(at.host);
   const watchdog = lab.process('10.1.0.0 ');
-  const jobs = new JobBook();
-  for (const spec of specs) jobs.add(new JobTruth(spec, () => runS, false));
+  const jobs = new SimulatedJobs();
+  for (const spec of specs) jobs.add(new SimulatedJob(spec, () => runS, false));
   const seen: string[] = [];
   const machine = { id: 'host-1', type, zone: 'a', spot: false, address: '' } as Machine;
   const model = new WorkerModel(machine, {
-    ...{ runtime: process, watchdog, luck: lab.luck, log: lab.log, controllers: [], jobs },
+    ...{ runtime: process, watchdog, luck: lab.rng, log: lab.log, controllers: [], jobs },
     facts: { reportS: 3, leaseS: 20, gangWaitS: 30, gangPeerS: 5, cancelS: 40 },
-    gangs: new GangBook(lab.process('10.9.0.0'), lab.luck, { waitS: 30, peerS: 5 }),
+    gangs: new GangCoordinator(lab.process('10.9.0.0'), lab.rng, { waitS: 30, peerS: 5 }),
     watch: {
       entered: (_m, { spec }, index, attempt) => seen.push(`on ${spec.ref}/${index} ${attempt}`),
       running: () => undefined,
@@ -262,7 +262,7 @@
   model.start('10.1.0.0:9000');
   const node = lab.process('10.0.0.1');
   const send = async (helm: number, orders: unknown[], tide = 1) => {
-    const answer = await lab.ask(node, at, { method: 'POST', path: '/commands', body: { helm, tide, orders } });
+    const answer = await lab.request(node, at, { method: 'POST', path: '/commands', body: { helm, tide, orders } });
     assert.ok(answer.kind === 'answered');
     const body = fields(answer.body);
     const pieces = ((body['pieces'] ?? []) as Json[]).map((p) => `${String(p['piece'])} ${String(p['phase'])}`);
@@ -282,7 +282,7 @@
   const low = await send(5, []);
   assert.equal(low.body['helm'], 5, 'a refused command does not raise the token');
   assert.deepEqual(low.pieces, ['j-1/0 running']);
-  await lab.pass(21_000);
+  await lab.advance(21_000);
   const next = await send(5, [start('j-1/1', 1)], 2);
   assert.deepEqual([next.status, next.body['tide'], next.pieces], [200, 2, ['j-1/1 running']], 'the next session');
   assert.deepEqual(seen.slice(0, 2), ['on j-1/0 1', 'off j-1/0 1 done']);
@@ -301,12 +301,12 @@
     ['j-9/0', 'no_such'],
     ['j-1/7', 'no_such'],
   ]);
-  await lab.pass(12_000);
+  await lab.advance(12_000);
   assert.ok(seen.includes('off j-1/0 1 done'));
   await send(1, [start('j-1/0', 1)]);
   assert.equal(seen.length, 2, 'an exited attempt is not started again');
   await send(1, [forget('j-1/0', 1), start('j-1/0', 1)]);
-  await lab.pass(100);
+  await lab.advance(100);
   assert.deepEqual(seen.slice(2), ['on j-1/0 1', 'off j-1/0 1 done'], 'its result was stored');
 });
 
@@ -314,39 +314,39 @@
   const { lab, jobs, send, start, stop } = worker([job({ ref: 'j-1', mark_every_s: 4, mark_cost_s: 2 })]);
   const saved = (): number => jobs.get('j-1')?.saved.get(0) ?? 0;
   await send(1, [start('j-1/0', 1)]);
-  await lab.pass(6000);
+  await lab.advance(6000);
   const flushing = await send(1, [stop('j-1/0', 1, 3)]);
   assert.deepEqual(flushing.pieces, ['j-1/0 flushing']);
-  await lab.pass(2100);
+  await lab.advance(2100);
   assert.ok(saved() > 5 && saved() < 7, `${saved()} s saved`);
   await send(1, [start('j-1/0', 2)]);
-  await lab.pass(2500);
+  await lab.advance(2500);
   await send(1, [stop('j-1/0', 2, 0)]);
   assert.equal(saved(), 8, 'the last multiple of the checkpoint interval');
   await send(1, [start('j-1/0', 3)]);
-  await lab.pass(2600);
+  await lab.advance(2600);
   assert.deepEqual([...(jobs.get('j-1')?.finished ?? [])], [0]);
 });
 
 test('worker: a machine that hangs makes no progress, and its lease expires nevertheless', async () => {
   const { lab, process, model, seen, send, start } = worker([job({ ref: 'j-1' })], 15);
   await send(1, [start('j-1/0', 1)]);
-  await lab.pass(5000);
+  await lab.advance(5000);
   model.pause();
   process.freeze();
-  await lab.pass(8000);
+  await lab.advance(8000);
   model.resume();
   process.thaw();
-  await lab.pass(6000);
+  await lab.advance(6000);
   assert.deepEqual(seen, ['on j-1/0 1'], '11 of 15 seconds');
   model.pause();
   process.freeze();
-  await lab.pass(2000);
+  await lab.advance(2000);
   assert.deepEqual(seen, ['on j-1/0 1', 'off j-1/0 1 killed']);
 });
 
 test('worker: an image is fetched once for all waiting tasks, fetches share the bandwidth, and the oldest image is evicted', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const cache = new ImageCache(lab.process('10.1.0.1'), 3, 1);
   const ready: string[] = [];
   const requestImage = (image: string, gb: number, waiter: string): void =>
@@ -354,26 +354,26 @@
   requestImage('x', 2, 'a');
   requestImage('x', 2, 'b');
   requestImage('y', 1, 'c');
-  await lab.pass(10_000);
+  await lab.advance(10_000);
   assert.deepEqual(ready.splice(0), ['c 2', 'a 3', 'b 3']);
   requestImage('x', 2, 'd');
   requestImage('z', 1, 'e');
   cache.cancel('z', 'e');
   requestImage('z', 1, 'f');
-  await lab.pass(10_000);
+  await lab.advance(10_000);
   assert.deepEqual(ready.splice(0), ['d 10', 'f 11'], 'a fetch is aborted when no task waits for it');
   requestImage('x', 2, 'g');
   requestImage('y', 1, 'h');
-  await lab.pass(10_000);
+  await lab.advance(10_000);
   assert.deepEqual(ready, ['g 20', 'h 21'], 'y was evicted');
 });
 
 // ---- gangs
 
 function gang(pieces: number, overrides: Partial<Submission> = {}) {
-  const lab = new Lab(9);
-  const gangJob = new JobTruth(job({ ref: 'j-1', shape: 'ensemble', pieces, ...overrides }), () => 20, false);
-  const coordinator = new GangBook(lab.process('10.9.0.1'), lab.luck, { waitS: 30, peerS: 5 });
+  const lab = new SimulationHarness(9);
+  const gangJob = new SimulatedJob(job({ ref: 'j-1', shape: 'ensemble', pieces, ...overrides }), () => 20, false);
+  const coordinator = new GangCoordinator(lab.process('10.9.0.1'), lab.rng, { waitS: 30, peerS: 5 });
   const seen: string[] = [];
   const members = Array.from({ length: pieces }, (_, index): GangMember => ({
     index,
@@ -391,23 +391,23 @@
 test('gang: members start together, run at the slowest speed and complete together', async () => {
   const { lab, gangJob, seen, join } = gang(3);
   join(1, 0, 2);
-  await lab.pass(10_000);
+  await lab.advance(10_000);
   assert.deepEqual(seen, []);
   join(1, 1);
-  await lab.pass(39_000);
+  await lab.advance(39_000);
   assert.deepEqual(seen.splice(0), ['start 0', 'start 2', 'start 1']);
-  await lab.pass(1100);
+  await lab.advance(1100);
   assert.deepEqual([seen, gangJob.complete], [['done 0', 'done 2', 'done 1'], true]);
 });
 
 test('gang: a member that waits too long exits as alone, and a replacement with the same attempt completes the gang', async () => {
   const { lab, seen, coordinator, gangJob, join, member } = gang(2);
   join(1, 0);
-  await lab.pass(30_100);
+  await lab.advance(30_100);
   assert.deepEqual(seen.splice(0), ['alone 0']);
   join(2, 0);
   coordinator.onMemberLost(gangJob, 2, member(0), false);
-  await lab.pass(10_000);
+  await lab.advance(10_000);
   join(2, 1);
   join(2, 0);
   assert.deepEqual(seen, ['start 1', 'start 0']);
@@ -416,9 +416,9 @@
 test('gang: when a member is lost the others exit in time, and progress falls back to the last checkpoint', async () => {
   const { lab, seen, coordinator, gangJob, join, member } = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   join(1, 0, 1);
-  await lab.pass(10_000);
+  await lab.advance(10_000);
   coordinator.onMemberLost(gangJob, 1, member(1), false);
-  await lab.pass(5001);
+  await lab.advance(5001);
   assert.deepEqual([seen.slice(2), gangJob.saved.get(0)], [['mates_gone 0'], 3], '5 s at half speed');
   join(1, 1);
   assert.equal(seen.at(-1), 'mates_gone 1', 'that attempt has ended');
@@ -427,18 +427,18 @@
 test('gang: a stop saves progress when all members are told in time, and fails when one is not', async () => {
   const toldInTime = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   toldInTime.join(1, 0, 1);
-  await toldInTime.lab.pass(10_000);
+  await toldInTime.lab.advance(10_000);
   toldInTime.coordinator.stop(toldInTime.gangJob, 1, toldInTime.member(0), 2);
-  await toldInTime.lab.pass(3000);
+  await toldInTime.lab.advance(3000);
   toldInTime.coordinator.stop(toldInTime.gangJob, 1, toldInTime.member(1), 2);
-  await toldInTime.lab.pass(1100);
+  await toldInTime.lab.advance(1100);
   assert.deepEqual(toldInTime.seen.slice(2), ['saving 0', 'saving 1', 'stopped stored 0', 'stopped stored 1']);
   assert.ok(Math.abs((toldInTime.gangJob.saved.get(0) ?? 0) - 5) < 0.01, 'progress freezes at the first stop');
   const toldLate = gang(2, { mark_every_s: 3, mark_cost_s: 1 });
   toldLate.join(1, 0, 1);
-  await toldLate.lab.pass(10_000);
+  await toldLate.lab.advance(10_000);
   toldLate.coordinator.stop(toldLate.gangJob, 1, toldLate.member(0), 2);
-  await toldLate.lab.pass(11_000);
+  await toldLate.lab.advance(11_000);
   assert.deepEqual(toldLate.seen.slice(2).sort(), ['mates_gone 0', 'mates_gone 1', 'saving 0']);
   assert.equal(toldLate.gangJob.saved.get(0), 3);
 });
@@ -446,7 +446,7 @@
 // ---- the balancer
 
 test('balancer: probes determine health, new connections go to the least loaded node, and refused ones to another', async () => {
-  const lab = new Lab(2);
+  const lab = new SimulationHarness(2);
   const nodes = ['10.0.0.1', '10.0.0.2'].map((host) => ({ host, port: 8080 }));
   const served = [0, 0];
   const health = [200, 200];
@@ -469,29 +469,32 @@
   const balancer = new Balancer(lab.process('10.3.0.1'), nodes);
   balancer.start();
   const poll = { method: 'GET', path: '/v1/jobs/j-1', timeoutMs: 2000 } as const;
-  assert.equal((await lab.settle(balancer.openSession().call(poll))).kind, 'failed', 'no node is healthy yet');
-  await lab.pass(100);
+  assert.equal((await lab.runUntilSettled(balancer.openSession().call(poll))).kind, 'failed', 'no node is healthy yet');
+  await lab.advance(100);
   assert.equal(balancer.healthyCount, 2, 'the first success suffices');
   const sessions = Array.from({ length: 10 }, () => balancer.openSession());
-  for (const session of sessions) await lab.settle(session.call(poll));
+  for (const session of sessions) await lab.runUntilSettled(session.call(poll));
   assert.deepEqual(served, [5, 5]);
   health[0] = 503;
-  await lab.pass(1500);
+  await lab.advance(1500);
   assert.equal(balancer.healthyCount, 2);
-  await lab.pass(1500);
+  await lab.advance(1500);
   assert.equal(balancer.healthyCount, 1, 'two failures in a row');
-  for (const session of sessions.slice(0, 4)) await lab.settle(session.call(poll));
+  for (const session of sessions.slice(0, 4)) await lab.runUntilSettled(session.call(poll));
   assert.deepEqual(served, [7, 7], 'open connections are not closed at once');
-  await lab.pass(5000);
+  await lab.advance(5000);
   health[0] = 200;
-  for (const session of sessions) await lab.settle(session.call(poll));
+  for (const session of sessions) await lab.runUntilSettled(session.call(poll));
   assert.deepEqual(served, [7, 17], 'they are closed after five seconds');
-  await lab.pass(2500);
+  await lab.advance(2500);
   assert.equal(balancer.healthyCount, 2, 'two successes, and the removal time has passed');
   processes[1]?.kill();
-  assert.equal((await lab.settle(sessions[0]?.call(poll) ?? Promise.reject(new Error('none')))).kind, 'failed');
   assert.equal(
-    (await lab.settle(balancer.openSession().call(poll))).kind,
+    (await lab.runUntilSettled(sessions[0]?.call(poll) ?? Promise.reject(new Error('none')))).kind,
+    'failed',
+  );
+  assert.equal(
+    (await lab.runUntilSettled(balancer.openSession().call(poll))).kind,
     'answered',
     'a refused connection is retried on another node',
   );
--- a/packages/region/test/pipelines.test.ts
+++ b/packages/region/test/pipelines.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { drawSchedule, mixReleases } from '../src/hunt/index.js';
-import { Region, type Day, type DayResult, type Trouble } from '../src/index.js';
+import { drawFaultSchedule, drawReleaseMix } from '../src/hunt/index.js';
+import { Region, type SimulationScenario, type DayResult, type Fault } from '../src/index.js';
 import { playWithActions, shippedDay } from './days.js';
 
 const SHARDS = ['node-0', 'node-1', 'node-2'].map((name) => `live/shards/${name}`);
-const LIMIT_DROP: Trouble = { kind: 'state_limits', at_s: 45 };
+const LIMIT_DROP: Fault = { kind: 'state_limits', at_s: 45 };
 
 /** The day `chain` with another duration and faults, and with pipelines that arrive from 15 s on. */
-function chainDay(durationS: number, troubles: readonly Trouble[], releases: readonly string[] = []): Day {
+function chainDay(durationS: number, troubles: readonly Fault[], releases: readonly string[] = []): SimulationScenario {
   const day = shippedDay('chain');
   return {
     ...day,
@@ -20,7 +20,7 @@
 }
 
 /** The same day with so many machines that a shard's record exceeds the state service's value limit after the drop. */
-const withLargeFleet = (day: Day): Day => ({
+const withLargeFleet = (day: SimulationScenario): SimulationScenario => ({
   ...day,
   state: { ...day.state, next: { write_rps: 20, value_kb: 1, txn_ops: 5 } },
   capacity: day.capacity.map((c) => (c.type === 'desk' ? { ...c, ordinary: 80 } : c)),
@@ -36,7 +36,7 @@
 
 /** Simulates a day with actions and checks that no rule is violated and that shard records have the expected version. */
 async function playKeepingRules(
-  day: Day,
+  day: SimulationScenario,
   actions: readonly (readonly [number, (region: Region) => void])[] = [],
 ): Promise<PlayedDay> {
   const logs: string[] = [];
@@ -69,7 +69,7 @@
   );
 });
 
-const FAULTS_AROUND_LIMIT_DROP: readonly [name: string, troubles: readonly Trouble[]][] = [
+const FAULTS_AROUND_LIMIT_DROP: readonly [name: string, troubles: readonly Fault[]][] = [
   ['the leader crashes', [{ kind: 'controller_crash', at_s: 45.2, controller: 'leader' }]],
   [
     'one crashes just before the drop, and its shard is taken over after it',
@@ -101,7 +101,7 @@
 });
 
 test('while jobs wait for dependencies: holders crash between a completion and the next start, machines die, a controller is cut off', async () => {
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     { kind: 'controller_crash', at_s: 40, controller: 0 },
     { kind: 'controller_crash', at_s: 55, controller: 'all' },
     { kind: 'machines_die', at_s: 70, share: 0.3 },
@@ -114,7 +114,7 @@
 
 test('a rollback to earlier releases while jobs wait for dependencies: none starts too early, and none is forgotten', async () => {
   for (const old of ['production', 'before-rollout']) {
-    const rolloutTo = (to: string, at_s: number): Trouble => ({ kind: 'rollout', at_s, gap_s: 12, to, leave: false });
+    const rolloutTo = (to: string, at_s: number): Fault => ({ kind: 'rollout', at_s, gap_s: 12, to, leave: false });
     // Earlier releases do not accept jobs with dependencies, so all pipelines arrive before the rollback.
     const day = chainDay(260, [rolloutTo(old, 45), rolloutTo('this', 110)]);
     const early = { ...day, pipelines: day.pipelines.map((p) => ({ ...p, per_minute: 0, initial: 12, late: 0 })) };
@@ -129,8 +129,8 @@
       // Pipelines arrive only after all controllers run this release.
       const early = chainDay(150, []);
       const base = { ...early, pipelines: early.pipelines.map((p) => ({ ...p, start_s: 40 })) };
-      const troubles = [...drawSchedule(seed, base), { kind: 'state_limits', at_s: 40 + (seed % 70) } as const];
-      const mixed = mixReleases(seed, { ...base, seed, troubles: [] }, 'production');
+      const troubles = [...drawFaultSchedule(seed, base), { kind: 'state_limits', at_s: 40 + (seed % 70) } as const];
+      const mixed = drawReleaseMix(seed, { ...base, seed, troubles: [] }, 'production');
       // Production is replaced before the limits drop, because it cannot read what is stored afterwards.
       const withRollout = mixed.troubles.map((trouble) =>
         trouble.kind === 'rollout' ? { ...trouble, to: 'this', at_s: 15, gap_s: 6, order: [0, 1, 2] } : trouble,
--- a/packages/region/test/quota.test.ts
+++ b/packages/region/test/quota.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { accountOf, decodeQuota, isNothing, less, totalOf } from '../../../src/quota/index.js';
+import { accountShardOf, decodeQuota, isZero, subtract, totalOf } from '../../../src/quota/index.js';
 import { decodeShard } from '../../../src/membership/index.js';
 import { shardName } from '../../../src/kernel/index.js';
-import { Region, scaledDay, type Day, type Trouble } from '../src/index.js';
+import { Region, scaleScenario, type SimulationScenario, type Fault } from '../src/index.js';
 import { playWithActions, shippedDay, shortDay } from './days.js';
 
 const FEATURE = 'quota-shares';
@@ -12,7 +12,7 @@
 const SHARDS = 'live/shards/';
 
 /** A short day on which both teams reach their limits, with quota shares allowed from the beginning. */
-function sharedDay(durationS: number, troubles: readonly Trouble[], seed = 7): Day {
+function sharedDay(durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario {
   const day = shortDay(durationS, troubles, seed);
   const limits = [
     { name: 'mail', cpus: 0, cpus_max: 60, gpus: 0, gpus_max: 0 },
@@ -30,8 +30,8 @@
     assert.ok(record && record !== 'foreign');
     const team = day.teams.find(({ name }) => key === `${QUOTAS}${name}`);
     assert.ok(team);
-    const excess = less(totalOf(record), { cpus: team.cpus_max, gpus: team.gpus_max });
-    assert.ok(isNothing(excess), `${key} ${JSON.stringify([...record.shares])}`);
+    const excess = subtract(totalOf(record), { cpus: team.cpus_max, gpus: team.gpus_max });
+    assert.ok(isZero(excess), `${key} ${JSON.stringify([...record.shares])}`);
   }
   return stored.length;
 }
@@ -42,11 +42,13 @@
 
 /** Stores an operator's request for the feature. */
 const requestFeature = (region: Region, request: string): void =>
-  region.parts.state.put(WISHES, { features: { [FEATURE]: { wish: request, at: region.wallAt0 + region.now } } });
+  region.parts.state.put(WISHES, {
+    features: { [FEATURE]: { wish: request, at: region.dayStartWallMs + region.now } },
+  });
 
 /** Simulates a day with actions, and checks that no rule is violated, nothing fails and tasks start. */
 async function playKeepingRules(
-  day: Day,
+  day: SimulationScenario,
   actions: readonly (readonly [atS: number, action: (region: Region) => void])[],
 ): Promise<{ region: Region; result: ReturnType<Region['close']> }> {
   const region = await playWithActions({ day }, actions);
@@ -57,7 +59,7 @@
 }
 
 test('quota shares while controllers crash, the state service is unavailable and responses are lost: every rule is kept', async () => {
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     { kind: 'late_writes', at_s: 30, for_s: 40, share: 0.25 },
     { kind: 'controller_crash', at_s: 50, controller: 'leader' },
     { kind: 'state_outage', at_s: 80, for_s: 15 },
@@ -79,8 +81,8 @@
 
 test('after a rollback while quota shares are on, earlier releases hold no shard, and every rule is kept', async () => {
   for (const release of ['before-quotas', 'production', 'before-rollout']) {
-    const rollback: Trouble = { kind: 'rollout', at_s: 40, gap_s: 20, to: release, order: [0, 1], leave: false };
-    const rollout: Trouble = { kind: 'rollout', at_s: 110, gap_s: 15, to: 'this', order: [0, 1], leave: false };
+    const rollback: Fault = { kind: 'rollout', at_s: 40, gap_s: 20, to: release, order: [0, 1], leave: false };
+    const rollout: Fault = { kind: 'rollout', at_s: 110, gap_s: 15, to: 'this', order: [0, 1], leave: false };
     const holders: string[] = [];
     await playKeepingRules(sharedDay(190, [rollback, rollout], 5), [
       [39, (region) => assert.deepEqual(sealedFlags(region), [true, true, true])],
@@ -99,7 +101,7 @@
 });
 
 test('an operator reverts quota shares: jobs move to the shard with the team account, and earlier releases can serve again', async () => {
-  const rollback: Trouble = { kind: 'rollout', at_s: 110, gap_s: 18, to: 'production', leave: false };
+  const rollback: Fault = { kind: 'rollout', at_s: 110, gap_s: 18, to: 'production', leave: false };
   const { region } = await playKeepingRules(sharedDay(230, [rollback], 6), [
     [45, (r) => assert.deepEqual(sealedFlags(r), [true, true, true])],
     [50, (r) => requestFeature(r, 'back')],
@@ -115,12 +117,12 @@
 });
 
 test('a rollout from the previous release to this one and back, and the reverse, without quota shares', async () => {
-  const withoutShares = (troubles: readonly Trouble[], releases: readonly string[]): Day => {
+  const withoutShares = (troubles: readonly Fault[], releases: readonly string[]): SimulationScenario => {
     const day = sharedDay(170, troubles, 8);
     return { ...day, controllers: { ...day.controllers, allow: [], releases: [...releases] } };
   };
   const PREVIOUS_RELEASE = 'before-quotas';
-  const rolloutTo = (to: string, at_s: number, leave: boolean): Trouble => ({
+  const rolloutTo = (to: string, at_s: number, leave: boolean): Fault => ({
     kind: 'rollout',
     at_s,
     gap_s: 14,
@@ -138,7 +140,7 @@
 });
 
 test('a team at its limit does not exceed it while cancelled tasks remain on hung machines', async () => {
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     { kind: 'cancel_now', at_s: 45, count: 6, hang_s: 20 },
     { kind: 'controller_crash', at_s: 48, controller: 'leader' },
     { kind: 'cancel_now', at_s: 80, count: 6, hang_s: 20 },
@@ -153,7 +155,7 @@
 
 test('at an eighth of the planned size no job waits beside free resources because its team has its share on another shard', async () => {
   const fullSize = shippedDay('scale');
-  const day = scaledDay({ ...fullSize, duration_s: 200, quiet_end_s: 0, troubles: [] }, 0.125);
+  const day = scaleScenario({ ...fullSize, duration_s: 200, quiet_end_s: 0, troubles: [] }, 0.125);
   const region = new Region({ day: { ...day, controllers: { ...day.controllers, allow: [FEATURE] } }, seed: 3 });
   await region.play(110);
   assert.ok(countQuotaRecords(region) > 10);
@@ -164,8 +166,8 @@
 
 test('every controller computes the same account shard for a team, and accounts are spread over the shards', () => {
   const shards = ['a', 'b', 'c', 'd', 'e', 'f', 'g'].map(shardName);
-  const accounts = Array.from({ length: 52 }, (_, i) => accountOf(`team-${i}`, shards));
+  const accounts = Array.from({ length: 52 }, (_, i) => accountShardOf(`team-${i}`, shards));
   assert.ok(new Set(accounts).size >= 6);
-  assert.equal(accountOf('team-1', shards), accountOf('team-1', [...shards]));
-  assert.equal(accountOf('team-1', []), null);
+  assert.equal(accountShardOf('team-1', shards), accountShardOf('team-1', [...shards]));
+  assert.equal(accountShardOf('team-1', []), null);
 });
--- a/packages/region/test/report.test.ts
+++ b/packages/region/test/report.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { renderDayPage, renderDayTable } from '../src/report/index.js';
-import { played, shortDay } from './days.js';
+import { playDay, shortDay } from './days.js';
 
 test('the page of a played day contains its charts, loads nothing external and escapes all text', async () => {
   const day = shortDay(60, [{ kind: 'state_outage', at_s: 30, for_s: 5 }]);
-  const result = await played(day);
+  const result = await playDay(day);
   assert.equal(result.timeline.length, 13, 'one sample every five seconds, including both ends');
   const last = result.timeline.at(-1);
   assert.ok(last && (last.running['counter'] ?? 0) > 0 && last.controllersUp === 3 && last.machinesUp > 0);
--- a/packages/region/test/rollout.test.ts
+++ b/packages/region/test/rollout.test.ts
@@ -4,9 +4,16 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { drawSchedule, mixReleases } from '../src/hunt/index.js';
-import { Region, ReleaseError, Releases, type Day, type DayResult, type Trouble } from '../src/index.js';
-import { playWithActions, played, shortDay } from './days.js';
+import { drawFaultSchedule, drawReleaseMix } from '../src/hunt/index.js';
+import {
+  Region,
+  ReleaseError,
+  ReleaseCatalog,
+  type SimulationScenario,
+  type DayResult,
+  type Fault,
+} from '../src/index.js';
+import { playWithActions, playDay, shortDay } from './days.js';
 
 /** The last release before controllers of different releases could run together. Every later release runs beside it. */
 const OLD_RELEASE = 'before-rollout';
@@ -29,7 +36,7 @@
 
 /** Simulates a day with controllers that start as these releases; checks that no rule is violated and no frame refused. */
 async function playMixed(
-  day: Day,
+  day: SimulationScenario,
   releases: readonly string[],
   { actions = [] }: MixedOptions = {},
 ): Promise<MixedDay> {
@@ -64,7 +71,9 @@
   (state as { features?: Record<string, { state: string }> } | undefined)?.features?.[FEATURE]?.state;
 /** An action that stores an operator's request for the feature. */
 const requestFeature = (request: string) => (region: Region) =>
-  region.parts.state.put(WISHES, { features: { [FEATURE]: { wish: request, at: region.wallAt0 + region.now } } });
+  region.parts.state.put(WISHES, {
+    features: { [FEATURE]: { wish: request, at: region.dayStartWallMs + region.now } },
+  });
 /** The logged switches of a feature: the state it was switched to, and when. */
 const loggedSwitches = ({ logs }: MixedDay, feature = FEATURE): { readonly to: string; readonly time: number }[] =>
   logs.filter(
@@ -72,11 +81,7 @@
   ) as never;
 
 /** A rollout to a release, from `at_s` on. */
-const rolloutTo = (
-  to: string,
-  at_s: number,
-  options: Partial<Extract<Trouble, { kind: 'rollout' }>> = {},
-): Trouble => ({
+const rolloutTo = (to: string, at_s: number, options: Partial<Extract<Fault, { kind: 'rollout' }>> = {}): Fault => ({
   kind: 'rollout',
   at_s,
   gap_s: 18,
@@ -93,8 +98,8 @@
     join(dir, 'releases.json'),
     JSON.stringify({ [OLD_RELEASE]: { ...manifest[OLD_RELEASE], sha256: 'f'.repeat(64) } }),
   );
-  assert.throws(() => new Releases(dir).of(OLD_RELEASE), /before-rollout\.cjs\.br is not what was frozen/);
-  assert.throws(() => new Releases(dir).of('other'), ReleaseError);
+  assert.throws(() => new ReleaseCatalog(dir).get(OLD_RELEASE), /before-rollout\.cjs\.br is not what was frozen/);
+  assert.throws(() => new ReleaseCatalog(dir).get('other'), ReleaseError);
   assert.throws(() => new Region({ day: shortDay(10, [rolloutTo('other', 1)]) }), /no release of the name other/);
 });
 
@@ -134,7 +139,7 @@
     for (let t = 29; t < 50; t += 0.05) {
       await region.play(t);
       const record = region.parts.state.get('live/shards/node-1') as { holder: string; released: boolean };
-      const up = region.controllers.find(({ seat: spec }) => spec.name === record.holder)?.process?.running === true;
+      const up = region.controllers.find(({ spec: spec }) => spec.name === record.holder)?.process?.running === true;
       gap = up && !record.released ? 0 : gap + 0.05;
       longest = Math.max(longest, gap);
     }
@@ -191,18 +196,18 @@
   assert.deepEqual((day.state[ROLLOUT_STATE] as { features: { later: unknown } }).features.later, later);
 });
 
-const CRASHES = [19.8, 20.4, 21, 21.6, 22.2, 23].map((at_s): Trouble => ({
+const CRASHES = [19.8, 20.4, 21, 21.6, 22.2, 23].map((at_s): Fault => ({
   kind: 'controller_crash',
   at_s,
   controller: 'leader',
   down_s: 3,
 }));
-const FAULTS_AROUND_SWITCH: readonly [name: string, troubles: readonly Trouble[]][] = [
-  ...CRASHES.map((crash): [string, Trouble[]] => [`the leader crashes at ${crash.at_s} s`, [crash]]),
+const FAULTS_AROUND_SWITCH: readonly [name: string, troubles: readonly Fault[]][] = [
+  ...CRASHES.map((crash): [string, Fault[]] => [`the leader crashes at ${crash.at_s} s`, [crash]]),
   ['all crash at once', [{ kind: 'controller_crash', at_s: 21.5, controller: 'all', down_s: 3 }]],
   ['the state service is unavailable', [{ kind: 'state_outage', at_s: 19, for_s: 14 }]],
   ['the state service is slow', [{ kind: 'state_slow', at_s: 15, for_s: 20, times: 40 }]],
-  ['the watch loses its history', [20, 21, 22, 23].map((at_s): Trouble => ({ kind: 'watch_forgets', at_s }))],
+  ['the watch loses its history', [20, 21, 22, 23].map((at_s): Fault => ({ kind: 'watch_forgets', at_s }))],
   ['one is paused during the switch', [{ kind: 'controller_pause', at_s: 19, for_s: 12, controller: 1 }]],
   [
     'one is cut off from the state service during the switch',
@@ -218,8 +223,8 @@
 });
 
 test('controllers or the state service fail while the feature is reverted: grouped records are still moved back', async () => {
-  const burst: Trouble = { kind: 'burst', at_s: 35, for_s: 30, class: 'letters', times: 6 };
-  const faults: readonly (readonly Trouble[])[] = [
+  const burst: Fault = { kind: 'burst', at_s: 35, for_s: 30, class: 'letters', times: 6 };
+  const faults: readonly (readonly Fault[])[] = [
     [{ kind: 'controller_crash', at_s: 60.3, controller: 'leader', down_s: 3 }],
     [{ kind: 'controller_crash', at_s: 60.6, controller: 'all', down_s: 3 }],
     [{ kind: 'state_outage', at_s: 60.4, for_s: 8 }],
@@ -232,7 +237,7 @@
 });
 
 test('an old controller that is paused and cut off during the whole rollout continues afterwards', async () => {
-  const troubles: Trouble[] = [
+  const troubles: Fault[] = [
     rolloutTo('this', 30, { order: [0, 1], gap_s: 12 }),
     { kind: 'controller_cut', at_s: 24, for_s: 46, controller: 2, from: 'all', manner: 'hold' },
     { kind: 'controller_pause', at_s: 26, for_s: 40, controller: 2 },
@@ -248,7 +253,7 @@
     [OLD_RELEASE, 'this', 'this'],
     ['this', OLD_RELEASE, OLD_RELEASE],
   ]) {
-    const crash = (at_s: number, controller: 'leader' | number): Trouble => ({
+    const crash = (at_s: number, controller: 'leader' | number): Fault => ({
       ...{ kind: 'controller_crash', at_s, controller, down_s: 20 },
     });
     const day = await playMixed(shortDay(150, [crash(40, 'leader'), crash(80, 1), crash(110, 'leader')]), releases);
@@ -335,8 +340,8 @@
   const base = shortDay(150, []);
   await fc.assert(
     fc.asyncProperty(fc.integer({ min: 0, max: 2 ** 30 }), async (seed) => {
-      const day = mixReleases(seed, { ...base, seed, troubles: drawSchedule(seed, base) }, OLD_RELEASE);
-      const result = await played(day);
+      const day = drawReleaseMix(seed, { ...base, seed, troubles: drawFaultSchedule(seed, base) }, OLD_RELEASE);
+      const result = await playDay(day);
       assert.deepEqual([result.breaches, result.defects], [[], []]);
     }),
     { seed: 9, numRuns: 12, endOnFailure: true },
--- a/packages/region/test/rules.test.ts
+++ b/packages/region/test/rules.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JobRegistry } from '../../../src/jobs/index.js';
-import { Freshness } from '../../../src/state/index.js';
-import { Steward } from '../../../src/pipelines/index.js';
-import { CommandSender, MachineBelief, type Verdict } from '../../../src/workers/index.js';
-import { Region, type Day, type Rule } from '../src/index.js';
-import { cutOffNight, played, shippedDay, shortDay, swarmDay } from './days.js';
+import { FreshnessChecker } from '../../../src/state/index.js';
+import { DependencyTracker } from '../../../src/pipelines/index.js';
+import { CommandSender, WorkerTracker, type MessageOutcome } from '../../../src/workers/index.js';
+import { Region, type SimulationScenario, type Rule } from '../src/index.js';
+import { isolatedControllersNight, playDay, shippedDay, shortDay, highArrivalRateDay } from './days.js';
 
 /**
  * Mutation tests of the checker: each rule must be reported for a service with one part deliberately broken, in a
  * scenario that the intact service runs without a violation. Returns the violated rules.
  */
 async function violatedRules(
-  day: Day,
+  day: SimulationScenario,
   sabotage: (region: Region) => void,
   settings?: (toml: string) => string,
 ): Promise<Rule[]> {
@@ -43,30 +43,30 @@
 const noSabotage = (): void => undefined;
 
 test('the scenarios of the tests below violate no rule with the intact service', async () => {
-  for (const day of [shortDay(150, []), ...SEEDS.map(cutOffNight)]) {
-    const result = await played(day);
+  for (const day of [shortDay(150, []), ...SEEDS.map(isolatedControllersNight)]) {
+    const result = await playDay(day);
     assert.deepEqual([result.breaches, result.defects], [[], []]);
     assert.ok(result.classes.some(({ tasksStarted }) => tasksStarted > 20));
   }
 });
 
 test('ran_twice: fencing that counts leases from the last answered report alone', async () => {
-  const { take, takeAnswer } = MachineBelief.prototype;
-  const countingReportsOnly = <A extends unknown[]>(original: (this: MachineBelief, ...given: A) => Verdict) =>
-    function (this: MachineBelief, ...given: A): Verdict {
+  const { applyReport: take, applyAnswer: takeAnswer } = WorkerTracker.prototype;
+  const countingReportsOnly = <A extends unknown[]>(original: (this: WorkerTracker, ...given: A) => MessageOutcome) =>
+    function (this: WorkerTracker, ...given: A): MessageOutcome {
       const before = this.lastAnswerAt;
       const verdict = original.apply(this, given);
       this.lastAnswerAt = before;
       // The service starts no task on a machine that only answers commands. That rule alone would hide the fault, so it is
       // disabled as well.
-      this.lastReportAt = this.lastHeardAt;
+      this.lastReportAt = this.lastMessageAt;
       return verdict;
     };
   const detectedSeeds: number[] = [];
   for (const seed of SEEDS) {
-    const rules = await withPatchedMethod(MachineBelief.prototype, 'take', countingReportsOnly(take), () =>
-      withPatchedMethod(MachineBelief.prototype, 'takeAnswer', countingReportsOnly(takeAnswer), () =>
-        violatedRules(cutOffNight(seed), noSabotage),
+    const rules = await withPatchedMethod(WorkerTracker.prototype, 'take', countingReportsOnly(take), () =>
+      withPatchedMethod(WorkerTracker.prototype, 'takeAnswer', countingReportsOnly(takeAnswer), () =>
+        violatedRules(isolatedControllersNight(seed), noSabotage),
       ),
     );
     if (rules.includes('ran_twice')) detectedSeeds.push(seed);
@@ -76,7 +76,7 @@
 
 test('quota: a team uses more than its limit', async () => {
   const day = shippedDay('quiet');
-  const limited: Day = {
+  const limited: SimulationScenario = {
     ...day,
     duration_s: 100,
     teams: day.teams.map((team) => (team.name === 'mail' ? { ...team, cpus_max: 14 } : team)),
@@ -110,7 +110,7 @@
 
 test('forgotten: a write is acknowledged and lost', async () => {
   const loseJobWrites = (region: Region): void => {
-    region.parts.state.loses = (key) => key.startsWith('live/jobs/');
+    region.parts.state.dropsChange = (key) => key.startsWith('live/jobs/');
   };
   const rules = await violatedRules(shortDay(60, []), loseJobWrites);
   assert.ok(rules.includes('forgotten'), rules.join());
@@ -157,17 +157,19 @@
   };
 }
 
-const closePolls: Day['troubles'] = [
+const closePolls: SimulationScenario['troubles'] = [
   { kind: 'close_looks', at_s: 5, for_s: 50 },
   { kind: 'odd_requests', at_s: 5, for_s: 50 },
   { kind: 'cancel_at_end', at_s: 5, for_s: 50, share: 0.3 },
 ];
 
 test('went_back: nodes that are polled within milliseconds answer from stale state', async () => {
-  const day = swarmDay(60, closePolls);
+  const day = highArrivalRateDay(60, closePolls);
   assert.deepEqual(await violatedRules(day, noSabotage), []);
-  const stale: Freshness['ensure'] = () => Promise.resolve(true);
-  const rules = await withPatchedMethod(Freshness.prototype, 'ensure', stale, () => violatedRules(day, noSabotage));
+  const stale: FreshnessChecker['waitUntilFresh'] = () => Promise.resolve(true);
+  const rules = await withPatchedMethod(FreshnessChecker.prototype, 'ensure', stale, () =>
+    violatedRules(day, noSabotage),
+  );
   assert.deepEqual(rules, ['went_back']);
 });
 
@@ -216,7 +218,7 @@
 });
 
 /** A short scenario of job chains, half of which are cancelled. */
-function chainScenario(durationS: number): Day {
+function chainScenario(durationS: number): SimulationScenario {
   const day = shippedDay('chain');
   return {
     ...day,
@@ -241,11 +243,11 @@
 test('orphaned: a cancellation does not reach the jobs that depend on the cancelled one', async () => {
   const rules = await withPatchedMethod(
     JobRegistry.prototype,
-    'withdraw',
+    'cancelDependent',
     () => Promise.resolve(false),
     () =>
       withPatchedMethod(
-        Steward.prototype,
+        DependencyTracker.prototype,
         'awaits',
         () => [],
         () => violatedRules(chainScenario(180), noSabotage),
@@ -265,13 +267,13 @@
 test('a run fails when a class, a team or the largest jobs are not served, with a threshold of one half', async () => {
   const never: CommandSender['send'] = () => Promise.resolve();
   const day = { ...shortDay(420, []), quiet_end_s: 0 };
-  const { failures } = await withPatchedMethod(CommandSender.prototype, 'send', never, () => played(day));
+  const { failures } = await withPatchedMethod(CommandSender.prototype, 'send', never, () => playDay(day));
   for (const name of ['class letters', 'largest of letters', 'class maps', 'team mail', 'team atlas'])
     assert.ok(
       failures.some((failure) => failure.startsWith(`${name}: 0 %`)),
       `${name}: ${failures.join('; ')}`,
     );
-  const intact = await played(day);
+  const intact = await playDay(day);
   assert.deepEqual(intact.failures, []);
   assert.ok(
     intact.classes.every(({ served, largestServed }) => served !== null && served > 0.5 && largestServed !== null),
--- a/packages/region/test/scale.test.ts
+++ b/packages/region/test/scale.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { pino } from 'pino';
-import { scaledDay, type Day } from '../src/index.js';
+import { scaleScenario, type SimulationScenario } from '../src/index.js';
 import {
   capacityRun,
   checkRunSize,
@@ -19,7 +19,7 @@
 import { shippedDay } from './days.js';
 
 const GB = 1e9;
-const machineCount = (day: Day): number => day.machines.reduce((sum, { count }) => sum + count, 0);
+const machineCount = (day: SimulationScenario): number => day.machines.reduce((sum, { count }) => sum + count, 0);
 
 test('the shipped day `scale` has the planned size, and scaling it by a share scales its parts', () => {
   const day = shippedDay('scale');
@@ -29,7 +29,7 @@
   const accelerators = day.machines.reduce((sum, { type, count }) => sum + (type === 'accelerated' ? 8 * count : 0), 0);
   assert.ok(accelerators >= 1900);
   for (const share of [0.02, 0.125, 0.25, 0.5]) {
-    const part = scaledDay(day, share);
+    const part = scaleScenario(day, share);
     assert.ok(Math.abs(machineCount(part) - 1400 * share) <= 2, `${machineCount(part)} at ${share}`);
     assert.equal(part.teams.length, 52);
     const used = new Set(part.machines.map(({ zone }) => zone));
@@ -131,7 +131,7 @@
   assert.ok(scattered.residual > 1 && scattered.rSquared < 0.5);
 });
 
-const options = (day: Day, overrides: Partial<ScaleOptions> = {}): ScaleOptions => ({
+const options = (day: SimulationScenario, overrides: Partial<ScaleOptions> = {}): ScaleOptions => ({
   day: {
     ...day,
     ...{ duration_s: 1000, quiet_end_s: 0, troubles: [] },
@@ -164,7 +164,7 @@
 
 test('a scale run with 28 hollow workers in two processes measures every role and leaves no process running', async () => {
   const children = new ChildProcessRecorder();
-  const run = new ScaleRun(options(scaledDay(shippedDay('scale'), 0.02), { progress: () => children.sample() }));
+  const run = new ScaleRun(options(scaleScenario(shippedDay('scale'), 0.02), { progress: () => children.sample() }));
   const result: ScaleResult = await run.run();
   assert.deepEqual(result.breaches, []);
   assert.equal(result.workers, 28);
@@ -185,15 +185,15 @@
   const children = new ChildProcessRecorder();
   const invalidLaunch = { node: process.execPath, controllerFlags: ['--no-such-flag'], script: 'target/main.cjs' };
   const run = new ScaleRun(
-    options(scaledDay(shippedDay('scale'), 0.02), { launch: invalidLaunch, progress: () => children.sample() }),
+    options(scaleScenario(shippedDay('scale'), 0.02), { launch: invalidLaunch, progress: () => children.sample() }),
   );
   await assert.rejects(run.run(), /^ScaleError: node-\d exited before it was healthy; .*no-such-flag/);
   await assertAllExited([...children.pids]);
 });
 
 test('a day that a scale run does not support is refused before any process is started, naming the field', () => {
-  const day = scaledDay(shippedDay('scale'), 0.02);
-  const assertRefused = (changed: Day, what: RegExp): void => {
+  const day = scaleScenario(shippedDay('scale'), 0.02);
+  const assertRefused = (changed: SimulationScenario, what: RegExp): void => {
     assert.throws(() => new ScaleRun({ ...options(day), day: changed }), what);
   };
   assertRefused({ ...day, machines: day.machines.map((m, i) => ({ ...m, spot: i === 1 })) }, /machines\.1\.spot/);
--- a/packages/region/test/schedules.test.ts
+++ b/packages/region/test/schedules.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { drawSchedule } from '../src/hunt/index.js';
-import { Region, type Day, type DayResult, type Trouble } from '../src/index.js';
-import { played, shortDay } from './days.js';
+import { drawFaultSchedule } from '../src/hunt/index.js';
+import { Region, type SimulationScenario, type DayResult, type Fault } from '../src/index.js';
+import { playDay, shortDay } from './days.js';
 
 interface CompletedRun {
   readonly result: DayResult;
@@ -11,9 +11,9 @@
 }
 
 /** Runs a scenario and then lets accepted jobs finish: no rule may be violated, and no job may be left. */
-async function runsToCompletion(day: Day, drainS = 400): Promise<CompletedRun> {
+async function runsToCompletion(day: SimulationScenario, drainS = 400): Promise<CompletedRun> {
   const events: string[] = [];
-  const extended: Day = { ...day, duration_s: day.duration_s + drainS, quiet_end_s: drainS };
+  const extended: SimulationScenario = { ...day, duration_s: day.duration_s + drainS, quiet_end_s: drainS };
   const region = new Region({ day: extended, event: (line) => events.push(line) });
   await region.play();
   const result = region.close();
@@ -26,7 +26,7 @@
   return { result, events };
 }
 
-const gangScenario = (troubles: readonly Trouble[]): Day => {
+const gangScenario = (troubles: readonly Fault[]): SimulationScenario => {
   const day = shortDay(200, troubles);
   return {
     ...day,
@@ -34,7 +34,7 @@
   };
 };
 
-const NAMED_SCENARIOS: readonly [name: string, day: Day, expectedEvent: RegExp][] = [
+const NAMED_SCENARIOS: readonly [name: string, day: SimulationScenario, expectedEvent: RegExp][] = [
   [
     'all controllers restart in the middle of a gang',
     gangScenario([{ kind: 'controller_crash', at_s: 45, controller: 'all' }]),
@@ -106,7 +106,7 @@
   const base = shortDay(160, []);
   await fc.assert(
     fc.asyncProperty(fc.integer({ min: 0, max: 2 ** 30 }), async (seed) => {
-      const result = await played({ ...base, seed, troubles: drawSchedule(seed, base) });
+      const result = await playDay({ ...base, seed, troubles: drawFaultSchedule(seed, base) });
       assert.deepEqual([result.breaches, result.defects], [[], []]);
     }),
     { seed: 5, numRuns: 5, endOnFailure: true },
--- a/packages/region/test/sim.test.ts
+++ b/packages/region/test/sim.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Luck, type Cut, type SimProcess } from '../src/index.js';
-import { Lab } from './lab.js';
-import { played, shortDay } from './days.js';
+import { RandomStream, type Partition, type SimProcess } from '../src/index.js';
+import { SimulationHarness } from './lab.js';
+import { playDay, shortDay } from './days.js';
 
 const PORT = 9;
 
 /** A server that records the data it receives, with the time, and the ends and errors of its connections. */
-function recordingServer(lab: Lab, ip: string, maxConnections?: number) {
+function recordingServer(lab: SimulationHarness, ip: string, maxConnections?: number) {
   const process = lab.process(ip, 'b');
   const received: { at: number; text: string }[] = [];
   const closeEvents: string[] = [];
@@ -42,7 +42,7 @@
   const logs: string[][] = [[], [], []];
   const results = [];
   for (const [i, seed] of [7, 7, 8].entries())
-    results.push(await played(day, { seed, event: (line) => logs[i]?.push(line) }));
+    results.push(await playDay(day, { seed, event: (line) => logs[i]?.push(line) }));
   assert.ok((logs[0]?.length ?? 0) > 100);
   assert.deepEqual(logs[0], logs[1]);
   assert.equal(results[0]?.digest, results[1]?.digest);
@@ -51,35 +51,35 @@
 });
 
 test('random streams are independent: additional draws from one do not change another', () => {
-  const [a, b] = [new Luck(5), new Luck(5)];
+  const [a, b] = [new RandomStream(5), new RandomStream(5)];
   a.fork('x').next();
   for (let i = 0; i < 10; i++) a.fork('y').next();
   assert.equal(a.fork('z').next(), b.fork('z').next());
-  const draws = Array.from({ length: 4000 }, () => b.spread({ median: 10, p95: 30, max: 50 })).sort((p, q) => p - q);
+  const draws = Array.from({ length: 4000 }, () => b.logNormal({ median: 10, p95: 30, max: 50 })).sort((p, q) => p - q);
   const quantile = (share: number): number => draws[Math.floor(draws.length * share)] ?? 0;
   assert.ok(Math.abs(quantile(0.5) - 10) < 1 && Math.abs(quantile(0.95) - 30) < 4 && quantile(0.9999) <= 50);
 });
 
 test('packets stay in order, and packets held by a partition arrive after it even if the sender has closed the connection', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const { received, closeEvents } = recordingServer(lab, '10.0.0.2');
   const client = lab.process('10.0.0.1', 'a');
   const { socket, seen } = recordingClient(client, '10.0.0.2');
   for (let i = 0; i < 5; i++) socket.write(String(i));
-  await lab.pass(50);
+  await lab.advance(50);
   assert.deepEqual(seen, ['connect']);
   assert.equal(received.map((h) => h.text).join(''), '01234');
-  const partition: Cut = { kind: 'hold', between: (a, b) => a.ip === '10.0.0.1' && b.ip === '10.0.0.2' };
-  lab.network.cut(partition);
+  const partition: Partition = { kind: 'hold', between: (a, b) => a.ip === '10.0.0.1' && b.ip === '10.0.0.2' };
+  lab.network.addPartition(partition);
   socket.write('late');
-  await lab.pass(1000);
+  await lab.advance(1000);
   socket.destroy();
   const attempt = recordingClient(client, '10.0.0.2');
-  await lab.pass(50_000);
+  await lab.advance(50_000);
   assert.equal(received.length, 5, 'no packet passes the partition');
   attempt.socket.destroy();
-  lab.network.heal(partition);
-  await lab.pass(1000);
+  lab.network.removePartition(partition);
+  await lab.advance(1000);
   assert.equal(received.at(-1)?.text, 'late');
   assert.ok((received.at(-1)?.at ?? 0) > 51_000);
   assert.deepEqual(closeEvents, ['end']);
@@ -87,39 +87,39 @@
 });
 
 test('a partition can reset or refuse connections; a host without power does not answer; an ended process resets its connections', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const server = recordingServer(lab, '10.0.0.2', 1);
   const client = lab.process('10.0.0.1', 'a');
   const first = recordingClient(client, '10.0.0.2');
-  await lab.pass(20);
+  await lab.advance(20);
   const second = recordingClient(client, '10.0.0.2');
-  await lab.pass(20);
+  await lab.advance(20);
   assert.deepEqual(second.seen, ['ECONNREFUSED'], 'the listener is at its connection limit');
   const between = (): boolean => true;
-  const reset: Cut = { kind: 'reset', between };
-  lab.network.cut(reset);
-  await lab.pass(20);
+  const reset: Partition = { kind: 'reset', between };
+  lab.network.addPartition(reset);
+  await lab.advance(20);
   assert.deepEqual(first.seen, ['connect', 'ECONNRESET']);
-  lab.network.heal(reset);
-  const refuse: Cut = { kind: 'refuse', between };
-  lab.network.cut(refuse);
+  lab.network.removePartition(reset);
+  const refuse: Partition = { kind: 'refuse', between };
+  lab.network.addPartition(refuse);
   const third = recordingClient(client, '10.0.0.2');
-  await lab.pass(20);
+  await lab.advance(20);
   assert.deepEqual(third.seen, ['ECONNREFUSED']);
-  lab.network.heal(refuse);
+  lab.network.removePartition(refuse);
   const fourth = recordingClient(client, '10.0.0.2');
-  await lab.pass(20);
+  await lab.advance(20);
   server.process.kill();
-  await lab.pass(20);
+  await lab.advance(20);
   assert.deepEqual(fourth.seen, ['connect', 'ECONNRESET']);
-  lab.network.remove(server.process.host);
+  lab.network.removeHost(server.process.host);
   const fifth = recordingClient(client, '10.0.0.2');
-  await lab.pass(30_000);
+  await lab.advance(30_000);
   assert.deepEqual(fifth.seen, [], 'no answer and no error');
 });
 
 test('a frozen process runs its due timers once it is thawed, while its clock keeps running', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const process = lab.process('10.0.0.1', null, { drift: 0.0005, wanderMs: 40 });
   const done: { what: string; at: number; clock: number }[] = [];
   const record = (what: string) => () => done.push({ what, at: lab.world.now, clock: process.now() });
@@ -128,11 +128,11 @@
   process.after(2000, record('b'));
   const cancelledTimer = process.after(50, record('never'));
   cancelledTimer.cancel();
-  await lab.pass(10);
+  await lab.advance(10);
   process.freeze();
-  await lab.pass(5000);
+  await lab.advance(5000);
   process.thaw();
-  await lab.pass(10);
+  await lab.advance(10);
   assert.deepEqual(
     done.map(({ what }) => what),
     ['a', 'b'],
@@ -140,6 +140,6 @@
   assert.ok(done.every(({ at, clock }) => at === 5010 && Math.abs(clock - startedAt - 5010 * 1.0005) < 1e-6));
   process.after(10, record('after the end'));
   process.kill();
-  await lab.pass(100);
+  await lab.advance(100);
   assert.equal(done.length, 2);
 });
--- a/packages/region/test/stays.test.ts
+++ b/packages/region/test/stays.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { drawTrouble } from '../src/hunt/index.js';
-import { Luck, Region, type Day, type DayResult, type Trouble } from '../src/index.js';
+import { drawFault } from '../src/hunt/index.js';
+import { RandomStream, Region, type SimulationScenario, type DayResult, type Fault } from '../src/index.js';
 import { shortDay } from './days.js';
 
 /** Length of the end of a day in which no job arrives. */
 const QUIET_END_S = 130;
 /** A short day with these faults, in the order of their times. */
-const dayWith = (troubles: readonly Trouble[], seed = 7): Day => {
+const dayWith = (troubles: readonly Fault[], seed = 7): SimulationScenario => {
   const short = shortDay(
     260,
     [...troubles].sort((a, b) => a.at_s - b.at_s),
@@ -28,7 +28,7 @@
  * Simulates a day and checks that every rule is kept, that every class, team and large job is served, and that every
  * job that can end has ended.
  */
-async function playKeepingJobs(day: Day): Promise<PlayedDay> {
+async function playKeepingJobs(day: SimulationScenario): Promise<PlayedDay> {
   const events: string[] = [];
   const logs: string[] = [];
   const region = new Region({
@@ -44,13 +44,13 @@
   return { result, events, logs: logs.join('') };
 }
 
-const cut = (at_s: number, for_s: number, controller: number | 'leader'): Trouble => ({
+const cut = (at_s: number, for_s: number, controller: number | 'leader'): Fault => ({
   ...{ kind: 'controller_cut', at_s, for_s, controller, from: 'state and controllers', manner: 'hold' },
 });
-const crash = (at_s: number, controller: number | 'leader' | 'all', down_s: number): Trouble => ({
+const crash = (at_s: number, controller: number | 'leader' | 'all', down_s: number): Fault => ({
   ...{ kind: 'controller_crash', at_s, controller, down_s },
 });
-const duplicateReports = (late_s: number, for_s = 90): Trouble => ({
+const duplicateReports = (late_s: number, for_s = 90): Fault => ({
   kind: 'reports_again',
   at_s: 20,
   for_s,
@@ -59,7 +59,7 @@
 });
 
 /** Faults that are combined with each case. */
-const ADDITIONAL_FAULTS: Readonly<Record<string, readonly Trouble[]>> = {
+const ADDITIONAL_FAULTS: Readonly<Record<string, readonly Fault[]>> = {
   alone: [],
   'the state service is unavailable': [{ kind: 'state_outage', at_s: 55, for_s: 20 }],
   'the state service is slow': [{ kind: 'state_slow', at_s: 45, for_s: 40, times: 30 }],
@@ -70,7 +70,7 @@
 };
 
 /** Faults that the first description of the protocol did not cover. */
-const CASES: Readonly<Record<string, readonly Trouble[]>> = {
+const CASES: Readonly<Record<string, readonly Fault[]>> = {
   'reports of one machine arrive, but no responses or commands reach it': [
     { kind: 'machines_deaf', at_s: 45, for_s: 60, count: 1 },
   ],
@@ -122,8 +122,8 @@
 test('a controller that reaches only its workers fails its health check, and responds to users at once', async () => {
   const region = new Region({ day: dayWith([cut(50, 30, 1)]) });
   await region.play(62);
-  const { seat: spec } = region.controllers[1] ?? assert.fail();
-  const externalProcess = region.bystander('asker');
+  const { spec: spec } = region.controllers[1] ?? assert.fail();
+  const externalProcess = region.createExternalProcess('asker');
   const { HttpClient } = await import('../../../src/kernel/index.js');
   const client = new HttpClient(spec.serveOn, 1, externalProcess);
   const responses = [
@@ -142,11 +142,11 @@
   const kinds = new Set(['machines_deaf', 'reports_again', 'machines_restart', 'controller_cut', 'controller_crash']);
   await fc.assert(
     fc.asyncProperty(fc.integer({ min: 0, max: 2 ** 30 }), async (seed) => {
-      const rng = new Luck(seed, 'left out');
+      const rng = new RandomStream(seed, 'left out');
       const base = shortDay(150, [], seed);
-      const drawn: Trouble[] = [];
+      const drawn: Fault[] = [];
       while (drawn.length < 5) {
-        const trouble = drawTrouble(rng, base);
+        const trouble = drawFault(rng, base);
         if (kinds.has(trouble.kind) || drawn.length === 4) drawn.push(trouble);
       }
       const region = new Region({ day: { ...base, troubles: drawn } });
@@ -171,7 +171,9 @@
     },
   });
   await region.play(muteAt + 0.5);
-  const muteMachines = new Set([...region.parts.workers].filter(([, { model }]) => model.mute).map(([id]) => id));
+  const muteMachines = new Set(
+    [...region.parts.workers].filter(([, { model }]) => model.dropsOutbound).map(([id]) => id),
+  );
   assert.ok(muteMachines.size >= 5, String(muteMachines.size));
   // By then the lease and two report intervals are over, and the leader has asked the cloud for its machines.
   await region.play(muteAt + lease_s + 2 * report_s + 15);
--- a/packages/trace/src/cli/command.ts
+++ b/packages/trace/src/cli/command.ts
@@ -8,7 +8,7 @@
   type Address,
   type Logger,
 } from '../../../../src/kernel/index.js';
-import { readTraceIn, verifyTrace } from '../read.js';
+import { readTraceDirectory, verifyTrace } from '../read.js';
 import { Recorder, type TrailSource } from '../record/index.js';
 import { diskFiles, TraceStore } from '../store/index.js';
 import { lockDirectory } from './lock.js';
@@ -87,7 +87,7 @@
     if (flags.forS !== undefined) setTimeout(stop, flags.forS * 1000);
   });
   const unlock = lockDirectory(flags.out);
-  const { store, ids: rowsById } = await TraceStore.open(diskFiles(flags.out), systemRuntime.wall());
+  const { store, rowsById: rowsById } = await TraceStore.open(diskFiles(flags.out), systemRuntime.wall());
   const options = {
     pollMs: flags.pollS * 1000,
     segmentRows: flags.segmentRows,
@@ -140,7 +140,7 @@
   .description('show the events of a trace by kind, and its gaps')
   .argument('<dir>')
   .action(async (dir: string) => {
-    const trace = await readTraceIn(dir);
+    const trace = await readTraceDirectory(dir);
     const kinds = new Map<string, number>();
     for (const { kind } of trace.rows) kinds.set(kind, (kinds.get(kind) ?? 0) + 1);
     const formatTime = (ms: number | null): string => (ms === null ? 'open' : new Date(ms).toISOString());
@@ -149,7 +149,7 @@
     );
     for (const [kind, count] of [...kinds].sort(([a], [b]) => (a < b ? -1 : 1)))
       process.stdout.write(`${String(count).padStart(9)} ${kind}\n`);
-    process.stdout.write(`${String(trace.repeated).padStart(9)} duplicates\n`);
+    process.stdout.write(`${String(trace.duplicates).padStart(9)} duplicates\n`);
     for (const gap of trace.gaps)
       process.stdout.write(
         `missing: ${gap.node} ${gap.why}, events ${gap.fromN ?? '?'} to ${gap.toN ?? '?'}, ${formatTime(gap.sinceMs)} to ${formatTime(gap.untilMs)}\n`,
--- a/packages/trace/src/index.ts
+++ b/packages/trace/src/index.ts
@@ -1,5 +1,5 @@
 // Records the event trails of all controllers into a trace on disk, and reads such traces.
-export { mergeRows, readTrace, readTraceIn, verifyTrace, type Trace } from './read.js';
+export { mergeRows, readTrace, readTraceDirectory, verifyTrace, type Trace } from './read.js';
 export {
   Recorder,
   applyPage,
@@ -11,8 +11,8 @@
   type TrailSource,
 } from './record/index.js';
 export {
-  detailOf,
-  digest,
+  parseDetail,
+  sha256Hex,
   diskFiles,
   encodeManifest,
   KilledError,
--- a/packages/trace/src/read.ts
+++ b/packages/trace/src/read.ts
@@ -22,7 +22,7 @@
   /** Names of the recorded controllers. */
   readonly nodes: readonly string[];
   /** Number of duplicate reports: by several controllers, or by several incarnations of one. */
-  readonly repeated: number;
+  readonly duplicates: number;
 }
 
 /** A controller that was last read at most this long before the end of the recording counts as read to the end. */
@@ -44,7 +44,7 @@
 }
 
 /** Reads the trace in a directory; a TraceError also names the directory. */
-export async function readTraceIn(dir: string): Promise<Trace> {
+export async function readTraceDirectory(dir: string): Promise<Trace> {
   try {
     return await readTrace(diskFiles(dir));
   } catch (error) {
@@ -69,7 +69,7 @@
     rows,
     gaps: [...manifest.gaps, ...unreadGaps(manifest.cursors, manifest.recordedToMs, READ_TOLERANCE_MS)],
     nodes: manifest.cursors.map(({ node }) => node),
-    repeated: duplicates,
+    duplicates: duplicates,
   };
 }
 
--- a/packages/trace/src/store/manifest.ts
+++ b/packages/trace/src/store/manifest.ts
@@ -73,12 +73,12 @@
 export type Segment = Manifest['segments'][number];
 
 /** SHA-256 as lower-case hex digits. */
-export const digest = (bytes: Uint8Array): string => bytesToHex(sha256(bytes));
+export const sha256Hex = (bytes: Uint8Array): string => bytesToHex(sha256(bytes));
 
 /** Encodes a manifest: the SHA-256 of the JSON text in the first line, then the JSON. */
 export function encodeManifest(manifest: Manifest): Uint8Array {
   const body = `${JSON.stringify(manifest, null, 1)}\n`;
-  return utf8ToBytes(`${digest(utf8ToBytes(body))}\n${body}`);
+  return utf8ToBytes(`${sha256Hex(utf8ToBytes(body))}\n${body}`);
 }
 
 /** Decodes a manifest and checks it; a TraceError names the file and what is wrong with it. */
@@ -86,7 +86,7 @@
   const text = new TextDecoder().decode(bytes);
   const lineEnd = text.indexOf('\n');
   const body = text.slice(lineEnd + 1);
-  if (lineEnd < 0 || text.slice(0, lineEnd) !== digest(utf8ToBytes(body)))
+  if (lineEnd < 0 || text.slice(0, lineEnd) !== sha256Hex(utf8ToBytes(body)))
     throw new TraceError(`${name}: damaged, checksum mismatch`);
   let raw: unknown;
   try {
--- a/packages/trace/src/store/row.ts
+++ b/packages/trace/src/store/row.ts
@@ -69,7 +69,7 @@
 }
 
 /** Parses the `detail` of a row; empty if that is not an object. */
-export function detailOf(row: TraceRow): Readonly<Record<string, unknown>> {
+export function parseDetail(row: TraceRow): Readonly<Record<string, unknown>> {
   const parsed = JSON.parse(row.detail) as unknown;
   return typeof parsed === 'object' && parsed !== null ? (parsed as Record<string, unknown>) : {};
 }
--- a/packages/trace/src/store/store.ts
+++ b/packages/trace/src/store/store.ts
@@ -1,7 +1,7 @@
 import type { Files } from './files.js';
 import {
   decodeManifest,
-  digest,
+  sha256Hex,
   encodeManifest,
   TraceError,
   type Gap,
@@ -30,7 +30,7 @@
 export async function readSegment(files: Files, segment: Segment): Promise<TraceRow[]> {
   const bytes = await files.read(segment.file);
   if (!bytes) throw new TraceError(`${segment.file}: missing`);
-  if (bytes.length !== segment.bytes || digest(bytes) !== segment.sha256)
+  if (bytes.length !== segment.bytes || sha256Hex(bytes) !== segment.sha256)
     throw new TraceError(`${segment.file}: damaged, size or checksum mismatch`);
   const rows = await decodeSegment(bytes);
   if (rows.length !== segment.rows)
@@ -68,7 +68,7 @@
    * Opens a trace to append to it, or creates one; also returns the preferred row of each recorded event by its id. A
    * damaged trace is refused with a TraceError, so that data which might be repaired is not overwritten.
    */
-  static async open(files: Files, nowMs: number): Promise<{ store: TraceStore; ids: Map<string, TraceRow> }> {
+  static async open(files: Files, nowMs: number): Promise<{ store: TraceStore; rowsById: Map<string, TraceRow> }> {
     const names = await files.list();
     const manifest = await readManifest(files);
     if (!manifest && names.some((name) => SEGMENT_FILE.test(name)))
@@ -96,7 +96,7 @@
     // The manifest is written before the first segment: if the writer were killed between the two in the other order,
     // the trace would look like one whose manifest was lost.
     if (!manifest) await store.commitManifest(emptyManifest);
-    return { store, ids: rowsById };
+    return { store, rowsById: rowsById };
   }
 
   /** The manifest as last written. */
@@ -114,7 +114,7 @@
       this.nextSegmentNumber += 1;
       const times = rows.map((row) => row.at);
       segments.push({
-        ...{ file, rows: rows.length, bytes: bytes.length, sha256: digest(bytes) },
+        ...{ file, rows: rows.length, bytes: bytes.length, sha256: sha256Hex(bytes) },
         ...{ fromMs: min(times), toMs: max(times) },
       });
     }
--- a/packages/trace/test/follow.test.ts
+++ b/packages/trace/test/follow.test.ts
@@ -30,7 +30,7 @@
   addEvents(count: number): void {
     for (let i = 0; i < count; i++) {
       this.clockMs += 10;
-      this.trail.note({ kind: 'claimed', shard: shardName('s') });
+      this.trail.record({ kind: 'claimed', shard: shardName('s') });
       this.eventCounts.set(`life-${this.lives}`, (this.eventCounts.get(`life-${this.lives}`) ?? 0) + 1);
     }
   }
--- a/packages/trace/test/store.test.ts
+++ b/packages/trace/test/store.test.ts
@@ -25,7 +25,7 @@
 
 /** Stands in for a recorder: appends the events after the stored cursor, up to `last`, four to a segment. */
 async function recordUpTo(files: MemoryFiles, last: number): Promise<void> {
-  const { store, ids: rowsById } = await TraceStore.open(files, 0);
+  const { store, rowsById: rowsById } = await TraceStore.open(files, 0);
   let after = store.manifest.cursors[0]?.after ?? 0;
   while (after < last) {
     const upTo = Math.min(last, after + 4);
@@ -57,7 +57,7 @@
         Array.from({ length: LAST_EVENT }, (_, i) => i + 1),
         `killed at operation ${killAt}`,
       );
-      assert.equal(trace.repeated, 0, `duplicates, killed at operation ${killAt}`);
+      assert.equal(trace.duplicates, 0, `duplicates, killed at operation ${killAt}`);
       assert.equal((await verifyTrace(files)).errors.size, 0);
     }
   }
--- a/packages/whatif/src/answer/classes.ts
+++ b/packages/whatif/src/answer/classes.ts
@@ -1,8 +1,8 @@
 import { build } from 'hdr-histogram-js';
-import type { NightFacts, Outcome } from '../night/index.js';
+import type { PlatformFacts, JobOutcome } from '../night/index.js';
 
 /** Summary of the jobs of one class or one team in one night. */
-export interface Fared {
+export interface OutcomeSummary {
   readonly jobs: number;
   /** Number of jobs that were done when the night ended. */
   readonly done: number;
@@ -33,8 +33,8 @@
  * Objectives without a job or task to count are left out.
  */
 function objectiveShares(
-  outcomes: readonly Outcome[],
-  objectives: NightFacts['objectives'],
+  outcomes: readonly JobOutcome[],
+  objectives: PlatformFacts['objectives'],
   endS: number,
 ): Record<string, number> {
   const shares: Record<string, number> = {};
@@ -60,19 +60,19 @@
 }
 
 /** Groups outcomes by `key` and summarizes each group. `endS` is the end of the night. */
-export function fared(
-  outcomes: Iterable<Outcome>,
-  key: (outcome: Outcome) => string,
-  facts: NightFacts,
+export function summarizeOutcomes(
+  outcomes: Iterable<JobOutcome>,
+  key: (outcome: JobOutcome) => string,
+  facts: PlatformFacts,
   endS: number,
-): Map<string, Fared> {
-  const groups = new Map<string, Outcome[]>();
+): Map<string, OutcomeSummary> {
+  const groups = new Map<string, JobOutcome[]>();
   for (const outcome of outcomes) {
     const list = groups.get(key(outcome));
     if (list) list.push(outcome);
     else groups.set(key(outcome), [outcome]);
   }
-  const result = new Map<string, Fared>();
+  const result = new Map<string, OutcomeSummary>();
   for (const [name, list] of [...groups].sort(([a], [b]) => (a < b ? -1 : 1))) {
     const done = list.filter(({ phase }) => phase === 'done');
     result.set(name, {
--- a/packages/whatif/src/answer/errors.ts
+++ b/packages/whatif/src/answer/errors.ts
@@ -1,5 +1,5 @@
 import { quantileSorted } from 'simple-statistics';
-import type { Outcome, Scenario } from '../night/index.js';
+import type { JobOutcome, Scenario } from '../night/index.js';
 
 /**
  * Tolerance within which a replayed finishing time counts as equal to the recorded one: `s` seconds, or `share` of the
@@ -29,7 +29,7 @@
 }
 
 /** Returns the recorded outcomes that a replay can be compared with: jobs done, and entirely inside the recording. */
-export const comparableOutcomes = (scenario: Scenario, recorded: ReadonlyMap<string, Outcome>): Outcome[] =>
+export const comparableOutcomes = (scenario: Scenario, recorded: ReadonlyMap<string, JobOutcome>): JobOutcome[] =>
   scenario.jobs.flatMap(({ spec, cut }) => {
     const outcome = recorded.get(spec.id);
     return cut === null && outcome?.phase === 'done' ? [outcome] : [];
@@ -38,8 +38,8 @@
 /** Compares the finishing times of a replay with the recorded ones. */
 export function replayErrors(
   scenario: Scenario,
-  recorded: ReadonlyMap<string, Outcome>,
-  played: ReadonlyMap<string, Outcome>,
+  recorded: ReadonlyMap<string, JobOutcome>,
+  played: ReadonlyMap<string, JobOutcome>,
 ): ReplayErrors {
   const errors: number[] = [];
   const byClass: Record<string, { jobs: number; within: number }> = {};
--- a/packages/whatif/src/answer/forecast.ts
+++ b/packages/whatif/src/answer/forecast.ts
@@ -1,11 +1,11 @@
 import { median, quantileSorted } from 'simple-statistics';
-import type { Outcome, Scenario } from '../night/index.js';
-import type { Played, ReplayOptions, Standing } from '../replay/index.js';
-import { fared, type Fared } from './classes.js';
+import type { JobOutcome, Scenario } from '../night/index.js';
+import type { ReplayResult, ReplayOptions, TimelineSample } from '../replay/index.js';
+import { summarizeOutcomes, type OutcomeSummary } from './classes.js';
 import { toleranceS } from './errors.js';
 
 /** A way of replaying a scenario with a seed. */
-export type Engine = (scenario: Scenario, seed: number, options?: ReplayOptions) => Promise<Played>;
+export type ReplayEngine = (scenario: Scenario, seed: number, options?: ReplayOptions) => Promise<ReplayResult>;
 
 /** The predicted effect of a plan on one job. All times are in seconds since the night began. */
 export interface JobForecast {
@@ -46,13 +46,13 @@
   readonly fromS: number | null;
   readonly jobs: readonly JobForecast[];
   /** Summaries by job class: of the record, of the unchanged replay and of the replay with the plan. */
-  readonly classes: Readonly<Record<'recorded' | 'unchanged' | 'planned', ReadonlyMap<string, Fared>>>;
+  readonly classes: Readonly<Record<'recorded' | 'unchanged' | 'planned', ReadonlyMap<string, OutcomeSummary>>>;
   /** The same summaries by team. */
-  readonly teams: Readonly<Record<'recorded' | 'unchanged' | 'planned', ReadonlyMap<string, Fared>>>;
+  readonly teams: Readonly<Record<'recorded' | 'unchanged' | 'planned', ReadonlyMap<string, OutcomeSummary>>>;
   /** Mean cost of machines over the replays. */
   readonly money: { readonly unchanged: number; readonly planned: number };
   /** Running and waiting tasks and machines over time, for the first seed. */
-  readonly timelines: { readonly unchanged: readonly Standing[]; readonly planned: readonly Standing[] };
+  readonly timelines: { readonly unchanged: readonly TimelineSample[]; readonly planned: readonly TimelineSample[] };
 }
 
 const INTERVAL_LOW_QUANTILE = 0.05;
@@ -60,7 +60,7 @@
 /** Fewest residuals from which the error distribution of a class, or of all classes together, is used. */
 const MIN_RESIDUALS = 8;
 
-const finishTimesS = (runs: readonly Played[], id: string): number[] =>
+const finishTimesS = (runs: readonly ReplayResult[], id: string): number[] =>
   runs.flatMap((run) => run.outcomes.get(id)?.finishedS ?? []);
 const medianOrNull = (values: readonly number[]): number | null => (values.length > 0 ? median([...values]) : null);
 
@@ -70,15 +70,15 @@
  */
 function residualFactors(
   scenario: Scenario,
-  recorded: ReadonlyMap<string, Outcome>,
-  unchanged: readonly Played[],
+  recorded: ReadonlyMap<string, JobOutcome>,
+  unchanged: readonly ReplayResult[],
 ): (jobClass: string) => readonly number[] {
   const all: number[] = [];
   const byClass = new Map<string, number[]>();
   for (const { spec, cut } of scenario.jobs) {
     const recordedOutcome = recorded.get(spec.id);
     if (cut !== null || recordedOutcome?.phase !== 'done' || recordedOutcome.finishedS === null) continue;
-    if (recordedOutcome.finishedS < scenario.freeFromS) continue;
+    if (recordedOutcome.finishedS < scenario.divergesAtS) continue;
     for (const { outcomes } of unchanged) {
       const replayed = outcomes.get(spec.id);
       if (!replayed || replayed.finishedS === null) continue;
@@ -132,25 +132,25 @@
   name: string,
   base: Scenario,
   planned: Scenario,
-  recorded: ReadonlyMap<string, Outcome>,
-  engine: Engine,
+  recorded: ReadonlyMap<string, JobOutcome>,
+  engine: ReplayEngine,
   seeds: readonly number[],
   onProgress: (share: number) => void = () => undefined,
 ): Promise<Forecast> {
-  const hasNoEffect = !Number.isFinite(planned.freeFromS);
-  const unchangedScenario: Scenario = { ...base, freeFromS: planned.freeFromS };
-  const [unchangedRuns, plannedRuns]: [Played[], Played[]] = [[], []];
+  const hasNoEffect = !Number.isFinite(planned.divergesAtS);
+  const unchangedScenario: Scenario = { ...base, divergesAtS: planned.divergesAtS };
+  const [unchangedRuns, plannedRuns]: [ReplayResult[], ReplayResult[]] = [[], []];
   for (const [i, seed] of seeds.entries()) {
     unchangedRuns.push(await engine(unchangedScenario, seed));
     onProgress((i + 0.5) / seeds.length);
-    plannedRuns.push(hasNoEffect ? (unchangedRuns[i] as Played) : await engine(planned, seed));
+    plannedRuns.push(hasNoEffect ? (unchangedRuns[i] as ReplayResult) : await engine(planned, seed));
     onProgress((i + 1) / seeds.length);
   }
   const factors = residualFactors(unchangedScenario, recorded, unchangedRuns);
   const [firstUnchanged, firstPlanned] = [unchangedRuns[0], plannedRuns[0]];
   if (!firstUnchanged || !firstPlanned) throw new Error('a forecast needs at least one seed');
   const jobs = planned.jobs.map((job): JobForecast => {
-    const { spec, atS, work, changed } = job;
+    const { spec, atS, workS: work, changed } = job;
     const [unchangedFinishesS, plannedFinishesS] = [
       finishTimesS(unchangedRuns, spec.id),
       finishTimesS(plannedRuns, spec.id),
@@ -180,16 +180,17 @@
       decidedUnchanged: recordedJob?.decided ?? [],
     };
   });
-  const byClass = (outcomes: Iterable<Outcome>): ReadonlyMap<string, Fared> =>
-    fared(outcomes, ({ spec }) => spec.jobClass, base.facts, base.lengthS);
-  const byTeam = (outcomes: Iterable<Outcome>): ReadonlyMap<string, Fared> =>
-    fared(outcomes, ({ spec }) => spec.team, base.facts, base.lengthS);
+  const byClass = (outcomes: Iterable<JobOutcome>): ReadonlyMap<string, OutcomeSummary> =>
+    summarizeOutcomes(outcomes, ({ spec }) => spec.jobClass, base.facts, base.lengthS);
+  const byTeam = (outcomes: Iterable<JobOutcome>): ReadonlyMap<string, OutcomeSummary> =>
+    summarizeOutcomes(outcomes, ({ spec }) => spec.team, base.facts, base.lengthS);
   const [unchangedOutcomes, plannedOutcomes] = [firstUnchanged.outcomes.values(), firstPlanned.outcomes.values()].map(
     (values) => [...values],
   );
-  const meanCost = (runs: readonly Played[]): number => runs.reduce((sum, run) => sum + run.money, 0) / runs.length;
+  const meanCost = (runs: readonly ReplayResult[]): number =>
+    runs.reduce((sum, run) => sum + run.money, 0) / runs.length;
   return {
-    ...{ plan: name, seeds, fromS: hasNoEffect ? null : planned.freeFromS, jobs },
+    ...{ plan: name, seeds, fromS: hasNoEffect ? null : planned.divergesAtS, jobs },
     classes: {
       recorded: byClass(recorded.values()),
       unchanged: byClass(unchangedOutcomes ?? []),
--- a/packages/whatif/src/answer/index.ts
+++ b/packages/whatif/src/answer/index.ts
@@ -1,4 +1,4 @@
-export { fared, type Fared } from './classes.js';
+export { summarizeOutcomes, type OutcomeSummary } from './classes.js';
 export { comparableOutcomes, replayErrors, FINISH_TOLERANCE, toleranceS, type ReplayErrors } from './errors.js';
-export { forecast, type Engine, type Forecast, type JobForecast } from './forecast.js';
-export { forecastColumns, forecastTable, forecastPage } from './report.js';
+export { forecast, type ReplayEngine, type Forecast, type JobForecast } from './forecast.js';
+export { encodeForecastParquet, renderForecastTable, renderForecastPage } from './report.js';
--- a/packages/whatif/src/answer/report.ts
+++ b/packages/whatif/src/answer/report.ts
@@ -4,7 +4,7 @@
 import { DateTime } from 'luxon';
 import { svg } from '../../../region/src/index.js';
 import type { Gap } from '../../../trace/src/index.js';
-import type { Fared } from './classes.js';
+import type { OutcomeSummary } from './classes.js';
 import type { Forecast, JobForecast } from './forecast.js';
 
 /** Facts about the night that a report needs in addition to the forecast. */
@@ -43,7 +43,7 @@
 }
 
 /** Name of a group with its summary in the record, in the unchanged replay and in the replay with the plan. */
-type Row = readonly [string, Fared | undefined, Fared | undefined, Fared | undefined];
+type Row = readonly [string, OutcomeSummary | undefined, OutcomeSummary | undefined, OutcomeSummary | undefined];
 
 /** Returns one row per class or team, sorted by name. */
 function groupRows({ recorded, unchanged, planned }: Forecast['classes']): Row[] {
@@ -57,16 +57,16 @@
     (aim) =>
       `${aim}: ${percent(recorded?.aims[aim])} > ${percent(unchanged?.aims[aim])} > ${percent(planned?.aims[aim])}`,
   );
-const percentilePair = (q: Fared['finishS'] | undefined): string => (q ? `${q.p50} / ${q.p95}` : '-');
+const percentilePair = (q: OutcomeSummary['finishS'] | undefined): string => (q ? `${q.p50} / ${q.p95}` : '-');
 /** Formats a row as recorded > unchanged > planned. */
-const threeSides = (row: Row, format: (f: Fared) => string): string =>
+const threeSides = (row: Row, format: (f: OutcomeSummary) => string): string =>
   row
     .slice(1)
     .map((f) => (typeof f === 'object' ? format(f) : '-'))
     .join(' > ');
 
 /** Renders a forecast as text tables for a terminal. */
-export function forecastTable(forecast: Forecast, facts: ReportContext): string {
+export function renderForecastTable(forecast: Forecast, facts: ReportContext): string {
   const groups = new Table({
     head: ['', 'jobs', 'turnaround s', 'wait s', 'restarts', 'objectives met'],
     style: { head: [], border: [] },
@@ -120,7 +120,7 @@
 }
 
 /** Encodes all jobs of a forecast as a Parquet file. */
-export function forecastColumns({ jobs, plan }: Forecast): Uint8Array {
+export function encodeForecastParquet({ jobs, plan }: Forecast): Uint8Array {
   const column = <T>(read: (job: JobForecast) => T): T[] => jobs.map(read);
   return new Uint8Array(
     parquetWriteBuffer({
@@ -262,7 +262,7 @@
 `;
 
 /** Renders a forecast as one HTML page with charts. */
-export async function forecastPage(forecast: Forecast, facts: ReportContext): Promise<string> {
+export async function renderForecastPage(forecast: Forecast, facts: ReportContext): Promise<string> {
   const pending = renderCharts(forecast);
   const charts = {
     ...{ running: await pending.running, waiting: await pending.waiting },
--- a/packages/whatif/src/cli/command.ts
+++ b/packages/whatif/src/cli/command.ts
@@ -2,17 +2,24 @@
 import { join } from 'node:path';
 import { Presets, SingleBar } from 'cli-progress';
 import { Command, InvalidArgumentError, Option } from 'commander';
-import { fleetDay, readDay, Region } from '../../../region/src/index.js';
-import { diskFiles, readTraceIn, type Trace } from '../../../trace/src/index.js';
-import { forecast, forecastColumns, forecastPage, forecastTable, replayErrors, type Engine } from '../answer/index.js';
+import { fleetDay, parseScenario, Region } from '../../../region/src/index.js';
+import { diskFiles, readTraceDirectory, type Trace } from '../../../trace/src/index.js';
+import {
+  forecast,
+  encodeForecastParquet,
+  renderForecastPage,
+  renderForecastTable,
+  replayErrors,
+  type ReplayEngine,
+} from '../answer/index.js';
 import { predict, replaySpeed, reproduce } from '../measure/index.js';
-import { outcomesOf, readNight, scenarioOf, type Night } from '../night/index.js';
+import { jobOutcomes, readNight, buildScenario, type Night } from '../night/index.js';
 import { applyPlan, PlanError, readPlan, type Plan } from '../plan/index.js';
-import { playDecisions, playWhole, recordRegion } from '../replay/index.js';
+import { replayWithDecisions, replayWithControllers, recordRegion } from '../replay/index.js';
 import { search, type SearchFlags } from './search.js';
 
 /** Ways of replaying a night, by the name of the --engine option. */
-const ENGINES = { decisions: playDecisions, whole: playWhole } as const;
+const ENGINES = { decisions: replayWithDecisions, whole: replayWithControllers } as const;
 type EngineName = keyof typeof ENGINES;
 
 /** Parses an option value; commander prints the error with the option's name. */
@@ -37,7 +44,7 @@
 
 /** Reads a trace from a directory, and the night that it records. */
 export async function loadNight(dir: string): Promise<{ trace: Trace; night: Night }> {
-  const trace = await readTraceIn(dir);
+  const trace = await readTraceDirectory(dir);
   return { trace, night: readNight(trace) };
 }
 
@@ -79,17 +86,17 @@
 /** Replays a night unchanged and prints how far its finishing times differ from the record. */
 async function replay(dir: string, flags: ReplayFlags): Promise<void> {
   const { trace, night } = await loadNight(dir);
-  const scenario = scenarioOf(night);
+  const scenario = buildScenario(night);
   const free = flags.free === true || flags.engine === 'whole';
-  const engine: Engine = ENGINES[flags.engine];
+  const engine: ReplayEngine = ENGINES[flags.engine];
   const startedAtMs = performance.now();
   const played = await withProgressBar('replay', (onProgress) =>
-    engine({ ...scenario, freeFromS: free ? 0 : Infinity }, flags.seed, {
-      moved: (atS) => onProgress(Math.min(1, atS / night.lengthS)),
+    engine({ ...scenario, divergesAtS: free ? 0 : Infinity }, flags.seed, {
+      onProgress: (atS) => onProgress(Math.min(1, atS / night.lengthS)),
     }),
   );
   const tookS = (performance.now() - startedAtMs) / 1000;
-  const errors = replayErrors(scenario, outcomesOf(night), played.outcomes);
+  const errors = replayErrors(scenario, jobOutcomes(night), played.outcomes);
   if (flags.json) {
     const { engine: name, seed } = flags;
     const report = { engine: name, seed, free, nightS: night.lengthS, tookS, gaps: trace.gaps, ...errors };
@@ -133,8 +140,8 @@
 /** Forecasts each plan against the unchanged night, and prints or writes the results. */
 async function compare(dir: string, files: readonly string[], flags: CompareFlags): Promise<void> {
   const { trace, night } = await loadNight(dir);
-  const base = scenarioOf(night);
-  const recorded = outcomesOf(night);
+  const base = buildScenario(night);
+  const recorded = jobOutcomes(night);
   // All plans are read and validated before the first one is replayed.
   const plans = files.map((file) => {
     const plan = loadPlan(file);
@@ -153,15 +160,16 @@
       forecast(plan.name, base, scenario, recorded, ENGINES[flags.engine], seeds, onProgress),
     );
     const facts = { fromMs: night.fromMs, zone: plan.time_zone, gaps: trace.gaps };
-    if (flags.report !== undefined) writeFileSync(numberedFile(flags.report, i), await forecastPage(result, facts));
-    if (flags.columns !== undefined) writeFileSync(numberedFile(flags.columns, i), forecastColumns(result));
+    if (flags.report !== undefined)
+      writeFileSync(numberedFile(flags.report, i), await renderForecastPage(result, facts));
+    if (flags.columns !== undefined) writeFileSync(numberedFile(flags.columns, i), encodeForecastParquet(result));
     const { plan: name, seeds: usedSeeds, fromS, jobs, classes, teams, money } = result;
     const plainMaps = (side: typeof classes): unknown =>
       Object.fromEntries(Object.entries(side).map(([name, map]) => [name, Object.fromEntries(map)]));
     process.stdout.write(
       flags.json
         ? `${JSON.stringify({ plan: name, seeds: usedSeeds, fromS, jobs, money, classes: plainMaps(classes), teams: plainMaps(teams), gaps: trace.gaps })}\n`
-        : `${forecastTable(result, facts)}\n`,
+        : `${renderForecastTable(result, facts)}\n`,
     );
   }
 }
@@ -216,7 +224,7 @@
   .command('measure')
   .description('measure the replay on simulated nights; prints one JSON object per line');
 const printJsonLine = (result: unknown): void => void process.stdout.write(`${JSON.stringify(result)}\n`);
-const loadDay = (file: string): ReturnType<typeof readDay> => readDay(readFileSync(file, 'utf8'), file);
+const loadDay = (file: string): ReturnType<typeof parseScenario> => parseScenario(readFileSync(file, 'utf8'), file);
 
 measure
   .command('reproduce')
@@ -261,7 +269,7 @@
   .requiredOption('--out <dir>', 'directory of the trace')
   .option('--seed <n>', 'seed to use instead of the one of the day', parseWholeNumber)
   .action(async (file: string, flags: { out: string; seed?: number }) => {
-    const day = readDay(readFileSync(file, 'utf8'), file);
+    const day = parseScenario(readFileSync(file, 'utf8'), file);
     const region = new Region({ day, trailEvents: 400_000, ...(flags.seed === undefined ? {} : { seed: flags.seed }) });
     mkdirSync(flags.out, { recursive: true });
     await withProgressBar(day.name, (onProgress) =>
--- a/packages/whatif/src/cli/search.ts
+++ b/packages/whatif/src/cli/search.ts
@@ -5,10 +5,10 @@
 import Table from 'cli-table3';
 import { parse, stringify } from 'smol-toml';
 import { quantileSorted } from 'simple-statistics';
-import { digest, diskFiles, readTraceIn } from '../../../trace/src/index.js';
-import { readNight, scenarioOf } from '../night/index.js';
+import { sha256Hex, diskFiles, readTraceDirectory } from '../../../trace/src/index.js';
+import { readNight, buildScenario } from '../night/index.js';
 import { applyPlan, PlanError, readPlan } from '../plan/index.js';
-import { playDecisions } from '../replay/index.js';
+import { replayWithDecisions } from '../replay/index.js';
 
 /** Options of `whatif search`. */
 export interface SearchFlags {
@@ -73,9 +73,9 @@
 
 /** Replays one trial and summarizes its outcomes by class. */
 async function runTrial({ dir, toml, seed }: Trial): Promise<TrialResult> {
-  const night = readNight(await readTraceIn(dir));
-  const scenario = applyPlan(scenarioOf(night), readPlan(toml, 'the varied plan'));
-  const { outcomes, money } = await playDecisions(scenario, seed);
+  const night = readNight(await readTraceDirectory(dir));
+  const scenario = applyPlan(buildScenario(night), readPlan(toml, 'the varied plan'));
+  const { outcomes, money } = await replayWithDecisions(scenario, seed);
   const byClass = new Map<string, { times: number[]; jobs: number; lastS: number }>();
   for (const { spec, submittedS, finishedS, phase } of outcomes.values()) {
     if (spec.kind === 'service') continue;
@@ -161,8 +161,8 @@
     throw new PlanError(`plan ${planFile} cannot be read`);
   }
   readPlan(toml, planFile);
-  const night = readNight(await readTraceIn(dir));
-  const base = scenarioOf(night);
+  const night = readNight(await readTraceDirectory(dir));
+  const base = buildScenario(night);
   const values = Array.from({ length: flags.steps }, (_, i) =>
     flags.steps === 1 ? from : from + ((to - from) * i) / (flags.steps - 1),
   );
@@ -173,7 +173,7 @@
     // Rejects an invalid plan before any replay starts.
     applyPlan(base, readPlan(varied, `${planFile} with ${path}=${value}`));
     return Array.from({ length: flags.seeds }, (_, seed) => {
-      const key = digest(Buffer.from(JSON.stringify([digest(manifest ?? new Uint8Array()), varied, seed])));
+      const key = sha256Hex(Buffer.from(JSON.stringify([sha256Hex(manifest ?? new Uint8Array()), varied, seed])));
       return { value, file: join(flags.out, `${key.slice(0, 32)}.json`), dir, toml: varied, seed };
     });
   });
--- a/packages/whatif/src/measure/measure.ts
+++ b/packages/whatif/src/measure/measure.ts
@@ -1,12 +1,12 @@
-import { Luck, type Day, Region } from '../../../region/src/index.js';
+import { RandomStream, type SimulationScenario, Region } from '../../../region/src/index.js';
 import { MemoryFiles, readTrace } from '../../../trace/src/index.js';
-import { fared, forecast, replayErrors, type Fared, type ReplayErrors } from '../answer/index.js';
-import { outcomesOf, readNight, scenarioOf, type Night, type Outcome, type Scenario } from '../night/index.js';
+import { summarizeOutcomes, forecast, replayErrors, type OutcomeSummary, type ReplayErrors } from '../answer/index.js';
+import { jobOutcomes, readNight, buildScenario, type Night, type JobOutcome, type Scenario } from '../night/index.js';
 import { applyPlan, readPlan } from '../plan/index.js';
-import { playDecisions, playWhole, recordRegion } from '../replay/index.js';
+import { replayWithDecisions, replayWithControllers, recordRegion } from '../replay/index.js';
 
 /** Records a day of the simulated region in memory. */
-export async function recordNight(day: Day, seed: number): Promise<Night> {
+export async function recordNight(day: SimulationScenario, seed: number): Promise<Night> {
   const region = new Region({ day, seed, trailEvents: 400_000 });
   const files = new MemoryFiles();
   await recordRegion(region, files, () => region.play(day.duration_s));
@@ -31,12 +31,12 @@
   readonly aimsOff: Readonly<Record<'followed' | 'decisions' | 'whole', number>>;
 }
 
-type Outcomes = ReadonlyMap<string, Outcome>;
+type Outcomes = ReadonlyMap<string, JobOutcome>;
 
 /** Computes `aimsOff` for one replay, rounded to a tenth of a percentage point. */
 function largestAimDifference(recorded: Outcomes, played: Outcomes, { facts, lengthS }: Scenario): number {
-  const byClass = (outcomes: Outcomes): ReadonlyMap<string, Fared> =>
-    fared(outcomes.values(), ({ spec }) => spec.jobClass, facts, lengthS);
+  const byClass = (outcomes: Outcomes): ReadonlyMap<string, OutcomeSummary> =>
+    summarizeOutcomes(outcomes.values(), ({ spec }) => spec.jobClass, facts, lengthS);
   const playedClasses = byClass(played);
   let largest = 0;
   for (const [name, { aims }] of byClass(recorded))
@@ -46,15 +46,15 @@
 }
 
 /** Records a night of a simulated day, replays it unchanged in each way and compares the outcomes with the record. */
-export async function reproduce(day: Day, seed: number): Promise<ReproduceReport> {
+export async function reproduce(day: SimulationScenario, seed: number): Promise<ReproduceReport> {
   const night = await recordNight(day, seed);
-  const scenario = scenarioOf(night);
-  const recorded = outcomesOf(night);
+  const scenario = buildScenario(night);
+  const recorded = jobOutcomes(night);
   const free = { ...scenario, freeFromS: 0 };
   const runs = {
-    followed: (await playDecisions(scenario, seed + 1)).outcomes,
-    decisions: (await playDecisions(free, seed + 1)).outcomes,
-    whole: (await playWhole(free, seed + 1)).outcomes,
+    followed: (await replayWithDecisions(scenario, seed + 1)).outcomes,
+    decisions: (await replayWithDecisions(free, seed + 1)).outcomes,
+    whole: (await replayWithControllers(free, seed + 1)).outcomes,
   };
   const errors = (played: Outcomes): ReplayErrors => replayErrors(scenario, recorded, played);
   const aimsOffFor = (played: Outcomes): number => largestAimDifference(recorded, played, scenario);
@@ -83,13 +83,18 @@
 }
 
 /** Compares a forecast by the decision functions alone with a run of whole controllers with the same plan. */
-export async function predict(day: Day, seed: number, toml: string, seeds: readonly number[]): Promise<PredictReport> {
+export async function predict(
+  day: SimulationScenario,
+  seed: number,
+  toml: string,
+  seeds: readonly number[],
+): Promise<PredictReport> {
   const night = await recordNight(day, seed);
-  const base = scenarioOf(night);
+  const base = buildScenario(night);
   const plan = readPlan(toml, 'plan');
   const planned = applyPlan(base, plan);
-  const result = await forecast(plan.name, base, planned, outcomesOf(night), playDecisions, seeds);
-  const simulated = await playWhole(planned, seed);
+  const result = await forecast(plan.name, base, planned, jobOutcomes(night), replayWithDecisions, seeds);
+  const simulated = await replayWithControllers(planned, seed);
   const groups = new Map<string, { jobs: number; inside: number; errors: number[] }>();
   let [jobs, inside] = [0, 0];
   for (const job of result.jobs) {
@@ -128,20 +133,20 @@
 
 /** Measures the speed of replaying a night of a fleet with the replay's own decisions. */
 export async function replaySpeed(
-  day: Day,
+  day: SimulationScenario,
   machines: number,
   clock: () => number,
   rss: () => number,
   withWhole: boolean,
 ): Promise<readonly ReplaySpeed[]> {
   const night = await recordNight(day, day.seed);
-  const scenario = { ...scenarioOf(night), freeFromS: 0 };
+  const scenario = { ...buildScenario(night), freeFromS: 0 };
   const tasks = scenario.jobs.reduce((sum, { spec }) => sum + spec.tasks, 0);
   const measured: ReplaySpeed[] = [];
-  const engines = { decisions: playDecisions, ...(withWhole ? { whole: playWhole } : {}) };
+  const engines = { decisions: replayWithDecisions, ...(withWhole ? { whole: replayWithControllers } : {}) };
   for (const [engine, play] of Object.entries(engines)) {
     const startedAtMs = clock();
-    await play(scenario, new Luck(day.seed, engine).whole(1000));
+    await play(scenario, new RandomStream(day.seed, engine).integerBelow(1000));
     const tookS = (clock() - startedAtMs) / 1000;
     const rssMb = Math.round(rss() / 1024 / 1024);
     measured.push({
--- a/packages/whatif/src/night/deaths.ts
+++ b/packages/whatif/src/night/deaths.ts
@@ -1,7 +1,7 @@
 import type { Night, RecordedMachine } from './night.js';
 
 /** The holder of a silent machine declares it dead after two report intervals plus this time. */
-export const DEAD_S = 2.7;
+export const SILENT_MACHINE_MARGIN_S = 2.7;
 
 /** A machine reports its last sign of life itself, so its death is at least this many seconds later. */
 const ALIVE_AFTER_LAST_SIGN_S = 0.5;
@@ -26,7 +26,7 @@
     const earliestS = (lastSignS.get(m.id) ?? 0) + ALIVE_AFTER_LAST_SIGN_S;
     if (m.lostS !== null) return Math.max(earliestS, m.lostS - leaseMs / 1000 - reportS / 2);
     if (m.returned?.why === 'lost or faulty' && m.faultyS === null)
-      return Math.max(earliestS, m.returned.atS - 2 * reportS - DEAD_S);
+      return Math.max(earliestS, m.returned.atS - 2 * reportS - SILENT_MACHINE_MARGIN_S);
     return null;
   };
   const deaths = new Map<string, number>();
--- a/packages/whatif/src/night/facts.ts
+++ b/packages/whatif/src/night/facts.ts
@@ -51,10 +51,10 @@
 });
 
 /** The platform's configuration in a recorded night: zones, teams and quotas, objectives, limits, machine types. */
-export type NightFacts = v.InferOutput<typeof factsSchema>;
+export type PlatformFacts = v.InferOutput<typeof factsSchema>;
 
 /** Validates the facts of a trace. Throws a TraceError that names the first invalid field. */
-export function parseFacts(raw: unknown): NightFacts {
+export function parseFacts(raw: unknown): PlatformFacts {
   const result = v.safeParse(factsSchema, raw);
   if (result.success) return result.output;
   const issue = result.issues[0];
--- a/packages/whatif/src/night/index.ts
+++ b/packages/whatif/src/night/index.ts
@@ -1,6 +1,13 @@
-export { DEAD_S } from './deaths.js';
-export type { NightFacts } from './facts.js';
-export { kindOf, readNight, type RecordedJob, type RecordedMachine, type Night } from './night.js';
-export { outcomesOf, type Outcome } from './outcome.js';
+export { SILENT_MACHINE_MARGIN_S } from './deaths.js';
+export type { PlatformFacts } from './facts.js';
+export { kindKeyOf, readNight, type RecordedJob, type RecordedMachine, type Night } from './night.js';
+export { jobOutcomes, type JobOutcome } from './outcome.js';
 export { deriveRunTimes, RunTimeModel, type RecordedRunTimes } from './runs.js';
-export { capacityFor, JOIN_S, scenarioOf, type PlayedJob, type PlayedMachine, type Scenario } from './scenario.js';
+export {
+  cloudCapacity,
+  JOIN_DELAY_S,
+  buildScenario,
+  type ScenarioJob,
+  type ScenarioMachine,
+  type Scenario,
+} from './scenario.js';
--- a/packages/whatif/src/night/night.ts
+++ b/packages/whatif/src/night/night.ts
@@ -1,6 +1,6 @@
-import { detailOf, type Gap, type Trace, type TraceRow } from '../../../trace/src/index.js';
+import { parseDetail, type Gap, type Trace, type TraceRow } from '../../../trace/src/index.js';
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { parseFacts, type NightFacts } from './facts.js';
+import { parseFacts, type PlatformFacts } from './facts.js';
 
 /** One attempt to run a task. Times are in seconds since the night began; null means not recorded. */
 export interface RecordedAttempt {
@@ -70,7 +70,7 @@
   /** The recording covers the start of every controller, rather than beginning while they run. */
   readonly coldStart: boolean;
   /** Configuration of the platform. */
-  readonly facts: NightFacts;
+  readonly facts: PlatformFacts;
   readonly jobs: ReadonlyMap<string, RecordedJob>;
   readonly machines: ReadonlyMap<string, RecordedMachine>;
   readonly incarnations: readonly ControllerIncarnation[];
@@ -88,7 +88,7 @@
 const OPEN_BEFORE_MARGIN_S = 2;
 
 /** Returns the key of a machine kind: type, zone and whether it is a spot machine. */
-export const kindOf = ({ type, zone, spot }: Pick<RecordedMachine, 'type' | 'zone' | 'spot'>): string =>
+export const kindKeyOf = ({ type, zone, spot }: Pick<RecordedMachine, 'type' | 'zone' | 'spot'>): string =>
   `${type} ${zone} ${spot ? 'spot' : 'ordinary'}`;
 
 /** Groups the events of a trace by job, machine and controller incarnation. */
@@ -103,7 +103,7 @@
   // Reads the job descriptions first: clock skew between controllers can order other events of a job before them.
   for (const row of rows) {
     if (row.kind !== 'job' || row.job === null) continue;
-    const { spec, submittedAt } = detailOf(row) as { spec?: JobSpec; submittedAt?: number };
+    const { spec, submittedAt } = parseDetail(row) as { spec?: JobSpec; submittedAt?: number };
     if (!spec || typeof submittedAt !== 'number') continue;
     const submittedS = (submittedAt - fromMs) / 1000;
     const before = submittedS < -OPEN_BEFORE_MARGIN_S;
@@ -114,7 +114,7 @@
     const id = row.machine ?? '';
     let found = machines.get(id);
     if (!found && (row.kind === 'rented' || row.kind === 'joined')) {
-      const { type, zone, spot } = detailOf(row) as { type: string; zone: string; spot: boolean };
+      const { type, zone, spot } = parseDetail(row) as { type: string; zone: string; spot: boolean };
       const unrecorded = { rentedS: null, joinedS: null, notice: null, lostS: null, faultyS: null, returned: null };
       machines.set(id, (found = { id, type, zone, spot, ...unrecorded }));
     }
@@ -145,26 +145,26 @@
     switch (row.kind) {
       case 'ended': {
         const job = jobs.get(row.job ?? '');
-        const phase = detailOf(row)['phase'] === 'cancelled' ? 'cancelled' : 'done';
+        const phase = parseDetail(row)['phase'] === 'cancelled' ? 'cancelled' : 'done';
         if (job) job.ended = { atS, phase };
         break;
       }
       case 'waits':
-        jobs.get(row.job ?? '')?.waits.push({ atS, missing: Number(detailOf(row)['missing'] ?? 0) });
+        jobs.get(row.job ?? '')?.waits.push({ atS, missing: Number(parseDetail(row)['missing'] ?? 0) });
         break;
       case 'began': {
         const found = recordedAttempt(row);
-        if (found && detailOf(row)['adopted'] !== true) found.beganS = atS;
+        if (found && parseDetail(row)['adopted'] !== true) found.beganS = atS;
         break;
       }
       case 'stopping': {
         const found = recordedAttempt(row);
-        if (found) found.stopping = String(detailOf(row)['why'] ?? '');
+        if (found) found.stopping = String(parseDetail(row)['why'] ?? '');
         break;
       }
       case 'left': {
         const found = recordedAttempt(row);
-        if (found) [found.leftS, found.why] = [atS, String(detailOf(row)['why'] ?? '')];
+        if (found) [found.leftS, found.why] = [atS, String(parseDetail(row)['why'] ?? '')];
         break;
       }
       case 'rented':
@@ -176,7 +176,7 @@
       }
       case 'notice': {
         const found = recordedMachine(row);
-        if (found) found.notice = { atS, leftS: Number(detailOf(row)['leftS'] ?? 0) };
+        if (found) found.notice = { atS, leftS: Number(parseDetail(row)['leftS'] ?? 0) };
         break;
       }
       case 'lost': {
@@ -191,11 +191,11 @@
       }
       case 'returned': {
         const found = recordedMachine(row);
-        if (found) found.returned = { atS, why: String(detailOf(row)['why'] ?? '') };
+        if (found) found.returned = { atS, why: String(parseDetail(row)['why'] ?? '') };
         break;
       }
       case 'short':
-        shortages.push({ atS, kind: kindOf(detailOf(row) as unknown as RecordedMachine) });
+        shortages.push({ atS, kind: kindKeyOf(parseDetail(row) as unknown as RecordedMachine) });
         break;
       default:
         break;
--- a/packages/whatif/src/night/outcome.ts
+++ b/packages/whatif/src/night/outcome.ts
@@ -2,7 +2,7 @@
 import type { Night, RecordedJob } from './night.js';
 
 /** The result of one job in a recorded or replayed night. All times are in seconds since the night began. */
-export interface Outcome {
+export interface JobOutcome {
   readonly id: string;
   readonly spec: JobSpec;
   readonly submittedS: number;
@@ -44,7 +44,7 @@
 }
 
 /** Derives the outcome of one job from its recorded attempts. */
-export function jobOutcome(job: RecordedJob): Outcome {
+export function jobOutcome(job: RecordedJob): JobOutcome {
   const firstStarts = new Map<number, number>();
   let starts = 0;
   for (const { index, beganS } of job.attempts) {
@@ -62,5 +62,5 @@
 }
 
 /** Returns the outcome of every job of a night, by job id. */
-export const outcomesOf = (night: Night): Map<string, Outcome> =>
+export const jobOutcomes = (night: Night): Map<string, JobOutcome> =>
   new Map([...night.jobs].map(([id, job]) => [id, jobOutcome(job)]));
--- a/packages/whatif/src/night/runs.ts
+++ b/packages/whatif/src/night/runs.ts
@@ -12,7 +12,7 @@
   /** Estimated time of death by machine id, for machines that died without a notice. Seconds since the night began. */
   readonly deathS: ReadonlyMap<string, number>;
   /** Estimates the run times of tasks whose end was not recorded. */
-  readonly fits: RunTimeModel;
+  readonly runTimeModel: RunTimeModel;
 }
 
 /** A machine counts as slow if the median of its run time ratios exceeds this factor. */
@@ -104,7 +104,7 @@
   const workS = new Map<string, ReadonlyMap<number, number>>();
   for (const [id, job] of night.jobs)
     if (job.spec.kind !== 'service') workS.set(id, completedWorkS(job, slowdown, deathS));
-  return { workS, slowdown, deathS, fits: new RunTimeModel(night, workS) };
+  return { workS, slowdown, deathS, runTimeModel: new RunTimeModel(night, workS) };
 }
 
 /** Fewest samples from which a distribution of run time factors is used. */
@@ -149,14 +149,14 @@
   }
 
   /** Returns the typical run time of a job in seconds, recorded or drawn; `random` returns numbers from 0 to 1. */
-  job(spec: JobSpec, random: () => number): number {
+  sampleJobRunS(spec: JobSpec, random: () => number): number {
     const recorded = this.medianRunS.get(spec.id);
     if (recorded !== undefined) return recorded;
     return Math.max(0.5, spec.estimateS) * sampleFactor(this.jobFactors.get(spec.jobClass) ?? [], random);
   }
 
   /** Draws the run time of one task in seconds, given the typical run time of its job. */
-  task(spec: JobSpec, typicalS: number, random: () => number): number {
+  sampleTaskRunS(spec: JobSpec, typicalS: number, random: () => number): number {
     return typicalS * sampleFactor(this.taskFactors.get(spec.jobClass) ?? [], random);
   }
 }
--- a/packages/whatif/src/night/scenario.ts
+++ b/packages/whatif/src/night/scenario.ts
@@ -1,22 +1,22 @@
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { kindOf, type RecordedJob, type Night } from './night.js';
-import type { NightFacts } from './facts.js';
+import { kindKeyOf, type RecordedJob, type Night } from './night.js';
+import type { PlatformFacts } from './facts.js';
 import { deriveRunTimes, type RecordedRunTimes } from './runs.js';
 
 /** One job as the replay submits it. Times are in seconds since the night began. */
-export interface PlayedJob {
+export interface ScenarioJob {
   readonly spec: JobSpec;
   /** Submission. */
   readonly atS: number;
   /** Cancellation by the owner, or null if the job was not cancelled. */
   readonly cancelAtS: number | null;
   /** Seconds of work by task index; a gang has one entry, under task 0. Missing run times are drawn from a model. */
-  readonly work: ReadonlyMap<number, number>;
+  readonly workS: ReadonlyMap<number, number>;
   /**
    * Seconds from the end of the last task until the completion of the job was stored, or null if the job was not done.
    * An outage of the state service lengthens this delay.
    */
-  readonly writeS: number | null;
+  readonly completionWriteS: number | null;
   /** The job's own fault makes its tasks fail on every machine. */
   readonly mistaken: boolean;
   /**
@@ -29,7 +29,7 @@
 }
 
 /** One machine as the replay provides it. Times are in seconds since the night began unless stated otherwise. */
-export interface PlayedMachine {
+export interface ScenarioMachine {
   readonly id: string;
   /** Machine kind: type, zone and whether it is a spot machine. */
   readonly kind: string;
@@ -56,14 +56,14 @@
   readonly fromMs: number;
   readonly lengthS: number;
   /** The recording covers the start of every controller. */
-  readonly cold: boolean;
-  readonly facts: NightFacts;
+  readonly coldStart: boolean;
+  readonly facts: PlatformFacts;
   /** Number of controllers. */
   readonly controllers: number;
   /** Restarts of controllers; `controller` is an index and `downS` the time until the controller is back. */
   readonly crashes: readonly { readonly controller: number; readonly atS: number; readonly downS: number }[];
-  readonly jobs: readonly PlayedJob[];
-  readonly machines: readonly PlayedMachine[];
+  readonly jobs: readonly ScenarioJob[];
+  readonly machines: readonly ScenarioMachine[];
   /** Number of machines that the cloud has, by machine kind, for the kinds that ran out during the night. */
   readonly capacity: ReadonlyMap<string, number>;
   /** Run times, slow machines and deaths derived from the night. */
@@ -74,11 +74,11 @@
    * Time at which the plan first makes a difference and the replay starts to make its own decisions. Infinity means
    * never.
    */
-  readonly freeFromS: number;
+  readonly divergesAtS: number;
 }
 
 /** Seconds from a machine coming up until it belongs to a block of machines. */
-export const JOIN_S = 1;
+export const JOIN_DELAY_S = 1;
 /** In a cold start, an initial machine that joins within this time counts as up from the beginning. */
 const COLD_START_JOIN_LIMIT_S = 12;
 /** Assumed number of machines beyond those recorded, for a kind that never ran out. */
@@ -97,14 +97,23 @@
 }
 
 /** Converts a recorded job into a job to replay. */
-function toScenarioJob(job: RecordedJob, runs: RecordedRunTimes): PlayedJob {
+function toScenarioJob(job: RecordedJob, runs: RecordedRunTimes): ScenarioJob {
   const { spec, ended } = job;
   const work = runs.workS.get(spec.id) ?? new Map<number, number>();
   const cancelAtS = ended?.phase === 'cancelled' ? ended.atS : null;
   if (!job.before) {
     const cut = ended === null ? ('after' as const) : null;
     const writeS = completionWriteS(job);
-    return { spec, atS: job.submittedS, cancelAtS, work, writeS, mistaken: failsEverywhere(job), cut, changed: null };
+    return {
+      spec,
+      atS: job.submittedS,
+      cancelAtS,
+      workS: work,
+      completionWriteS: writeS,
+      mistaken: failsEverywhere(job),
+      cut,
+      changed: null,
+    };
   }
   // Of a job that was open before the night, only the tasks with recorded attempts are replayed.
   const recordedIndexes = [...new Set(job.attempts.map((a) => a.index))].sort((a, b) => a - b);
@@ -118,13 +127,13 @@
   }
   return {
     spec: isArray ? { ...spec, tasks: recordedIndexes.length } : spec,
-    ...{ atS: 0, cancelAtS, work: isArray ? remainingS : work, writeS: null },
+    ...{ atS: 0, cancelAtS, workS: isArray ? remainingS : work, completionWriteS: null },
     ...{ mistaken: failsEverywhere(job), cut: 'before', changed: null },
   };
 }
 
 /** Converts the recorded machines into machines to replay, in the order of their rental. */
-function toScenarioMachines(night: Night, runs: RecordedRunTimes): PlayedMachine[] {
+function toScenarioMachines(night: Night, runs: RecordedRunTimes): ScenarioMachine[] {
   const firstErrorS = new Map<string, number>();
   for (const { attempts } of night.jobs.values())
     for (const a of attempts)
@@ -133,15 +142,15 @@
   const order = [...night.machines.values()].sort(
     (a, b) => (a.rentedS ?? -1) - (b.rentedS ?? -1) || (a.id < b.id ? -1 : 1),
   );
-  return order.map((m): PlayedMachine => {
+  return order.map((m): ScenarioMachine => {
     const initial = m.rentedS === null;
     let upAfterS: number | null = null;
     if (m.joinedS !== null) {
-      if (!initial) upAfterS = Math.max(0.3, m.joinedS - (m.rentedS ?? 0) - JOIN_S);
-      else upAfterS = !night.coldStart || m.joinedS < COLD_START_JOIN_LIMIT_S ? 0 : m.joinedS - JOIN_S;
+      if (!initial) upAfterS = Math.max(0.3, m.joinedS - (m.rentedS ?? 0) - JOIN_DELAY_S);
+      else upAfterS = !night.coldStart || m.joinedS < COLD_START_JOIN_LIMIT_S ? 0 : m.joinedS - JOIN_DELAY_S;
     }
     return {
-      ...{ id: m.id, kind: kindOf(m), initial, upAfterS, diesAtS: runs.deathS.get(m.id) ?? null },
+      ...{ id: m.id, kind: kindKeyOf(m), initial, upAfterS, diesAtS: runs.deathS.get(m.id) ?? null },
       takenBack: m.notice && { noticeAtS: m.notice.atS, noticeS: m.notice.leftS },
       slowness: runs.slowdown.get(m.id) ?? 1,
       failsFromS: m.faultyS === null ? null : (firstErrorS.get(m.id) ?? null),
@@ -154,7 +163,7 @@
   const capacity = new Map<string, number>();
   const heldMachines = (kind: string, atS: number): number =>
     [...night.machines.values()].filter(
-      (m) => kindOf(m) === kind && (m.rentedS ?? 0) <= atS && (m.returned?.atS ?? Infinity) > atS,
+      (m) => kindKeyOf(m) === kind && (m.rentedS ?? 0) <= atS && (m.returned?.atS ?? Infinity) > atS,
     ).length;
   for (const { atS, kind } of night.shortages)
     capacity.set(kind, Math.max(capacity.get(kind) ?? 0, heldMachines(kind, atS)));
@@ -162,7 +171,7 @@
 }
 
 /** Returns how many machines of a kind the cloud of a replay has. */
-export const capacityFor = ({ capacity, machines }: Scenario, kind: string): number =>
+export const cloudCapacity = ({ capacity, machines }: Scenario, kind: string): number =>
   // The cloud may have had more machines at the beginning of the night than at a later shortage.
   Math.max(
     capacity.get(kind) ?? machines.filter((m) => m.kind === kind).length + UNCONSTRAINED_EXTRA_MACHINES,
@@ -170,7 +179,7 @@
   );
 
 /** Builds the scenario that replays a recorded night unchanged. */
-export function scenarioOf(night: Night): Scenario {
+export function buildScenario(night: Night): Scenario {
   const runs = deriveRunTimes(night);
   const nodes = [...new Set(night.incarnations.map(({ node }) => node))].sort();
   const crashes = nodes.flatMap((node, controller) => {
@@ -181,8 +190,8 @@
     });
   });
   return {
-    ...{ fromMs: night.fromMs, lengthS: night.lengthS, cold: night.coldStart, facts: night.facts },
-    ...{ controllers: nodes.length, crashes, runs, capacity: observedCapacity(night), night, freeFromS: Infinity },
+    ...{ fromMs: night.fromMs, lengthS: night.lengthS, coldStart: night.coldStart, facts: night.facts },
+    ...{ controllers: nodes.length, crashes, runs, capacity: observedCapacity(night), night, divergesAtS: Infinity },
     jobs: [...night.jobs.values()].map((job) => toScenarioJob(job, runs)).sort((a, b) => a.atS - b.atS),
     machines: toScenarioMachines(night, runs),
   };
--- a/packages/whatif/src/plan/apply.ts
+++ b/packages/whatif/src/plan/apply.ts
@@ -1,6 +1,6 @@
 import { jobId } from '../../../../src/kernel/index.js';
-import { Priority, whyNever, type JobSpec } from '../../../../src/jobs/index.js';
-import { kindOf, type PlayedJob, type PlayedMachine, type Scenario } from '../night/index.js';
+import { Priority, unschedulableReason, type JobSpec } from '../../../../src/jobs/index.js';
+import { kindKeyOf, type ScenarioJob, type ScenarioMachine, type Scenario } from '../night/index.js';
 import { parseMomentS, validateTimeZone, type NightSpan } from './moment.js';
 import { PlanError } from './read.js';
 import type { JobSelector, Plan } from './schema.js';
@@ -15,8 +15,8 @@
 
 /** A scenario to which a plan is being applied, and the earliest time at which the changes make a difference. */
 class ScenarioDraft {
-  jobs: PlayedJob[];
-  machines: PlayedMachine[];
+  jobs: ScenarioJob[];
+  machines: ScenarioMachine[];
   facts: Scenario['facts'];
   capacity: Map<string, number>;
   freeFromS = Infinity;
@@ -42,7 +42,7 @@
    * Returns the jobs that a table selects. Throws a PlanError if it selects none, which is a mistake rather than a plan
    * without effect, or one that was open before the night began.
    */
-  selectJobs(selector: JobSelector, path: string): PlayedJob[] {
+  selectJobs(selector: JobSelector, path: string): ScenarioJob[] {
     const { class: jobClass, job } = selector;
     if (jobClass === undefined && job === undefined) throw new PlanError(`${path}: needs a class or a job`);
     const classes = new Set(this.jobs.map(({ spec }) => spec.jobClass));
@@ -70,7 +70,7 @@
   }
 
   /** Replaces each selected job by what `change` returns, or removes the job if that is null. */
-  replaceJobs(selected: readonly PlayedJob[], change: (job: PlayedJob) => PlayedJob | null): void {
+  replaceJobs(selected: readonly ScenarioJob[], change: (job: ScenarioJob) => ScenarioJob | null): void {
     const selectedSet = new Set(selected);
     this.jobs = this.jobs.flatMap((job) => {
       if (!selectedSet.has(job)) return [job];
@@ -80,7 +80,7 @@
   }
 
   /** Returns a machine by id. Throws a PlanError if there is none. */
-  findMachine(id: string, path: string): PlayedMachine {
+  findMachine(id: string, path: string): ScenarioMachine {
     const found = this.machines.find((m) => m.id === id);
     if (!found) throw new PlanError(`${path}: no machine ${id} in this night`);
     return found;
@@ -96,7 +96,7 @@
       throw new PlanError(`${path}.type: no machine type ${type} (${this.facts.types.map((t) => t.name).join(', ')})`);
     if (!machineType.zones.includes(zone))
       throw new PlanError(`${path}.zone: there is no ${type} in ${zone} (${machineType.zones.join(', ')})`);
-    return kindOf({ type, zone, spot });
+    return kindKeyOf({ type, zone, spot });
   }
 }
 
@@ -140,7 +140,7 @@
         spec,
         atS: atS + n * everyS,
         cancelAtS: null,
-        writeS: null,
+        completionWriteS: null,
         cut: null,
         changed: 'added',
       });
@@ -170,14 +170,14 @@
   if (table.jobs === undefined && table.tasks === undefined && table.run === undefined)
     throw new PlanError(`${path}: needs jobs, tasks or run`);
   for (const { atS } of selected) draft.noteDivergence(atS);
-  const scaled = (job: PlayedJob): PlayedJob => ({
+  const scaled = (job: ScenarioJob): ScenarioJob => ({
     ...job,
     spec: {
       ...job.spec,
       tasks: Math.min(100_000, Math.max(1, Math.round(job.spec.tasks * tasks))),
       estimateS: job.spec.estimateS * run,
     },
-    work: new Map([...job.work].map(([index, workS]) => [index, workS * run])),
+    workS: new Map([...job.workS].map(([index, workS]) => [index, workS * run])),
     changed: 'scaled',
   });
   if (jobs < 1) {
@@ -193,7 +193,7 @@
     if (!original) continue;
     const copy = scaled(original);
     const spec = { ...copy.spec, id: jobId(`${original.spec.id}-more-${Math.floor(n / selected.length) + 1}`) };
-    draft.jobs.push({ ...copy, spec, cut: null, writeS: null, changed: 'added by scaling' });
+    draft.jobs.push({ ...copy, spec, cut: null, completionWriteS: null, changed: 'added by scaling' });
   }
 }
 
@@ -246,7 +246,7 @@
     );
     draft.facts = { ...draft.facts, types };
   }
-  const replaceMachine = (old: PlayedMachine, next: PlayedMachine): void => {
+  const replaceMachine = (old: ScenarioMachine, next: ScenarioMachine): void => {
     draft.machines = draft.machines.map((m) => (m === old ? next : m));
   };
   for (const [i, { machine: id, at }] of plan.kill.entries()) {
@@ -286,10 +286,10 @@
   const teams = new Map(Object.entries(draft.facts.teams));
   for (const job of draft.jobs) {
     if (job.changed === null) continue;
-    const rejection = whyNever(job.spec, teams, draft.facts.types);
+    const rejection = unschedulableReason(job.spec, teams, draft.facts.types);
     if (rejection !== null)
       throw new PlanError(`${job.spec.id} (${job.spec.jobClass}) would be rejected on submission: ${rejection}`);
   }
   const { jobs, machines, facts, capacity, freeFromS } = draft;
-  return { ...base, jobs: jobs.sort((a, b) => a.atS - b.atS), machines, facts, capacity, freeFromS };
+  return { ...base, jobs: jobs.sort((a, b) => a.atS - b.atS), machines, facts, capacity, divergesAtS: freeFromS };
 }
--- a/packages/whatif/src/replay/decisions.ts
+++ b/packages/whatif/src/replay/decisions.ts
@@ -1,17 +1,23 @@
 import { jobId, machineId, nodeName, shardName, type JobId, type MachineId } from '../../../../src/kernel/index.js';
-import { inCalls, kindKey, LEASE_POLICY, planLeases, type LooseMachine } from '../../../../src/leasing/index.js';
+import {
+  splitIntoCalls,
+  machineKindKey,
+  LEASE_POLICY,
+  planLeases,
+  type UnleasedMachine,
+} from '../../../../src/leasing/index.js';
 import type { ShardSummary } from '../../../../src/peers/index.js';
 import {
   planPlacement,
-  relevance,
+  machineFilterFor,
   slackOf,
   type MachineView,
   type PendingJob,
   type TeamUse,
 } from '../../../../src/placement/index.js';
-import { chooseRestarts, flagTasks, resourceR, type Flag } from '../../../../src/speculation/index.js';
-import { capacityFor, kindOf, type PlayedMachine, type Scenario } from '../night/index.js';
-import type { Played, ReplayOptions } from './engine.js';
+import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../../../../src/speculation/index.js';
+import { cloudCapacity, kindKeyOf, type ScenarioMachine, type Scenario } from '../night/index.js';
+import type { ReplayResult, ReplayOptions } from './engine.js';
 import { SimMachine, type MachineTypeFacts } from './fleet.js';
 import { SimJob } from './job.js';
 import { MachineSimulation } from './machines.js';
@@ -40,16 +46,16 @@
  */
 class DecisionReplay extends MachineSimulation {
   /** Plays the scenario to its end and returns the outcomes. */
-  replayScenario(options: ReplayOptions): Played {
+  replayScenario(options: ReplayOptions): ReplayResult {
     const { scenario } = this;
     for (const job of scenario.jobs) {
       this.scheduleAt(Math.max(0, job.atS), () => this.submitJob(job));
       if (job.spec.kind !== 'service' && !job.mistaken) this.batchJobsLeft += 1;
     }
-    if (scenario.freeFromS > 0) new RecordFollower(scenario, this.recordedActions()).scheduleAll();
+    if (scenario.divergesAtS > 0) new RecordFollower(scenario, this.recordedActions()).scheduleAll();
     else this.startWithoutRecord();
-    if (scenario.freeFromS > 0 && Number.isFinite(scenario.freeFromS))
-      this.scheduleAt(scenario.freeFromS, () => this.startDeciding());
+    if (scenario.divergesAtS > 0 && Number.isFinite(scenario.divergesAtS))
+      this.scheduleAt(scenario.divergesAtS, () => this.startDeciding());
     this.scheduleAt(0, () => this.sampleTimeline());
     const endS = scenario.lengthS;
     for (;;) {
@@ -57,7 +63,7 @@
       if (!next || next.at > endS + MAX_OVERTIME_S || (next.at > endS && this.batchJobsLeft === 0)) break;
       this.queue.pop();
       if (Math.floor(next.at) > Math.floor(this.nowS)) {
-        options.moved?.(next.at);
+        options.onProgress?.(next.at);
         if (options.stop?.() === true) break;
       }
       this.nowS = next.at;
@@ -136,7 +142,7 @@
         const m = this.machines.get(machineId(id));
         if (m) this.releaseMachine(m);
         const booting = this.bootingMachines.get(machineId(id));
-        if (booting) this.dropBootingMachine(booting.id, kindOf({ ...booting, type: booting.type.name }));
+        if (booting) this.dropBootingMachine(booting.id, kindKeyOf({ ...booting, type: booting.type.name }));
       },
       taskStarted: (id, index, attempt, on) => this.startAsRecorded(id, index, attempt, on),
       taskLeft: (id, index, attempt, why) => {
@@ -167,7 +173,7 @@
   }
 
   /** Splits a machine's kind into type, zone and whether it is a spot machine. */
-  private parseKind(m: PlayedMachine): { type: MachineTypeFacts | undefined; zone: string; spot: boolean } {
+  private parseKind(m: ScenarioMachine): { type: MachineTypeFacts | undefined; zone: string; spot: boolean } {
     const [type = '', zone = '', spot] = m.kind.split(' ');
     return { type: this.types.get(type), zone, spot: spot === 'spot' };
   }
@@ -236,7 +242,7 @@
     }
     if (backoffEndS < Infinity) this.scheduleAt(backoffEndS, () => this.schedulePlacementRound());
     if (pending.length === 0) return;
-    const relevant = relevance(pending.map(({ spec }) => spec));
+    const relevant = machineFilterFor(pending.map(({ spec }) => spec));
     const machines: MachineView[] = [];
     for (const m of this.machines.values()) {
       const info = { type: m.type.name, zone: m.zone, spot: m.spot };
@@ -300,7 +306,7 @@
     }
     for (const m of [...this.machines.values()]) if (m.faulty && m.tasks.size === 0) this.releaseMachine(m);
     const nowS = this.nowS;
-    const loose: LooseMachine[] = [...this.bootingMachines.values()].map((l) => ({
+    const loose: UnleasedMachine[] = [...this.bootingMachines.values()].map((l) => ({
       ...{ id: l.id, type: l.type.name, zone: l.zone, spot: l.spot, up: false, ageS: nowS - l.rentedS },
     }));
     for (const [kind, untilS] of this.refusedUntilS) if (untilS < nowS) this.refusedUntilS.delete(kind);
@@ -309,21 +315,21 @@
       machines: [...this.machines.values()].filter((m) => m.alive).map((m) => m.summary(nowS)),
     };
     const plan = planLeases({
-      ...{ shards: [summary], loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
+      ...{ shards: [summary], unleased: loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
       ...{ refused: new Set(this.refusedUntilS.keys()), headroom: [...this.headroom.values()], ...LEASE_POLICY },
-      ageOf: (id) => nowS - (this.rentedAtS.get(id) ?? nowS),
+      machineAgeS: (id) => nowS - (this.rentedAtS.get(id) ?? nowS),
     });
     for (const { machine } of plan.releases) {
       const m = this.machines.get(machine);
       if (m?.tasks.size === 0) this.releaseMachine(m);
     }
-    for (const wish of inCalls(plan.rents)) {
-      const kind = kindOf(wish);
-      const available = capacityFor(this.scenario, kind) - (this.heldPerKind.get(kind) ?? 0);
+    for (const wish of splitIntoCalls(plan.rents)) {
+      const kind = kindKeyOf(wish);
+      const available = cloudCapacity(this.scenario, kind) - (this.heldPerKind.get(kind) ?? 0);
       const granted = Math.min(available, wish.count);
       for (let i = 0; i < granted; i++) this.rentMachine(wish.type, wish.zone, wish.spot);
       if (granted < wish.count)
-        this.refusedUntilS.set(kindKey(wish.type, wish.zone, wish.spot), nowS + CAPACITY_BACKOFF_S);
+        this.refusedUntilS.set(machineKindKey(wish.type, wish.zone, wish.spot), nowS + CAPACITY_BACKOFF_S);
     }
   }
 
@@ -336,8 +342,8 @@
       if (!m.alive) deadMachines.add(m.id);
       bookedShares.push({ cpu: 1 - m.freeCpus / m.type.cpus, memory: 1 - m.freeMemoryGb / m.type.memoryGb });
     }
-    const r = resourceR(bookedShares, this.tunables);
-    const flags: Flag[] = [];
+    const r = resourceTerm(bookedShares, this.tunables);
+    const flags: StragglerFlag[] = [];
     const runningPerJob = new Map<string, number>();
     for (const job of this.openJobs.values()) {
       const { spec, startedS } = job;
@@ -358,7 +364,7 @@
       runningPerJob.set(spec.id, running.length);
       const deadlineS = spec.deadlineS === null ? null : spec.deadlineS - (startedS - job.submittedS);
       const snapshot = { job: spec.id, tasks: spec.tasks, finished: job.doneCount, finishedRunsS: job.recentRunsS };
-      flags.push(...flagTasks({ ...snapshot, estimateS: spec.estimateS, deadlineS, running }, r, this.tunables));
+      flags.push(...flagStragglers({ ...snapshot, estimateS: spec.estimateS, deadlineS, running }, r, this.tunables));
     }
     for (const flag of chooseRestarts(flags, runningPerJob, deadMachines, this.tunables)) {
       const job = this.jobs.get(jobId(flag.job));
@@ -384,5 +390,8 @@
 }
 
 /** Replays a scenario with the decision functions alone, without whole controllers. */
-export const playDecisions = (scenario: Scenario, seed: number, options: ReplayOptions = {}): Promise<Played> =>
-  Promise.resolve(new DecisionReplay(scenario, seed).replayScenario(options));
+export const replayWithDecisions = (
+  scenario: Scenario,
+  seed: number,
+  options: ReplayOptions = {},
+): Promise<ReplayResult> => Promise.resolve(new DecisionReplay(scenario, seed).replayScenario(options));
--- a/packages/whatif/src/replay/fleet.ts
+++ b/packages/whatif/src/replay/fleet.ts
@@ -1,11 +1,11 @@
 import { Priority, type JobSpec } from '../../../../src/jobs/index.js';
 import { machineId, type MachineId } from '../../../../src/kernel/index.js';
 import type { MachineSummary } from '../../../../src/peers/index.js';
-import type { MachineView, Stoppable } from '../../../../src/placement/index.js';
-import type { NightFacts } from '../night/index.js';
+import type { MachineView, PreemptableTask } from '../../../../src/placement/index.js';
+import type { PlatformFacts } from '../night/index.js';
 
 /** Properties of a machine type, as recorded. */
-export type MachineTypeFacts = NightFacts['types'][number];
+export type MachineTypeFacts = PlatformFacts['types'][number];
 
 /** Maximum age of a cached placement view, whose cost of stopping a task grows with time. */
 const MAX_VIEW_AGE_S = 1.5;
@@ -134,7 +134,7 @@
   view(nowS: number): MachineView {
     // The work lost by stopping a task grows with time, so that the cached view expires.
     if (this.cachedView && nowS - (this.cachedViewAtS ?? 0) < MAX_VIEW_AGE_S) return this.cachedView;
-    const running: Stoppable[] = [];
+    const running: PreemptableTask[] = [];
     for (const { job, index, beganS, stopping } of this.tasks) {
       const { spec } = job;
       const ranS = beganS === null ? 0 : nowS - beganS;
--- a/packages/whatif/src/replay/index.ts
+++ b/packages/whatif/src/replay/index.ts
@@ -1,3 +1,3 @@
-export { playDecisions } from './decisions.js';
-export type { Played, ReplayOptions, Standing } from './engine.js';
-export { playWhole, recordRegion } from './whole.js';
+export { replayWithDecisions } from './decisions.js';
+export type { ReplayResult, ReplayOptions, TimelineSample } from './engine.js';
+export { replayWithControllers, recordRegion } from './whole.js';
--- a/packages/whatif/src/replay/job.ts
+++ b/packages/whatif/src/replay/job.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../../../../src/jobs/index.js';
 import type { MachineId } from '../../../../src/kernel/index.js';
 import { median } from '../../../../src/speculation/index.js';
-import type { Outcome, PlayedJob } from '../night/index.js';
+import type { JobOutcome, ScenarioJob } from '../night/index.js';
 import type { SimTask } from './fleet.js';
 
 /** Number of latest run times kept for the median and the straggler check. */
@@ -52,7 +52,7 @@
   private readonly restartCauses = new Map<string, number>();
 
   constructor(
-    readonly played: PlayedJob,
+    readonly played: ScenarioJob,
     /** Time of submission in the replay. */
     readonly submittedS: number,
     /** Returns the run time of a task by index. */
@@ -133,7 +133,7 @@
   }
 
   /** Summarizes the job for the forecast, with the factors that decided its finishing time. */
-  outcome(): Outcome {
+  outcome(): JobOutcome {
     const decided = [...this.restartCauses].map(([cause, count]) => `${count} tasks: ${cause}`);
     if (this.maxUnplaced > 0 && this.spec.kind === 'gang')
       decided.push(`waited for room for its gang of ${this.spec.tasks}`);
--- a/packages/whatif/src/replay/machines.ts
+++ b/packages/whatif/src/replay/machines.ts
@@ -1,9 +1,9 @@
-import { mustLeave } from '../../../../src/holder/index.js';
+import { mustStopBeforeReclaim } from '../../../../src/holder/index.js';
 import type { MachineId } from '../../../../src/kernel/index.js';
 import { SimMachine } from './fleet.js';
 import { TaskSimulation } from './tasks.js';
 import { DEAD_S, JOIN_S } from './timing.js';
-import { kindOf } from '../night/index.js';
+import { kindKeyOf } from '../night/index.js';
 
 /** Simulates machines: rental, boot, spot reclaim notice, death and return to the cloud. */
 export abstract class MachineSimulation extends TaskSimulation {
@@ -13,7 +13,7 @@
   protected rentMachine(type: string, zone: string, spot: boolean): MachineId | null {
     const facts = this.types.get(type);
     if (!facts) return null;
-    const kind = kindOf({ type, zone, spot });
+    const kind = kindKeyOf({ type, zone, spot });
     const nth = this.countMachine(kind);
     const id = `m${String(++this.namedMachines).padStart(6, '0')}` as MachineId;
     const script = this.machineScript(kind, nth);
@@ -45,7 +45,7 @@
     this.bootingMachines.delete(id);
     const { type, zone, spot, script } = booting;
     const machineLuck = this.luck.fork(id);
-    const m = new SimMachine(id, type, zone, spot, booting.rentedS, machineLuck.between(0.67, 1.33), script.slowness);
+    const m = new SimMachine(id, type, zone, spot, booting.rentedS, machineLuck.uniform(0.67, 1.33), script.slowness);
     m.emptySinceS = this.nowS;
     m.failsFromS = script.failsFromS;
     this.machines.set(id, m);
@@ -73,7 +73,7 @@
       const job = this.jobs.get(task.job.spec.id);
       if (!job) continue;
       const remainingS = job.expectedRunS - (this.nowS - (task.beganS ?? this.nowS));
-      if (mustLeave(job.spec, task.beganS !== null, remainingS, leftS))
+      if (mustStopBeforeReclaim(job.spec, task.beganS !== null, remainingS, leftS))
         this.stopTaskOrGang(task, 'notice', job.spec.checkpointS > 0 ? job.spec.saveS + 1 : 0);
     }
     this.scheduleAt(this.nowS + 1, () => this.stopTasksOnNotice(m));
@@ -121,7 +121,7 @@
     if (!this.machines.delete(m.id)) return;
     this.chargeMachine(m);
     m.alive = false;
-    const kind = kindOf({ type: m.type.name, zone: m.zone, spot: m.spot });
+    const kind = kindKeyOf({ type: m.type.name, zone: m.zone, spot: m.spot });
     this.heldPerKind.set(kind, (this.heldPerKind.get(kind) ?? 1) - 1);
   }
 }
--- a/packages/whatif/src/replay/steered.ts
+++ b/packages/whatif/src/replay/steered.ts
@@ -1,4 +1,4 @@
-import type { PlayedMachine, Scenario } from '../night/index.js';
+import type { ScenarioMachine, Scenario } from '../night/index.js';
 
 /** Delay after the recorded end of a job at which tasks that the replay does not run count as done. */
 const LOST_TASK_GRACE_S = 2;
@@ -9,7 +9,7 @@
 export interface RecordedActions {
   /** Schedules an action that is skipped once the record is no longer followed. */
   scheduleAt(atS: number, action: () => void): void;
-  machineRented(machine: PlayedMachine): void;
+  machineRented(machine: ScenarioMachine): void;
   machineJoined(machine: string): void;
   /** The machine was given back to the cloud, or its boot was abandoned. */
   machineReturned(machine: string): void;
