--- a/packages/whatif/src/replay/tasks.ts
+++ b/packages/whatif/src/replay/tasks.ts
@@ -1,11 +1,11 @@
 import TinyQueue from 'tinyqueue';
 import type { JobSpec } from '../../../../src/jobs/index.js';
 import type { JobId, MachineId } from '../../../../src/kernel/index.js';
-import type { Reserve } from '../../../../src/placement/index.js';
+import type { GpuReserve } from '../../../../src/placement/index.js';
 import { DEFAULT_TUNABLES, type Tunables } from '../../../../src/speculation/index.js';
-import { Luck, type Script, type ScriptedMachine } from '../../../region/src/index.js';
+import { RandomStream, type Script, type ScriptedMachine } from '../../../region/src/index.js';
 import type { Scenario } from '../night/index.js';
-import type { Standing } from './engine.js';
+import type { TimelineSample } from './engine.js';
 import { SimMachine, type SimTask, type MachineTypeFacts } from './fleet.js';
 import { SimJob } from './job.js';
 import { runTimesOf, machineScripts } from './script.js';
@@ -50,9 +50,9 @@
   protected readonly refusedUntilS = new Map<string, number>();
   protected readonly types: ReadonlyMap<string, MachineTypeFacts>;
   protected readonly tunables: Tunables;
-  protected readonly luck: Luck;
+  protected readonly luck: RandomStream;
   protected readonly machineScript: Script['machine'];
-  protected readonly timeline: Standing[] = [];
+  protected readonly timeline: TimelineSample[] = [];
   /** Limits of the teams that have one. */
   protected readonly teamLimits: ReadonlyMap<string, { readonly cpusMax: number; readonly gpusMax: number }>;
   /** Resources in use by teams that have a limit. */
@@ -62,7 +62,7 @@
   /** The largest service seen of each job class, for which the lease plan keeps headroom. */
   protected readonly headroom = new Map<string, JobSpec>();
   /** Largest CPU and memory request of any GPU job, which the placement keeps free on GPU machines. */
-  protected reserve: Reserve | null = null;
+  protected reserve: GpuReserve | null = null;
   /** A placement round is scheduled. */
   protected roundPlanned = false;
   /** The record, rather than the replay, decides what is started and stopped. */
@@ -79,8 +79,8 @@
     seed: number,
   ) {
     const { facts } = scenario;
-    this.luck = new Luck(seed, 'decisions');
-    this.followingRecord = scenario.freeFromS > 0;
+    this.luck = new RandomStream(seed, 'decisions');
+    this.followingRecord = scenario.divergesAtS > 0;
     this.types = new Map(facts.types.map((type) => [type.name, type]));
     this.tunables = { ...DEFAULT_TUNABLES, ...facts.settings.tunables };
     this.machineScript = machineScripts(scenario, 0, this.luck.fork('boots')).scriptOf;
@@ -224,7 +224,7 @@
   /** Schedules the end of a job whose tasks are all done. */
   protected checkJobDone(job: SimJob): void {
     if (job.doneCount >= job.spec.tasks)
-      this.scheduleAt(this.nowS + (job.played.writeS ?? JOB_END_WRITE_S), () => this.endJob(job, 'done'));
+      this.scheduleAt(this.nowS + (job.played.completionWriteS ?? JOB_END_WRITE_S), () => this.endJob(job, 'done'));
   }
 
   /** Starts all tasks of a gang; they run together once all their images are present. */
--- a/packages/whatif/src/replay/timing.ts
+++ b/packages/whatif/src/replay/timing.ts
@@ -2,7 +2,7 @@
  * Delays and intervals of the decision replay, in seconds. Reading a trace removes the delays of a real platform from
  * the recorded times; the replay adds them again.
  */
-export { DEAD_S, JOIN_S } from '../night/index.js';
+export { SILENT_MACHINE_MARGIN_S as DEAD_S, JOIN_DELAY_S as JOIN_S } from '../night/index.js';
 /** Delay from sending a command until it takes effect on the worker, as on the simulated region. */
 export const COMMAND_DELAY_S = 0.02;
 /** Delay until a worker's report reaches the controller. */
--- a/packages/whatif/src/replay/whole.ts
+++ b/packages/whatif/src/replay/whole.ts
@@ -2,10 +2,18 @@
 import { stringify } from 'smol-toml';
 import type { JobSpec } from '../../../../src/jobs/index.js';
 import { HttpClient } from '../../../../src/kernel/index.js';
-import { JobTruth, Luck, readDay, Region, type Day, type Script, type Submission } from '../../../region/src/index.js';
+import {
+  SimulatedJob,
+  RandomStream,
+  parseScenario,
+  Region,
+  type SimulationScenario,
+  type Script,
+  type Submission,
+} from '../../../region/src/index.js';
 import { MemoryFiles, readTrace, Recorder, TraceStore, type Files } from '../../../trace/src/index.js';
-import { capacityFor, kindOf, outcomesOf, readNight, type Scenario } from '../night/index.js';
-import type { Played, ReplayOptions } from './engine.js';
+import { cloudCapacity, kindKeyOf, jobOutcomes, readNight, type Scenario } from '../night/index.js';
+import type { ReplayResult, ReplayOptions } from './engine.js';
 import { runTimesOf, machineScripts } from './script.js';
 import { MAX_OVERTIME_S } from './timing.js';
 
@@ -33,7 +41,7 @@
 const AIM_KINDS = new Set(['wait', 'finished', 'deadline', 'up']);
 
 /** Builds a day of the simulated region from the recorded platform. */
-function dayFromScenario(scenario: Scenario, seed: number, warmUpS: number): Day {
+function dayFromScenario(scenario: Scenario, seed: number, warmUpS: number): SimulationScenario {
   const { facts } = scenario;
   const classes = new Map<string, JobSpec>();
   for (const { spec } of scenario.jobs) if (!classes.has(spec.jobClass)) classes.set(spec.jobClass, spec);
@@ -66,12 +74,12 @@
       ...(t.fetchGbPerS > 0 ? { fetch_gb_per_s: t.fetchGbPerS } : {}),
     })),
     capacity: kinds.map(({ name, zone }) => ({
-      ...{ type: name, zone, ordinary: capacityFor(scenario, `${name} ${zone} ordinary`) },
-      spot: capacityFor(scenario, `${name} ${zone} spot`),
+      ...{ type: name, zone, ordinary: cloudCapacity(scenario, `${name} ${zone} ordinary`) },
+      spot: cloudCapacity(scenario, `${name} ${zone} spot`),
     })),
     machines: kinds.flatMap(({ name, zone }) =>
       [false, true].flatMap((spot) => {
-        const count = initial.get(kindOf({ type: name, zone, spot })) ?? 0;
+        const count = initial.get(kindKeyOf({ type: name, zone, spot })) ?? 0;
         return count > 0 ? [{ type: name, zone, spot, count }] : [];
       }),
     ),
@@ -99,7 +107,7 @@
         })),
     })),
   };
-  return readDay(stringify(day), 'the recorded platform');
+  return parseScenario(stringify(day), 'the recorded platform');
 }
 
 /** Records a simulated region while `play` runs, through the same event trails and recorder as on a real platform. */
@@ -109,9 +117,9 @@
   play: () => Promise<void>,
   pollMs = 500,
 ): Promise<void> {
-  const { store, ids } = await TraceStore.open(files, region.wallAt0);
-  const runtime = region.bystander('recorder');
-  const sources = region.controllers.map(({ seat }) => ({ node: seat.name, at: seat.serveOn }));
+  const { store, rowsById: ids } = await TraceStore.open(files, region.dayStartWallMs);
+  const runtime = region.createExternalProcess('recorder');
+  const sources = region.controllers.map(({ spec: seat }) => ({ node: seat.name, at: seat.serveOn }));
   const options = { pollMs, segmentRows: 50_000, segmentMs: 60_000, keep: { ageMs: null, bytes: null } };
   const recorder = new Recorder(store, ids, sources, options, runtime, pino({ level: 'silent' }));
   recorder.start();
@@ -130,10 +138,10 @@
  * them.
  */
 async function applyTunables(region: Region, tunables: Readonly<Record<string, number>>): Promise<void> {
-  const runtime = region.bystander('operator');
+  const runtime = region.createExternalProcess('operator');
   const [controller] = region.controllers;
   if (!controller) return;
-  const client = new HttpClient(controller.seat.serveOn, 1, runtime);
+  const client = new HttpClient(controller.spec.serveOn, 1, runtime);
   for (;;) {
     const call = { method: 'PATCH', path: '/admin/v1/settings/tunables', body: tunables, timeoutMs: 2000 } as const;
     const answer = await client.call(call);
@@ -147,15 +155,19 @@
  * Replays a scenario with whole controllers on the models of the simulated region. Submissions, run times and faults
  * are those of the scenario.
  */
-export async function playWhole(scenario: Scenario, seed: number, options: ReplayOptions = {}): Promise<Played> {
-  const warmUpS = scenario.cold ? 0 : WARM_UP_S;
-  const luck = new Luck(seed, 'replay');
+export async function replayWithControllers(
+  scenario: Scenario,
+  seed: number,
+  options: ReplayOptions = {},
+): Promise<ReplayResult> {
+  const warmUpS = scenario.coldStart ? 0 : WARM_UP_S;
+  const luck = new RandomStream(seed, 'replay');
   const script: Script = {
     machine: machineScripts(scenario, warmUpS, luck.fork('boots')).scriptOf,
     crashes: scenario.crashes.map((crash) => ({ ...crash, atS: crash.atS + warmUpS })),
     jobs: scenario.jobs.map((job) => ({
       atS: Math.max(0, job.atS + warmUpS),
-      job: new JobTruth(submissionOf(job.spec), runTimesOf(job, scenario, luck), job.mistaken),
+      job: new SimulatedJob(submissionOf(job.spec), runTimesOf(job, scenario, luck), job.mistaken),
       cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + warmUpS,
     })),
   };
@@ -170,15 +182,16 @@
       await region.play(untilS, {
         ...(options.stop ? { stop: options.stop } : {}),
         moved: (nowMs) => {
-          options.moved?.(Math.max(0, nowMs / 1000 - warmUpS));
+          options.onProgress?.(Math.max(0, nowMs / 1000 - warmUpS));
           return undefined;
         },
       });
-      if (options.stop?.() === true || untilS >= day.duration_s || region.parts.daybook.batchLeft === 0) return;
+      if (options.stop?.() === true || untilS >= day.duration_s || region.parts.statistics.unfinishedBatchJobs === 0)
+        return;
     }
   });
   const result = region.close();
-  const night = readNight({ ...(await readTrace(files)), fromMs: region.wallAt0 + warmUpS * 1000 });
+  const night = readNight({ ...(await readTrace(files)), fromMs: region.dayStartWallMs + warmUpS * 1000 });
   const timeline = result.timeline.map((sample) => ({ ...sample, atS: sample.atS - warmUpS }));
-  return { outcomes: outcomesOf(night), money: result.money.spent, timeline };
+  return { outcomes: jobOutcomes(night), money: result.money.spent, timeline };
 }
--- a/packages/whatif/test/nights.ts
+++ b/packages/whatif/test/nights.ts
@@ -1,17 +1,27 @@
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { readDay, Region, type Day, type RegionOptions, type Trouble } from '../../region/src/index.js';
+import {
+  parseScenario,
+  Region,
+  type SimulationScenario,
+  type RegionOptions,
+  type Fault,
+} from '../../region/src/index.js';
 import { MemoryFiles, readTrace, type Trace } from '../../trace/src/index.js';
 import { recordRegion } from '../src/index.js';
 
 /** Returns the simulated region's quiet day with another duration and the given faults. */
-export const shortDay = (durationS: number, troubles: readonly Trouble[], seed = 7): Day => ({
-  ...readDay(readFileSync(join(process.cwd(), 'packages/region/days/quiet.toml'), 'utf8'), 'quiet.toml'),
+export const shortDay = (durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario => ({
+  ...parseScenario(readFileSync(join(process.cwd(), 'packages/region/days/quiet.toml'), 'utf8'), 'quiet.toml'),
   ...{ name: 'short', seed, duration_s: durationS, quiet_end_s: 0, troubles: [...troubles] },
 });
 
 /** Simulates a day of the region and returns the trace that the recorder wrote, polling every `pollMs`. */
-export async function recorded(day: Day, options: Partial<RegionOptions> = {}, pollMs = 500): Promise<Trace> {
+export async function recordTrace(
+  day: SimulationScenario,
+  options: Partial<RegionOptions> = {},
+  pollMs = 500,
+): Promise<Trace> {
   const region = new Region({ trailEvents: 50_000, ...options, day });
   const files = new MemoryFiles();
   await recordRegion(region, files, () => region.play(), pollMs);
@@ -38,7 +48,7 @@
  * the order given (list them by submission), each task on the CPU that is free first. `deaths` gives the time in
  * seconds at which a machine dies, by machine index; its tasks start again on other machines.
  */
-export function handmade(
+export function buildTrace(
   jobFixtures: readonly JobFixture[],
   machines: number,
   deaths: ReadonlyMap<number, number> = new Map(),
@@ -118,5 +128,5 @@
     ],
   };
   const toMs = Math.max(...rows.map(({ at }) => at)) + 1000;
-  return { fromMs: NIGHT_BEGIN_MS, toMs, facts, rows, gaps: [], nodes: ['node-0'], repeated: 0 };
+  return { fromMs: NIGHT_BEGIN_MS, toMs, facts, rows, gaps: [], nodes: ['node-0'], duplicates: 0 };
 }
--- a/packages/whatif/test/plan.test.ts
+++ b/packages/whatif/test/plan.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { applyPlan, parseMomentS, PlanError, readNight, readPlan, scenarioOf } from '../src/index.js';
-import { handmade } from './nights.js';
+import { applyPlan, parseMomentS, PlanError, readNight, readPlan, buildScenario } from '../src/index.js';
+import { buildTrace } from './nights.js';
 
 const night = readNight(
-  handmade(
+  buildTrace(
     [
       { id: 'j-a', team: 'north-tel', jobClass: 'porting', atS: 20, tasks: 6, runS: 30 },
       { id: 'j-b', team: 'south-tel', jobClass: 'letters', atS: 60, tasks: 4, runS: 20 },
@@ -12,7 +12,7 @@
     1,
   ),
 );
-const scenario = scenarioOf(night);
+const scenario = buildScenario(night);
 const apply = (toml: string): ReturnType<typeof applyPlan> => applyPlan(scenario, readPlan(toml, 'p.toml'));
 
 test('a time of day is converted to seconds since the night began, in its time zone and across clock changes', () => {
@@ -66,14 +66,14 @@
 });
 
 test('a plan changes only the jobs that it names, and reports the time from which it makes a difference', () => {
-  assert.equal(apply('').freeFromS, Number.POSITIVE_INFINITY);
-  assert.equal(apply('[[move]]\nclass = "porting"\nby_s = 0').freeFromS, Number.POSITIVE_INFINITY);
+  assert.equal(apply('').divergesAtS, Number.POSITIVE_INFINITY);
+  assert.equal(apply('[[move]]\nclass = "porting"\nby_s = 0').divergesAtS, Number.POSITIVE_INFINITY);
   const moved = apply('[[move]]\nclass = "letters"\nstart = 50');
-  assert.deepEqual([moved.freeFromS, moved.jobs.find(({ spec }) => spec.id === 'j-b')?.atS], [50, 50]);
+  assert.deepEqual([moved.divergesAtS, moved.jobs.find(({ spec }) => spec.id === 'j-b')?.atS], [50, 50]);
   const scaled = apply('[[scale]]\nclass = "porting"\njobs = 2\ntasks = 0.5\nrun = 2');
   const portingJobs = scaled.jobs.filter(({ spec }) => spec.jobClass === 'porting');
   assert.deepEqual(
-    portingJobs.map(({ spec, work }) => [spec.id, spec.tasks, Math.round(work.get(0) ?? 0)]),
+    portingJobs.map(({ spec, workS: work }) => [spec.id, spec.tasks, Math.round(work.get(0) ?? 0)]),
     [
       ['j-a', 3, 60],
       ['j-a-more-1', 3, 60],
--- a/packages/whatif/test/record.test.ts
+++ b/packages/whatif/test/record.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { detailOf } from '../../trace/src/index.js';
-import { recorded, shortDay } from './nights.js';
+import { parseDetail } from '../../trace/src/index.js';
+import { recordTrace, shortDay } from './nights.js';
 
 test('recording through a controller crash keeps each event once, and all task completions except those in the gap', async () => {
   const crash = { kind: 'controller_crash', at_s: 60, controller: 1, down_s: 8 } as const;
   const completions: string[] = [];
-  const trace = await recorded(shortDay(120, [crash]), {
+  const trace = await recordTrace(shortDay(120, [crash]), {
     event: (line) => {
       const [, eventName, task, attempt, , cause] = line.trim().split(' ');
       if (eventName === 'off' && cause === 'done') completions.push(`left ${task}#${attempt}`);
@@ -27,11 +27,11 @@
     completions.length - recordedCompletions.length <= 10,
     `${completions.length - recordedCompletions.length} of ${completions.length} completions are missing`,
   );
-  for (const row of trace.rows) if (row.kind === 'job') assert.equal(typeof detailOf(row)['spec'], 'object');
+  for (const row of trace.rows) if (row.kind === 'job') assert.equal(typeof parseDetail(row)['spec'], 'object');
 });
 
 test('an event buffer that is too small for a slow recorder causes overrun gaps, and recording continues', async () => {
-  const trace = await recorded(shortDay(60, []), { trailEvents: 5 }, 7000);
+  const trace = await recordTrace(shortDay(60, []), { trailEvents: 5 }, 7000);
   const overruns = trace.gaps.filter(({ why }) => why === 'overrun');
   assert.ok(overruns.length > 0);
   for (const { fromN, toN } of overruns) assert.ok(fromN !== null && toN !== null && fromN <= toN);
--- a/packages/whatif/test/replay.test.ts
+++ b/packages/whatif/test/replay.test.ts
@@ -3,22 +3,22 @@
 import {
   applyPlan,
   forecast,
-  outcomesOf,
-  playDecisions,
-  playWhole,
+  jobOutcomes,
+  replayWithDecisions,
+  replayWithControllers,
   readNight,
   readPlan,
   replayErrors,
-  scenarioOf,
+  buildScenario,
   type Forecast,
   type Night,
 } from '../src/index.js';
-import { handmade, recorded, shortDay } from './nights.js';
+import { buildTrace, recordTrace, shortDay } from './nights.js';
 
 /** Forecasts a plan for a night, by the decision replay. */
 async function compare(night: Night, toml: string, seeds = [1, 2]): Promise<Forecast> {
-  const base = scenarioOf(night);
-  return forecast('plan', base, applyPlan(base, readPlan(toml, 'p')), outcomesOf(night), playDecisions, seeds);
+  const base = buildScenario(night);
+  return forecast('plan', base, applyPlan(base, readPlan(toml, 'p')), jobOutcomes(night), replayWithDecisions, seeds);
 }
 
 /**
@@ -26,7 +26,7 @@
  */
 const overlapping = (): Night =>
   readNight(
-    handmade(
+    buildTrace(
       [
         { id: 'j-north', team: 'north-tel', jobClass: 'porting-north', atS: 20, tasks: 8, runS: 60 },
         { id: 'j-south', team: 'south-tel', jobClass: 'porting-south', atS: 128, tasks: 8, runS: 60, deadlineS: 130 },
@@ -38,30 +38,30 @@
 test('replaying a night unchanged reproduces the recorded finishing times, also with whole controllers', async () => {
   const crash = { kind: 'controller_crash', at_s: 90, controller: 0, down_s: 8 } as const;
   for (const troubles of [[], [{ kind: 'machines_die', at_s: 70, count: 2 } as const], [crash]]) {
-    const night = readNight(await recorded(shortDay(240, troubles, 12)));
-    const scenario = scenarioOf(night);
+    const night = readNight(await recordTrace(shortDay(240, troubles, 12)));
+    const scenario = buildScenario(night);
     const { jobs, within, unfinished } = replayErrors(
       scenario,
-      outcomesOf(night),
-      (await playDecisions(scenario, 1)).outcomes,
+      jobOutcomes(night),
+      (await replayWithDecisions(scenario, 1)).outcomes,
     );
     assert.ok(jobs >= 8, `only ${jobs} jobs, too few for this test`);
     assert.equal(unfinished, 0);
     assert.ok(within / jobs >= 0.95, `${within} of ${jobs} jobs finish as recorded`);
   }
-  const night = readNight(handmade([{ id: 'j-a', team: 't', jobClass: 'c', atS: 20, tasks: 6, runS: 30 }], 1));
-  const scenario = scenarioOf(night);
-  const wholeErrors = replayErrors(scenario, outcomesOf(night), (await playWhole(scenario, 3)).outcomes);
+  const night = readNight(buildTrace([{ id: 'j-a', team: 't', jobClass: 'c', atS: 20, tasks: 6, runS: 30 }], 1));
+  const scenario = buildScenario(night);
+  const wholeErrors = replayErrors(scenario, jobOutcomes(night), (await replayWithControllers(scenario, 3)).outcomes);
   assert.deepEqual([wholeErrors.jobs, wholeErrors.within], [1, 1]);
 });
 
 test('tasks of a machine that dies restart as recorded, and do not restart when the plan spares the machine', async () => {
   const night = readNight(
-    handmade([{ id: 'j-a', team: 't', jobClass: 'c', atS: 5, tasks: 8, runS: 100 }], 3, new Map([[0, 60]])),
+    buildTrace([{ id: 'j-a', team: 't', jobClass: 'c', atS: 5, tasks: 8, runS: 100 }], 3, new Map([[0, 60]])),
   );
-  const scenario = scenarioOf(night);
-  const unchanged = (await playDecisions(scenario, 1)).outcomes.get('j-a');
-  const recordedOutcome = outcomesOf(night).get('j-a');
+  const scenario = buildScenario(night);
+  const unchanged = (await replayWithDecisions(scenario, 1)).outcomes.get('j-a');
+  const recordedOutcome = jobOutcomes(night).get('j-a');
   assert.equal(recordedOutcome?.restarts, 4);
   assert.equal(unchanged?.restarts, 4);
   assert.ok(Math.abs((unchanged.finishedS ?? 0) - (recordedOutcome.finishedS ?? 0)) < 3);
@@ -82,7 +82,7 @@
   const same = await compare(night, '[[move]]\nclass = "porting-south"\nby_s = 0');
   assert.equal(same.fromS, null);
   assert.ok(same.jobs.every(({ differs, laterS }) => !differs && laterS === 0));
-  assert.ok(Math.abs((outcomesOf(night).get('j-south')?.finishedS ?? 0) - 260.5) < 0.5);
+  assert.ok(Math.abs((jobOutcomes(night).get('j-south')?.finishedS ?? 0) - 260.5) < 0.5);
 
   const later = await compare(night, '[[move]]\nclass = "porting-south"\nby_s = 14');
   const south = later.jobs.find(({ id }) => id === 'j-south');
@@ -112,9 +112,11 @@
 });
 
 test('jobs that are open before or after the recording are replayed but marked as cut', () => {
-  const trace = handmade([{ id: 'j-a', team: 't', jobClass: 'c', atS: 5, tasks: 8, runS: 100 }], 1);
+  const trace = buildTrace([{ id: 'j-a', team: 't', jobClass: 'c', atS: 5, tasks: 8, runS: 100 }], 1);
   const cutAtMs = trace.fromMs + 150_000;
-  const early = scenarioOf(readNight({ ...trace, toMs: cutAtMs, rows: trace.rows.filter(({ at }) => at < cutAtMs) }));
+  const early = buildScenario(
+    readNight({ ...trace, toMs: cutAtMs, rows: trace.rows.filter(({ at }) => at < cutAtMs) }),
+  );
   assert.deepEqual(
     early.jobs.map(({ cut }) => cut),
     ['after'],
@@ -123,7 +125,7 @@
   const rows = trace.rows.flatMap((row) =>
     row.kind === 'job' || row.at >= sinceMs ? [{ ...row, at: Math.max(row.at, sinceMs) }] : [],
   );
-  const late = scenarioOf(readNight({ ...trace, fromMs: sinceMs, rows }));
+  const late = buildScenario(readNight({ ...trace, fromMs: sinceMs, rows }));
   assert.deepEqual(
     late.jobs.map(({ cut, spec }) => [cut, spec.tasks]),
     [['before', 8]],
--- a/src/admin/api.ts
+++ b/src/admin/api.ts
@@ -1,7 +1,7 @@
 /** The administration API. */
 import { Router, type Response } from 'express';
-import { rolloutRouter, type RolloutDesk } from './rollout.js';
-import { encodeSettings, mark, parseTunables, type MachineAction } from './settings.js';
+import { rolloutRouter, type RolloutControl } from './rollout.js';
+import { encodeSettings, markMachine, parseTunables, type MachineAction } from './settings.js';
 import type { SettingsResult, SettingsStore } from './store.js';
 
 const MACHINE_ACTIONS: readonly MachineAction[] = ['cordon', 'drain', 'uncordon'];
@@ -51,7 +51,7 @@
 export function adminRouter(
   store: SettingsStore,
   views: NodeViews,
-  rollout: RolloutDesk,
+  rollout: RolloutControl,
   trail: TrailView | null,
 ): Router {
   const router = Router();
@@ -107,7 +107,7 @@
       res.status(404).json({ error: 'not found' });
       return;
     }
-    const settings = await store.change((s) => mark(s, id, action));
+    const settings = await store.change((s) => markMachine(s, id, action));
     answerSettings(res, settings);
   });
   return router;
--- a/src/admin/rollout.ts
+++ b/src/admin/rollout.ts
@@ -4,23 +4,23 @@
 import { FEATURE_WISHES, type FeatureState, type RolloutWishes, type WishResult } from '../rollout/index.js';
 
 /** Controls a rollout, and the departure of this node before its process is stopped. */
-export interface RolloutDesk {
+export interface RolloutControl {
   readonly clock: Clock;
   /** State of the features of this release; `finished`: the feature can no longer be rolled back. */
   features(): ReadonlyMap<string, { readonly state: FeatureState; readonly finished: boolean }>;
   /** State of the rollout as reported to operators. */
   overview(): unknown;
   /** Stores a change of the operators' requests. */
-  wish(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult>;
+  updateWishes(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult>;
   /** Starts to hand everything that this node holds to other nodes, or says why it can't. */
-  leave(): { readonly ok: true } | { readonly ok: false; readonly reason: string };
+  startLeaving(): { readonly ok: true } | { readonly ok: false; readonly reason: string };
   /** Cancels the departure. */
-  stay(): void;
+  cancelLeaving(): void;
   /**
    * Progress of the departure. `left`: the node holds nothing any more; `staysInS`: seconds until it takes part again
    * by itself, null if it is not leaving.
    */
-  leaving(): { readonly leaving: boolean; readonly left: boolean; readonly staysInS: number | null };
+  leaveStatus(): { readonly leaving: boolean; readonly left: boolean; readonly staysInS: number | null };
 }
 
 const NEWER_RELEASE_ERROR = { error: 'the rollout record was written by a later release and is left unchanged' };
@@ -29,17 +29,17 @@
 /** Stores a change of the operators' requests and answers with the overview, or with why it could not be stored. */
 async function storeAndAnswer(
   res: Response,
-  control: RolloutDesk,
+  control: RolloutControl,
   change: (wishes: RolloutWishes) => RolloutWishes,
 ): Promise<void> {
-  const result = await control.wish(change);
+  const result = await control.updateWishes(change);
   if (result.kind === 'ok') res.json(control.overview());
   else if (result.kind === 'foreign') res.status(409).json(NEWER_RELEASE_ERROR);
   else res.status(503).set('Retry-After', '1').json(UNAVAILABLE_ERROR);
 }
 
 /** Routes of the rollout and of the departure of this node. */
-export function rolloutRouter(control: RolloutDesk): Router {
+export function rolloutRouter(control: RolloutControl): Router {
   const router = Router();
 
   router.get('/rollout', (_req, res) => {
@@ -78,16 +78,16 @@
   });
 
   router.get('/leave', (_req, res) => {
-    res.json(control.leaving());
+    res.json(control.leaveStatus());
   });
   router.post('/leave', (_req, res) => {
-    const result = control.leave();
-    if (result.ok) res.status(202).json(control.leaving());
+    const result = control.startLeaving();
+    if (result.ok) res.status(202).json(control.leaveStatus());
     else res.status(409).json({ error: result.reason });
   });
   router.delete('/leave', (_req, res) => {
-    control.stay();
-    res.json(control.leaving());
+    control.cancelLeaving();
+    res.json(control.leaveStatus());
   });
   return router;
 }
--- a/src/admin/settings.ts
+++ b/src/admin/settings.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import { isObject } from '../kernel/index.js';
 import { DEFAULT_TUNABLES, type Tunables } from '../speculation/index.js';
-import { isForeign, unknownFields, type Fields } from '../state/index.js';
+import { isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
 
 /**
  * Settings that operators change at run time. Stored in the state service; every node follows them through its watch.
@@ -15,9 +15,9 @@
   /** Ids of machines on which no task is started and whose running tasks are moved elsewhere. */
   readonly drained: ReadonlySet<string>;
   /** Fields that a later release has added; they are kept when the settings are rewritten. */
-  readonly rest?: Fields;
+  readonly rest?: RecordFields;
   /** Tunables that a later release has added; they are kept as well. */
-  readonly restTunables?: Fields;
+  readonly restTunables?: RecordFields;
 }
 
 /** The newest version of the settings that this program reads. */
@@ -62,7 +62,7 @@
  * if one of them is invalid.
  */
 export function decodeSettings(value: unknown): OperatorSettings {
-  const stored = isObject(value) && !isForeign(value, SETTINGS_FORMAT) ? value : {};
+  const stored = isObject(value) && !isNewerFormat(value, SETTINGS_FORMAT) ? value : {};
   const storedTunables = isObject(stored['tunables']) ? stored['tunables'] : {};
   // A tunable that only a later release knows must not invalidate the others.
   const restTunables = unknownFields(storedTunables, TUNABLE_NAMES);
@@ -81,7 +81,7 @@
 }
 
 /** Encodes settings for the state service and for the administration API. */
-export const encodeSettings = (s: OperatorSettings): Fields => ({
+export const encodeSettings = (s: OperatorSettings): RecordFields => ({
   ...s.rest,
   tunables: { ...s.restTunables, ...s.tunables },
   cordoned: [...s.cordoned].sort(),
@@ -89,7 +89,7 @@
 });
 
 /** Returns the settings after an operator's action on a machine. */
-export function mark(s: OperatorSettings, machine: string, action: MachineAction): OperatorSettings {
+export function markMachine(s: OperatorSettings, machine: string, action: MachineAction): OperatorSettings {
   const cordoned = new Set(s.cordoned);
   const drained = new Set(s.drained);
   cordoned.delete(machine);
--- a/src/admin/store.ts
+++ b/src/admin/store.ts
@@ -1,6 +1,6 @@
 /** Reads and changes the operators' settings in the state service. */
 import type { Millis, Runtime } from '../kernel/index.js';
-import { isForeign, SETTINGS, Urgency, type Mirror, type StateClient } from '../state/index.js';
+import { isNewerFormat, SETTINGS_KEY, Urgency, type Mirror, type StateClient } from '../state/index.js';
 import { decodeSettings, encodeSettings, SETTINGS_FORMAT, type OperatorSettings } from './settings.js';
 
 /** How long a change is retried before its caller is told to retry. */
@@ -54,10 +54,10 @@
    * The settings that this node acts on. Read for every machine in every round, so each stored value is decoded once.
    */
   get current(): OperatorSettings {
-    const value = this.mirror.get(SETTINGS)?.value;
+    const value = this.mirror.get(SETTINGS_KEY)?.value;
     if (!this.decoded || this.decoded.value !== value) {
       // Settings of a later release can't be read: the last known settings stay in effect.
-      const lastKnown = isForeign(value, SETTINGS_FORMAT) ? this.decoded?.settings : undefined;
+      const lastKnown = isNewerFormat(value, SETTINGS_FORMAT) ? this.decoded?.settings : undefined;
       this.decoded = { value, settings: lastKnown ?? decodeSettings(value) };
     }
     return this.decoded.settings;
@@ -65,7 +65,7 @@
 
   /** Revision of the settings record that this node acts on; 0 if none was ever stored. */
   get revision(): number {
-    return this.mirror.get(SETTINGS)?.version ?? 0;
+    return this.mirror.get(SETTINGS_KEY)?.version ?? 0;
   }
 
   /** Reads the stored settings from the state service. */
@@ -121,11 +121,11 @@
     }
     const settings = batch.reduce((changed, { apply }) => apply(changed), stored.settings);
     const value = encodeSettings(settings);
-    const guards = [{ key: SETTINGS, version: stored.version }];
+    const guards = [{ key: SETTINGS_KEY, version: stored.version }];
     // An unknown outcome is retried on a fresh read: changes are idempotent, and the guard rejects the late write.
-    const result = await this.state.txn(Urgency.accept, guards, [{ put: SETTINGS, value }]);
+    const result = await this.state.txn(Urgency.accept, guards, [{ put: SETTINGS_KEY, value }]);
     if (result.kind === 'ok') {
-      this.mirror.apply({ key: SETTINGS, value, removed: false, version: result.revision });
+      this.mirror.apply({ key: SETTINGS_KEY, value, removed: false, version: result.revision });
       for (const { resolve } of batch) resolve({ kind: 'stored', settings, revision: result.revision });
       return [];
     }
@@ -151,11 +151,11 @@
   private async fetch(): Promise<
     { readonly settings: OperatorSettings; readonly version: number } | { readonly kind: 'foreign' | 'unavailable' }
   > {
-    const read = await this.state.get(SETTINGS);
+    const read = await this.state.get(SETTINGS_KEY);
     if (read.kind === 'unavailable') return { kind: 'unavailable' };
     if (read.kind === 'absent') return { settings: decodeSettings(null), version: 0 };
     const { value, version } = read.entry;
-    if (isForeign(value, SETTINGS_FORMAT)) return { kind: 'foreign' };
+    if (isNewerFormat(value, SETTINGS_FORMAT)) return { kind: 'foreign' };
     return { settings: decodeSettings(value), version };
   }
 }
--- a/src/carry/bound.ts
+++ b/src/carry/bound.ts
@@ -1,4 +1,4 @@
-import { millis, withDrift, type Millis } from '../kernel/index.js';
+import { millis, withClockDriftMargin, type Millis } from '../kernel/index.js';
 
 /** Covers the watch lag of a peer that can reach the state service, and the delay between a decision and its effect. */
 const PROPAGATION_MARGIN_MS = 5000;
@@ -9,7 +9,7 @@
 const START_CUTOFF_LEAD_MS = 4000;
 
 /** Durations that limit how long a holder may continue after it has lost contact. */
-export interface BoundFacts {
+export interface HolderTimings {
   /** A cancelled job must be off all machines within this time after its user was told of the cancellation. */
   readonly cancelMs: number;
   /** A worker kills its tasks this long after its last answered report. */
@@ -27,17 +27,17 @@
  * From then on it has to take effect within `cancelMs`, and the workers' leases need the last `leaseMs` of that time.
  * The factor 1.002 allows for clock drift.
  */
-export function answerGraceMs({ cancelMs, leaseMs, nodeLeaseMs }: BoundFacts): number {
-  const minimumMs = nodeLeaseMs + withDrift(leaseMs) / 2;
-  return Math.max(minimumMs, nodeLeaseMs / 1.002 + cancelMs - withDrift(leaseMs) - PROPAGATION_MARGIN_MS);
+export function answerGraceMs({ cancelMs, leaseMs, nodeLeaseMs }: HolderTimings): number {
+  const minimumMs = nodeLeaseMs + withClockDriftMargin(leaseMs) / 2;
+  return Math.max(minimumMs, nodeLeaseMs / 1.002 + cancelMs - withClockDriftMargin(leaseMs) - PROPAGATION_MARGIN_MS);
 }
 
 /** Returns how long a holder keeps starting tasks after the last confirmation that it still owns its shards. */
-export const startGraceMs = (timings: BoundFacts): number => answerGraceMs(timings) - START_CUTOFF_LEAD_MS;
+export const startGraceMs = (timings: HolderTimings): number => answerGraceMs(timings) - START_CUTOFF_LEAD_MS;
 
 /** Returns how long a machine is still answered while it lists tasks of a job that its holder knows to have ended. */
-export const leftoverForMs = ({ cancelMs, leaseMs }: BoundFacts): number =>
-  Math.max(2000, (cancelMs - withDrift(leaseMs) - PROPAGATION_MARGIN_MS) / 2);
+export const leftoverAnswerMs = ({ cancelMs, leaseMs }: HolderTimings): number =>
+  Math.max(2000, (cancelMs - withClockDriftMargin(leaseMs) - PROPAGATION_MARGIN_MS) / 2);
 
 /**
  * Returns the latest time at which this node's ownership of its shards was confirmed. Either its own lease was renewed,
@@ -63,10 +63,10 @@
  * What a holder still does: `all` means that it starts tasks and answers workers, `answers` that it only answers
  * workers, and `nothing` that it does neither.
  */
-export type Standing = 'all' | 'answers' | 'nothing';
+export type HolderMode = 'all' | 'answers' | 'nothing';
 
 /** Returns what a holder whose ownership was last confirmed at `confirmedAt` still does at `now`. */
-export function holderModeAt(now: Millis, confirmedAt: Millis, timings: BoundFacts): Standing {
+export function holderModeAt(now: Millis, confirmedAt: Millis, timings: HolderTimings): HolderMode {
   if (now - confirmedAt > answerGraceMs(timings)) return 'nothing';
   return now - confirmedAt > startGraceMs(timings) ? 'answers' : 'all';
 }
--- a/src/carry/carrier.ts
+++ b/src/carry/carrier.ts
@@ -13,10 +13,10 @@
   type ShardName,
 } from '../kernel/index.js';
 import type { ShardDirectory } from '../membership/index.js';
-import type { PeerLink, PeerMessage, Word } from '../peers/index.js';
+import type { PeerTransport, PeerMessage, PeerSync } from '../peers/index.js';
 import { CARRIED_CANCELLATIONS, decodeAnnouncement } from '../rollout/index.js';
-import { jobKey, nodeKey, seenKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
-import { answerGraceMs, ownershipConfirmedAt, holderModeAt, type BoundFacts, type Standing } from './bound.js';
+import { jobKey, nodeKey, seenRevisionKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
+import { answerGraceMs, ownershipConfirmedAt, holderModeAt, type HolderTimings, type HolderMode } from './bound.js';
 import {
   unacknowledgedHolders,
   type ShardHolder,
@@ -51,23 +51,23 @@
   /** All other controllers. */
   readonly others: readonly NodeName[];
   /** Durations that limit how long an isolated holder continues. */
-  readonly facts: BoundFacts;
+  readonly facts: HolderTimings;
   readonly runtime: Pick<Runtime, 'now' | 'after'>;
   readonly log: Pick<Logger, 'info' | 'warn'>;
   readonly state: Pick<StateClient, 'txn'>;
   readonly mirror: Pick<Mirror, 'get' | 'apply' | 'reach' | 'seenUpTo' | 'loaded' | 'changes'>;
   readonly directory: Pick<ShardDirectory, 'all'>;
-  readonly peers: Pick<PeerLink, 'send' | 'statusOf'>;
+  readonly peers: Pick<PeerTransport, 'send' | 'statusOf'>;
   /** Reports whether all controllers take part in acknowledged cancellations. */
-  on(): boolean;
+  enabled(): boolean;
   /** When this node's lease was last renewed at a time at which nobody could have claimed its shards. */
-  renewedAt(): Millis;
+  leaseRenewedAt(): Millis;
   /** The shards that this node holds, each with the revision of its claim. */
   held(): Iterable<readonly [ShardName, Revision]>;
   /** Called when another node has claimed a shard of this node; `version` is the revision of that claim. */
-  ousted(shard: ShardName, version: number): void;
+  onShardLost(shard: ShardName, version: number): void;
   /** Called when a job is known to have ended, with its final record and the revision of that record. */
-  over(id: JobId, final: JobFinal, version: Revision): void;
+  onJobEnded(id: JobId, final: JobFinal, version: Revision): void;
 }
 
 /** A cancellation that not all holders have acknowledged yet. */
@@ -93,7 +93,7 @@
  * time. A holder whose ownership is no longer confirmed stops starting tasks and answering workers in time, because
  * another node may then claim its shards. The proof is in docs/cancel-design.md.
  */
-export class Carrier {
+export class CancellationPropagator {
   private readonly pending = new Map<JobId, PendingCancellation>();
   private readonly acknowledgedJobs = new Set<JobId>();
   private readonly peerStamps = new Map<NodeName, PeerStamp>();
@@ -107,7 +107,7 @@
   private seenWrittenAt = NEVER;
   /** Highest revision at which the mirror has shown the removal of a job's key. */
   private lastJobEndRevision = 0;
-  private loggedMode: Standing = 'all';
+  private loggedMode: HolderMode = 'all';
 
   constructor(private readonly deps: CancellationPropagatorDeps) {
     deps.mirror.changes.subscribe(({ key, removed, version }) => {
@@ -122,7 +122,7 @@
    * Resolves to true when the user may be told that the job is cancelled: every holder has acknowledged it, or doesn't
    * need to. Resolves to false when that takes longer than the timeout for the user's answer.
    */
-  async carried(job: JobId, final: JobFinal, version: Revision): Promise<boolean> {
+  async awaitAcknowledgement(job: JobId, final: JobFinal, version: Revision): Promise<boolean> {
     if (this.acknowledgedJobs.has(job)) return true;
     const { deps } = this;
     let pending = this.pending.get(job);
@@ -132,7 +132,7 @@
       this.addPending(job, pending);
       this.notify(job, pending, deps.others);
     }
-    if (!deps.on()) {
+    if (!deps.enabled()) {
       // Some controller doesn't take part yet: each one acts on the frame at once, and nobody waits for
       // acknowledgements.
       this.resolvePending(job, pending, true);
@@ -196,7 +196,7 @@
       mayAcknowledge: (node, incarnation) => this.mayAcknowledge(node, incarnation),
       hasAcknowledged: (_node, incarnation) => acks.has(incarnation),
       watchHasReached: (node, incarnation) => {
-        const value = mirror.get(seenKey(node))?.value;
+        const value = mirror.get(seenRevisionKey(node))?.value;
         return isObject(value) && value['incarnation'] === incarnation && Number(value['upTo']) >= version;
       },
       hasEnded: (node, incarnation) => {
@@ -238,11 +238,11 @@
    * Handles the frames of this module: `withdrawn` (a cancellation), `heard` (its acknowledgement), `word` (a
    * heartbeat).
    */
-  onPeer(from: NodeName, message: PeerMessage): void {
+  onPeerMessage(from: NodeName, message: PeerMessage): void {
     switch (message.kind) {
       case 'withdrawn': {
         const { job, done, at, version } = message;
-        this.deps.over(job, { phase: 'cancelled', done, at }, version);
+        this.deps.onJobEnded(job, { phase: 'cancelled', done, at }, version);
         // From here on this node starts no task of the job and stops those that run.
         this.deps.mirror.apply({ key: jobKey(job), value: undefined, removed: true, version });
         this.deps.peers.send(from, { kind: 'heard', job, incarnation: this.deps.incarnation });
@@ -261,7 +261,7 @@
   }
 
   /** Handles a peer's heartbeat: its echo of our heartbeats and its view of who holds the shards. */
-  private onHeartbeat(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: Word): void {
+  private onHeartbeat(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: PeerSync): void {
     const known = this.peerStamps.get(from);
     if (known?.incarnation !== incarnation || known.stamp < stamp) this.peerStamps.set(from, { incarnation, stamp });
     const { self, incarnation: own } = this.deps;
@@ -275,7 +275,7 @@
       const reported = shards.find((other) => other.shard === shard);
       const ours = reported?.holder === self && reported.incarnation === own;
       if (!ours) confirms = false;
-      if (reported && !ours && reported.version > claimedAt) this.deps.ousted(shard, reported.version);
+      if (reported && !ours && reported.version > claimedAt) this.deps.onShardLost(shard, reported.version);
     }
     if (confirms) this.confirm(from, sentAt);
   }
@@ -291,14 +291,14 @@
   // ---- isolation of this holder
 
   /** What this node may still do as a holder. */
-  get standing(): Standing {
+  get holderMode(): HolderMode {
     const { deps } = this;
-    if (deps.others.length === 0 || !deps.on()) return 'all';
+    if (deps.others.length === 0 || !deps.enabled()) return 'all';
     return holderModeAt(deps.runtime.now(), this.ownershipConfirmedAt, deps.facts);
   }
 
   private get ownershipConfirmedAt(): Millis {
-    return millis(Math.max(this.deps.renewedAt(), this.confirmedByMajorityAt));
+    return millis(Math.max(this.deps.leaseRenewedAt(), this.confirmedByMajorityAt));
   }
 
   // ---- periodic work
@@ -334,7 +334,7 @@
       if (!this.acknowledgesCancellations(node)) {
         // An earlier release doesn't report shards: hearing from it has to be enough of a confirmation.
         const status = deps.peers.statusOf(node);
-        if (status) this.confirm(node, status.heardAt);
+        if (status) this.confirm(node, status.lastHelloAt);
         continue;
       }
       const { stamp = -1, incarnation = toIncarnation('') } = this.peerStamps.get(node) ?? {};
@@ -349,8 +349,8 @@
    */
   private async writeSeenRevision(now: Millis): Promise<void> {
     const { deps } = this;
-    const key = seenKey(deps.self);
-    if (!deps.on() || now - this.seenWrittenAt < SEEN_WRITE_INTERVAL_MS || !deps.mirror.loaded) return;
+    const key = seenRevisionKey(deps.self);
+    if (!deps.enabled() || now - this.seenWrittenAt < SEEN_WRITE_INTERVAL_MS || !deps.mirror.loaded) return;
     const somePeerUnreachable = deps.others.some(
       (node) => deps.mirror.get(nodeKey(node)) && now - (this.echoedByPeerAt.get(node) ?? NEVER) > ECHO_TIMEOUT_MS,
     );
@@ -366,7 +366,7 @@
   }
 
   private logModeChange(now: Millis): void {
-    const { standing } = this;
+    const { holderMode: standing } = this;
     if (standing === this.loggedMode) return;
     const silentMs = Math.round(now - this.ownershipConfirmedAt);
     const text = {
@@ -384,7 +384,7 @@
     const waitsMs = [...this.pending.values()].map(({ since }) => now - since);
     const sinceConfirmedMs = Math.max(0, now - this.ownershipConfirmedAt);
     return {
-      standing: this.standing,
+      standing: this.holderMode,
       reassuredSAgo: Number.isFinite(sinceConfirmedMs) ? Math.round(sinceConfirmedMs / 100) / 10 : null,
       answersForS: Number.isFinite(sinceConfirmedMs)
         ? Math.max(0, Math.round((answerGraceMs(this.deps.facts) - sinceConfirmedMs) / 100) / 10)
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,2 +1,2 @@
 /** Parts of the command line that other bundles share. */
-export { quietWhenUnread } from './streams.js';
+export { exitOnBrokenPipe } from './streams.js';
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -4,10 +4,10 @@
 import { dirname, join } from 'node:path';
 import { Command, InvalidArgumentError } from 'commander';
 import { loadSettings, SettingsError } from '../config/index.js';
-import { createLogger, HttpClient, parseAddress, systemRuntime, type Call } from '../kernel/index.js';
+import { createLogger, HttpClient, parseAddress, systemRuntime, type HttpRequest } from '../kernel/index.js';
 import { Service, type ServiceOptions } from '../service/index.js';
 import { addRolloutCommands } from './rollout.js';
-import { quietWhenUnread } from './streams.js';
+import { exitOnBrokenPipe } from './streams.js';
 
 declare const WOODDRIFT_VERSION: string | undefined;
 
@@ -47,10 +47,10 @@
   return count;
 };
 
-quietWhenUnread(process.stdout);
+exitOnBrokenPipe(process.stdout);
 
 /** Sends a request to a controller and prints its response; a failure or an error status sets exit code 1. */
-async function sendRequest(node: string, call: Omit<Call, 'timeoutMs'>): Promise<void> {
+async function sendRequest(node: string, call: Omit<HttpRequest, 'timeoutMs'>): Promise<void> {
   const target = parseAddress(node);
   if (!target) return;
   const client = new HttpClient(target, 1);
--- a/src/cli/rollout.ts
+++ b/src/cli/rollout.ts
@@ -1,14 +1,22 @@
 /** Commands for operators who replace controllers one after the other. */
 import { Console } from 'node:console';
 import type { Command } from 'commander';
-import { asList, asString, HttpClient, isObject, parseAddress, systemRuntime, type Call } from '../kernel/index.js';
+import {
+  asArray,
+  asString,
+  HttpClient,
+  isObject,
+  parseAddress,
+  systemRuntime,
+  type HttpRequest,
+} from '../kernel/index.js';
 
 const REQUEST_TIMEOUT_MS = 3000;
 const LEAVE_POLL_INTERVAL_MS = 200;
 const LEAVE_TIMEOUT_MS = 30_000;
 
 /** Sends a request to a controller and prints its response. */
-type SendRequest = (node: string, call: Omit<Call, 'timeoutMs'>) => Promise<void>;
+type SendRequest = (node: string, call: Omit<HttpRequest, 'timeoutMs'>) => Promise<void>;
 /** Options of a command that addresses a controller. */
 interface NodeOptions {
   readonly node: string;
@@ -31,7 +39,7 @@
     fields: readonly string[],
   ): Record<string, Record<string, string | number | boolean>> =>
     Object.fromEntries(
-      asList(list)
+      asArray(list)
         .filter(isObject)
         .map((row) => [toText(row[name]), Object.fromEntries(fields.map((field) => [field, toCell(row[field])]))]),
     );
@@ -43,7 +51,7 @@
     ['unknownFeatures', 'features of later releases'],
     ['unreadable', 'shards whose records this release cannot read'],
   ] as const)
-    if (asList(body[field]).length > 0) output.log(`${label}: ${toText(body[field])}`);
+    if (asArray(body[field]).length > 0) output.log(`${label}: ${toText(body[field])}`);
   if (body['paused'] === true) output.log('The rollout is paused: no feature is switched on automatically.');
   const next = isObject(body['next']) ? body['next'] : {};
   output.log(
@@ -54,7 +62,7 @@
 }
 
 /** Sends a request; on failure prints a line to standard error, sets the exit code and returns null. */
-async function request(node: string, call: Omit<Call, 'timeoutMs'>): Promise<unknown> {
+async function request(node: string, call: Omit<HttpRequest, 'timeoutMs'>): Promise<unknown> {
   const target = parseAddress(node);
   if (!target) return null;
   const client = new HttpClient(target, 1);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,7 +1,7 @@
 import {
   HttpClient,
   type Address,
-  type Answer,
+  type HttpResult,
   type Logger,
   type MachineId,
   type Millis,
@@ -49,7 +49,7 @@
   }
 
   /** Refills the bucket and returns whether a call may be made now; otherwise the caller retries in its next round. */
-  mayCall(): boolean {
+  canCall(): boolean {
     const now = this.runtime.now();
     // Tokens per second, and the capacity of the bucket: 80 % of the limit.
     const rate = this.maxCallsPerSecond * 0.8;
@@ -59,8 +59,8 @@
   }
 
   /** Takes a token and makes the call, also when the bucket is empty. */
-  private call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<Answer> {
-    this.mayCall();
+  private call(method: 'GET' | 'POST', path: string, body?: unknown): Promise<HttpResult> {
+    this.canCall();
     this.availableCalls -= 1;
     return this.http.call({ method, path, timeoutMs: CALL_TIMEOUT_MS, ...(body === undefined ? {} : { body }) });
   }
@@ -106,7 +106,7 @@
    * Returns up to 100 machines to the cloud; further ids are ignored. True means that these machines and everything on
    * them are gone, whatever their state was.
    */
-  async giveBack(ids: readonly MachineId[]): Promise<boolean> {
+  async returnMachines(ids: readonly MachineId[]): Promise<boolean> {
     const result = await this.call('POST', cloudPaths.giveBack, encodeReturnRequest(ids.slice(0, 100)));
     return result.kind === 'answered' && result.status === 200;
   }
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -1,4 +1,4 @@
-import { asList, asNumber, asString, isObject, machineId, type MachineId } from '../kernel/index.js';
+import { asArray, asNumber, asString, isObject, machineId, type MachineId } from '../kernel/index.js';
 
 /** Request and response bodies of the cloud API, translated from and to the cloud's own field names. */
 
@@ -38,7 +38,7 @@
 export function decodeMachineTypes(body: unknown): MachineType[] | null {
   if (!isObject(body) || !Array.isArray(body['hulls'])) return null;
   const types: MachineType[] = [];
-  for (const item of asList(body['hulls'])) {
+  for (const item of asArray(body['hulls'])) {
     if (!isObject(item)) continue;
     const name = asString(item['sku']);
     const cpus = asNumber(item['vcpus']);
@@ -55,7 +55,7 @@
       price,
       spotPrice: asNumber(item['low_price']) ?? price,
       bootS: asNumber(item['startup_s']) ?? 30,
-      zones: asList(item['berths']).filter((z): z is string => typeof z === 'string'),
+      zones: asArray(item['berths']).filter((z): z is string => typeof z === 'string'),
     });
   }
   return types.length > 0 ? types : null;
@@ -68,7 +68,7 @@
 export function decodeRentals(body: unknown): { rentals: Rental[]; more: boolean } | null {
   if (!isObject(body) || !Array.isArray(body['drifters'])) return null;
   const rentals: Rental[] = [];
-  for (const item of asList(body['drifters'])) {
+  for (const item of asArray(body['drifters'])) {
     if (!isObject(item)) continue;
     const id = asString(item['ref']);
     const type = asString(item['hull']);
@@ -110,7 +110,7 @@
 /** Decodes the ids of newly rented machines; null when the body is malformed. */
 export function decodeRentedIds(body: unknown): MachineId[] | null {
   if (!isObject(body) || !Array.isArray(body['drifters'])) return null;
-  return asList(body['drifters'])
+  return asArray(body['drifters'])
     .filter((id): id is string => typeof id === 'string')
     .map(machineId);
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -3,7 +3,7 @@
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { nodeName, parseAddress, type Address, type NodeName } from '../kernel/index.js';
-import type { StateFacts } from '../state/index.js';
+import type { StateServiceLimits } from '../state/index.js';
 
 const nonNegative = v.pipe(v.number(), v.minValue(0));
 const positive = v.pipe(v.number(), v.gtValue(0));
@@ -74,7 +74,7 @@
 }
 
 /** Resource quota of a team: guaranteed amounts, and limits of which 0 means none. */
-export interface TeamFacts {
+export interface TeamQuota {
   readonly cpus: number;
   readonly cpusMax: number;
   readonly gpus: number;
@@ -105,7 +105,7 @@
   readonly zones: readonly string[];
   /** Maximum clock skew between the controllers' wall clocks. */
   readonly skewMs: number;
-  readonly teams: ReadonlyMap<string, TeamFacts>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly objectives: readonly Objective[];
   readonly workers: {
     /** Interval between the reports of a worker. */
@@ -117,7 +117,7 @@
     readonly cancelMs: number;
   };
   /** Limits of the state service. */
-  readonly stateLimits: StateFacts;
+  readonly stateLimits: StateServiceLimits;
   /** `rps`: requests per second to the cloud provider; `listLagMs`: how far its machine list may lag behind. */
   readonly cloudLimits: { readonly rps: number; readonly listLagMs: number };
   /** Maximum number of sockets that the controller may have open. */
--- a/src/holder/accounts.ts
+++ b/src/holder/accounts.ts
@@ -24,8 +24,8 @@
     const { shard, deps } = this.held;
     const limited = new Map<string, TeamUse>();
     for (const [team, account] of this.useUnderFullLimits()) {
-      const cap = deps.quotas.capOf(team, shard);
-      const left = deps.quotas.leftOf(team);
+      const cap = deps.quotas.shareLimitOf(team, shard);
+      const left = deps.quotas.remainingOf(team);
       limited.set(team, {
         ...account,
         cpusMax: shareLimit(cap?.cpus ?? 0, account.cpusMax > 0),
@@ -70,7 +70,7 @@
   }
 
   /** Whether this shard has open jobs of teams with a limit whose whole limit is assigned to another shard. */
-  get foreign(): boolean {
+  get hasForeignWork(): boolean {
     for (const run of this.held.jobs.values()) if (!run.ended && this.isAccountedElsewhere(run.spec.team)) return true;
     return false;
   }
--- a/src/holder/booking.ts
+++ b/src/holder/booking.ts
@@ -1,8 +1,8 @@
 import type { MachineType } from '../cloud/index.js';
 import { Priority, type JobSpec } from '../jobs/index.js';
 import { parseTaskKey, type JobId, type Millis } from '../kernel/index.js';
-import type { Stoppable } from '../placement/index.js';
-import type { ListedTask, MachineBelief } from '../workers/index.js';
+import type { PreemptableTask } from '../placement/index.js';
+import type { ListedTask, WorkerTracker } from '../workers/index.js';
 import type { ActiveTask, JobRun } from './run.js';
 
 /** Free and used resources of a machine, given the tasks that may be on it. Cached until these change. */
@@ -19,7 +19,7 @@
   /** Number of images being fetched. */
   readonly fetching: number;
   /** Tasks that can be preempted. */
-  readonly running: readonly Stoppable[];
+  readonly running: readonly PreemptableTask[];
   /** Resources of array tasks below production priority: arrays share them, and yield them to services. */
   readonly yieldCpus: number;
   readonly yieldMemoryGb: number;
@@ -40,7 +40,7 @@
 
 /** Computes the booking of a machine from the tasks that may be on it. Pure: depends on the arguments alone. */
 export function bookingOf(
-  belief: MachineBelief,
+  belief: WorkerTracker,
   type: MachineType,
   runOf: (id: JobId) => JobRun | undefined,
   now: Millis,
@@ -50,7 +50,7 @@
   let known = true;
   let inUse = type.gpus > 0 ? belief.pendingStarts.size > 0 : !belief.empty;
   const fetching = new Set<string>();
-  const running: Stoppable[] = [];
+  const running: PreemptableTask[] = [];
   const deduct = (task: Pick<ListedTask, 'job' | 'index'> | null, listed: boolean, isFetching: boolean): void => {
     const run = task ? runOf(task.job) : undefined;
     if (!task || !run) {
--- a/src/holder/departures.ts
+++ b/src/holder/departures.ts
@@ -1,7 +1,7 @@
 import type { HeldShard } from './held.js';
 import type { JobSpec } from '../jobs/index.js';
 import { jobId, type Millis } from '../kernel/index.js';
-import { chooseRestarts, flagTasks, resourceR, type Flag } from '../speculation/index.js';
+import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../speculation/index.js';
 import { JobRun, type ActiveTask } from './run.js';
 
 /**
@@ -9,7 +9,7 @@
  * there is just time to save; one that does not may stay only if it is expected to finish in time. Services, and tasks
  * that do not run yet, always have to go.
  */
-export function mustLeave(spec: JobSpec, running: boolean, expectedLeftS: number, leftS: number): boolean {
+export function mustStopBeforeReclaim(spec: JobSpec, running: boolean, expectedLeftS: number, leftS: number): boolean {
   if (spec.kind === 'service' || !running) return true;
   if (spec.checkpointS > 0) return leftS < spec.saveS + 3;
   return expectedLeftS > leftS;
@@ -40,7 +40,7 @@
   /** Whether a task must be stopped on a machine that is reclaimed in `leftS` seconds. */
   private mustStop(run: JobRun, active: ActiveTask, leftS: number, now: Millis): boolean {
     const expectedLeftS = run.expectedRunS - (now - (active.runningAt ?? now)) / 1000;
-    return mustLeave(run.spec, active.state === 'running', expectedLeftS, leftS);
+    return mustStopBeforeReclaim(run.spec, active.state === 'running', expectedLeftS, leftS);
   }
 
   /** Stops stragglers of array jobs so that they are started again on other machines. */
@@ -51,10 +51,10 @@
     for (const machine of this.held.machines.values()) {
       const b = this.held.bookingOf(machine, now);
       if (b?.known) booked.push({ cpu: 1 - b.freeCpus / b.type.cpus, memory: 1 - b.freeMemoryGb / b.type.memoryGb });
-      if (now - machine.belief.lastHeardAt > 2 * this.held.deps.settings.workers.reportMs) late.add(machine.id);
+      if (now - machine.belief.lastMessageAt > 2 * this.held.deps.settings.workers.reportMs) late.add(machine.id);
     }
-    const r = resourceR(booked, tunables);
-    const flags: Flag[] = [];
+    const r = resourceTerm(booked, tunables);
+    const flags: StragglerFlag[] = [];
     const running = new Map<string, number>();
     const wall = this.held.deps.runtime.wall();
     for (const run of this.held.jobs.values()) {
@@ -66,7 +66,7 @@
       running.set(run.id, tasks.length);
       const startedWall = wall - (now - started);
       flags.push(
-        ...flagTasks(
+        ...flagStragglers(
           {
             job: run.id,
             tasks: run.spec.tasks,
--- a/src/holder/deps.ts
+++ b/src/holder/deps.ts
@@ -1,8 +1,8 @@
 import type { MachineType } from '../cloud/index.js';
-import type { Standing } from '../carry/index.js';
+import type { HolderMode } from '../carry/index.js';
 import type { Settings } from '../config/index.js';
 import type { JobRegistry, JobSpec } from '../jobs/index.js';
-import type { Inherited } from '../pipelines/index.js';
+import type { InheritedConstraints } from '../pipelines/index.js';
 import type {
   Incarnation,
   JobId,
@@ -47,11 +47,11 @@
   /** Current operator settings. */
   operator(): OperatorView;
   /** Earliest time at which another node can have claimed this node's shards. */
-  heldUntil(): Millis;
+  exclusiveUntil(): Millis;
   /**
    * True while no other node can have claimed this node's shards, not even by a claim that the watch has yet to show.
    */
-  certain(): boolean;
+  isExclusiveHolder(): boolean;
   /** State of jobs that depend on other jobs. */
   readonly pipelines: Pipelines;
   /** Division of team limits between shards. */
@@ -62,15 +62,15 @@
    * What this node may still do as a holder: everything, only answer reports, or nothing. It depends on how long ago
    * its lease or a majority of controllers last confirmed that no other node holds its shards.
    */
-  standing(): Standing;
+  standing(): HolderMode;
   /** How long the reports of a worker that still lists tasks of ended jobs are answered, in milliseconds. */
   readonly leftoverMs: number;
   /** Requests a reconcile round of the held shards soon. */
-  nudge(): void;
+  requestRound(): void;
   /** Records that a worker has answered, which shows that this node reaches workers. */
   heard(): void;
   /** Finds another shard that has capacity for `count` tasks of this job now; null when there is none. */
-  roomElsewhere(from: ShardName, spec: JobSpec, count: number): ShardName | null;
+  findShardWithCapacity(from: ShardName, spec: JobSpec, count: number): ShardName | null;
 }
 
 /** Dependencies between jobs, as the holder needs them. */
@@ -80,21 +80,21 @@
   /** When the last dependency was done; null when unknown. */
   readyAt(id: JobId): WallMillis | null;
   /** Priority and due time that the job inherits from its dependents; null when it has none. */
-  inherited(id: JobId): Inherited | null;
+  inherited(id: JobId): InheritedConstraints | null;
 }
 
 /** Division of team limits between shards, as the holder needs it. */
 export interface Quotas {
   /** The part of a team's limit that a shard may use now; null when the team has no limit. */
-  capOf(team: string, shard: ShardName): Amount | null;
+  shareLimitOf(team: string, shard: ShardName): Amount | null;
   /** What all shards together leave unused of a team's limit while limits are shared; null when they are not. */
-  leftOf(team: string): Amount | null;
+  remainingOf(team: string): Amount | null;
   /** The shard that is assigned a team's whole limit while limits are not shared. */
   account(team: string): ShardName | null;
   /** Whether the shares are being returned, so that each team has one shard with its whole limit again. */
   isReturning(): boolean;
   /** Reports that work of a team with a limit waits for a larger share. */
-  wanted(): void;
+  reportWaitingWork(): void;
 }
 
 /** HTTP response to a worker's report. */
--- a/src/holder/exits.ts
+++ b/src/holder/exits.ts
@@ -9,7 +9,7 @@
   readonly deps: Pick<HolderDeps, 'log' | 'runtime' | 'trail'>;
   readonly machines: ReadonlyMap<MachineId, HeldMachine>;
   /** Requests a reconcile round with a new placement plan. */
-  soon(): void;
+  requestReplan(): void;
   /** Records that a task is no longer on its machine. */
   release(machine: HeldMachine, run: JobRun, active: ActiveTask, why: string): void;
 }
@@ -38,7 +38,7 @@
       if (medianRunS !== null && medianRunS > 1 && run.finishedRunsS.length >= 3) machine.noteRun(ranS / medianRunS);
       run.noteRun(ranS);
     }
-    held.soon();
+    held.requestReplan();
   }
   if (listed.why === 'error') recordFailure(held, machine, run, index, now);
   if (listed.why === 'no-room' || listed.why === 'busy') machine.cooldownUntil = millis(now + 1000);
@@ -64,6 +64,6 @@
   machine.noteFailure(run.id, now);
   log.debug({ job: run.id, index, machine: machine.id }, 'task failed');
   if (known || !machine.faulty(now)) return;
-  trail?.note({ kind: 'faulty', machine: machine.id });
+  trail?.record({ kind: 'faulty', machine: machine.id });
   log.info({ machine: machine.id, job: run.id }, 'tasks keep failing on this machine: no new tasks are placed there');
 }
--- a/src/holder/grouping.ts
+++ b/src/holder/grouping.ts
@@ -1,5 +1,5 @@
-import { encodeGrouped, groupedBytes, writerOf } from '../jobs/index.js';
-import { millis, type Bits, type JobId, type Millis } from '../kernel/index.js';
+import { encodeGroupedProgress, groupedProgressBytes, groupedProgressWriter } from '../jobs/index.js';
+import { millis, type BitSet, type JobId, type Millis } from '../kernel/index.js';
 import { progressKey, reread, Urgency, type Change, type Guard } from '../state/index.js';
 import type { HeldShard } from './held.js';
 import { applyGroupedProgress } from './recall.js';
@@ -14,7 +14,7 @@
 
 /** Progress to write as a group, and the jobs that do not fit into it and need their own record written. */
 export interface GroupPlan {
-  readonly jobs: ReadonlyMap<JobId, Bits>;
+  readonly jobs: ReadonlyMap<JobId, BitSet>;
   readonly own: ReadonlySet<JobRun>;
 }
 
@@ -27,12 +27,12 @@
 
 /** Selects the jobs whose progress goes into the group, oldest first, up to `maxBytes`. Pure. */
 export function planGroupedProgress(runs: Iterable<JobRun>, maxBytes: number): GroupPlan {
-  const jobs = new Map<JobId, Bits>();
+  const jobs = new Map<JobId, BitSet>();
   const own = new Set<JobRun>();
   let bytes = 0;
   for (const run of runs) {
     if (run.ended || run.complete || !isAheadOfRecord(run)) continue;
-    const size = groupedBytes(run.id, run.spec.tasks);
+    const size = groupedProgressBytes(run.id, run.spec.tasks);
     if (run.spec.tasks > MAX_TASKS_PER_GROUPED_JOB || bytes + size > maxBytes) {
       own.add(run);
       continue;
@@ -62,7 +62,7 @@
 
   /** Merges a group that another holder wrote, before the claim or seen late: tasks that it lists as done are done. */
   onChange(change: Change): void {
-    if (change.removed || writerOf(change.value) === this.held.deps.incarnation) return;
+    if (change.removed || groupedProgressWriter(change.value) === this.held.deps.incarnation) return;
     for (const run of this.held.jobs.values()) applyGroupedProgress(run, change.value);
   }
 
@@ -77,7 +77,7 @@
     if (!due || !this.anyUnstoredProgress) return this.needsOwnWrite;
     const { jobs, own } = planGroupedProgress(
       this.held.jobs.values(),
-      MAX_VALUE_FILL_RATIO * deps.state.limits.valueBytes,
+      MAX_VALUE_FILL_RATIO * deps.state.limits.maxValueBytes,
     );
     this.own = own;
     // All new progress may belong to jobs that do not fit into the group.
@@ -98,15 +98,15 @@
   private readonly needsOwnWrite = (run: JobRun): boolean => this.own.has(run) && run.done.count > run.stored.count;
 
   /** Writes the group and marks its tasks as stored. */
-  private async write(jobs: ReadonlyMap<JobId, Bits>): Promise<void> {
+  private async write(jobs: ReadonlyMap<JobId, BitSet>): Promise<void> {
     const { deps } = this.held;
-    const value = encodeGrouped({ by: deps.incarnation, jobs });
+    const value = encodeGroupedProgress({ by: deps.incarnation, jobs });
     if (!(await this.put([{ put: this.key, value }], value))) return;
     for (const [id, done] of jobs) {
       const run = this.held.jobs.get(id);
       if (run && !run.ended) run.stored = done;
     }
-    deps.nudge();
+    deps.requestRound();
   }
 
   /** Removes the group once every job's own record contains the progress that the group holds. */
--- a/src/holder/held.ts
+++ b/src/holder/held.ts
@@ -1,4 +1,4 @@
-import { decodeRecord, decodeSpec, isForeignJob, type JobSpec } from '../jobs/index.js';
+import { decodeJobRecord, decodeJobSpec, isNewerJobFormat, type JobSpec } from '../jobs/index.js';
 import {
   isObject,
   jobId,
@@ -13,14 +13,14 @@
   type ShardName,
 } from '../kernel/index.js';
 import type { BlockMachine, PreviousHolder, ShardValue } from '../membership/index.js';
-import { jobKey, JOBS, progressKey, reread, shardKey, type Change } from '../state/index.js';
+import { jobKey, JOBS_PREFIX, progressKey, reread, shardKey, type Change } from '../state/index.js';
 import { TaskIndex, encodeRedirect, encodeReply, type ListedTask, type WorkerMessage } from '../workers/index.js';
 import { bookingOf, type Booking } from './booking.js';
 import { handleExit } from './exits.js';
 import { forgetOrders } from './forgetting.js';
 import { leftoverStops } from './leftovers.js';
 import { HeldMachine } from './machine.js';
-import { BlockMembers, type BlockSource } from './members.js';
+import { BlockMembers, type ChangeSource } from './members.js';
 import { applyGroupedProgress } from './recall.js';
 import { JobRun, type ActiveTask, type StopReason } from './run.js';
 import type { HolderDeps, ReportReply } from './deps.js';
@@ -88,7 +88,7 @@
     this.members.initialize(value);
     for (const id of this.machines.keys()) this.unfencedMachines.add(id);
     for (const id of faulty) this.machines.get(id)?.markFaulty(now);
-    for (const entry of deps.mirror.under(JOBS)) {
+    for (const entry of deps.mirror.under(JOBS_PREFIX)) {
       this.onJob({ key: entry.key, value: entry.value, removed: false, version: entry.version });
     }
   }
@@ -107,7 +107,7 @@
    * Records that an earlier holder no longer commands workers. After the last one, unanswered workers' leases count
    * from now.
    */
-  proven(node: NodeName): void {
+  confirmStopped(node: NodeName): void {
     if (!this.earlier.delete(node) || this.earlier.size > 0 || this.predecessorsStoppedAt !== null) return;
     const now = this.deps.runtime.now();
     this.predecessorsStoppedAt = now;
@@ -116,7 +116,7 @@
   }
 
   /** Earlier holders that must be known to have stopped before a silent worker's lease can be considered expired. */
-  get doubtful(): PreviousHolder[] {
+  get unconfirmedHolders(): PreviousHolder[] {
     return this.unfencedMachines.size > 0 ? [...this.earlier.values()] : [];
   }
 
@@ -134,9 +134,9 @@
   }
 
   /** Handles a change of the shard's stored machines. */
-  onShard(value: ShardValue, source: BlockSource): void {
+  onShard(value: ShardValue, source: ChangeSource): void {
     this.members.follow(value, source);
-    this.deps.nudge();
+    this.deps.requestRound();
   }
 
   private createMachine(info: BlockMachine, base: Revision): HeldMachine {
@@ -145,7 +145,7 @@
       heard: () => {
         this.deps.heard();
         this.applyWorkerState(machine);
-        this.soon();
+        this.requestReplan();
       },
       superseded: () => this.superseded(machine),
     };
@@ -154,34 +154,34 @@
   }
 
   /** Requests a reconcile round with a new placement plan. */
-  soon(): void {
+  requestReplan(): void {
     this.replan = true;
-    this.deps.nudge();
+    this.deps.requestRound();
   }
 
   /** Marks the booking of a machine as out of date and requests a round. */
   private invalidateBooking(machine: HeldMachine): void {
     if (machine.booking) machine.booking = { ...machine.booking, generation: -1 };
-    this.soon();
+    this.requestReplan();
   }
 
   /** Handles a change of a job's record. */
   onJob(change: Change): void {
-    const id = jobId(change.key.slice(JOBS.length));
+    const id = jobId(change.key.slice(JOBS_PREFIX.length));
     const run = this.jobs.get(id);
-    if (change.removed || !isForeignJob(change.value)) this.foreign.delete(id);
+    if (change.removed || !isNewerJobFormat(change.value)) this.foreign.delete(id);
     else return this.ignoreUnreadableJob(id, run);
     if (change.removed || (isObject(change.value) && change.value['shard'] !== this.shard)) {
-      this.onOver(id);
+      this.onJobEnded(id);
       return;
     }
     // The job has ended, as the state service or a peer reported: what the watch delivers of it is older.
-    if (this.deps.registry.isOver(id)) {
-      this.onOver(id);
+    if (this.deps.registry.isKnownEnded(id)) {
+      this.onJobEnded(id);
       return;
     }
     if (run && !run.ended && run.version >= change.version) return;
-    const record = decodeRecord(change.value);
+    const record = decodeJobRecord(change.value);
     if (!record) return;
     if (run && !run.ended) {
       run.version = change.version;
@@ -201,7 +201,7 @@
     if (run) this.endedRuns.delete(run);
     this.jobs.set(id, newRun);
     const { spec, submittedAt } = record;
-    this.deps.trail?.note({ kind: 'job', job: id, spec, submittedAt, shard: this.shard });
+    this.deps.trail?.record({ kind: 'job', job: id, spec, submittedAt, shard: this.shard });
     // Workers may list tasks of this job already, after a takeover or when the watch is late.
     for (const name of this.taskIndex.machinesOfJob(id)) {
       const machine = this.machines.get(name);
@@ -209,11 +209,11 @@
       this.applyWorkerState(machine);
       this.invalidateBooking(machine);
     }
-    this.soon();
+    this.requestReplan();
   }
 
   /** Handles that all dependencies of a job are done. */
-  onReady(id: JobId): void {
+  onDependenciesDone(id: JobId): void {
     const entry = this.waiting.has(id) ? this.deps.mirror.get(jobKey(id)) : undefined;
     if (entry) this.onJob({ key: entry.key, value: entry.value, removed: false, version: entry.version });
   }
@@ -250,7 +250,7 @@
       this.machinesWithStops.add(machine);
       this.invalidateBooking(machine);
     }
-    this.soon();
+    this.requestReplan();
   }
 
   /**
@@ -265,7 +265,7 @@
    * Handles that a job has ended. Ended jobs never reopen, so the record is not read again: a read that failed while
    * the state service refused only this node would lose the peer's message for good (found by the region test `gap`).
    */
-  onOver(id: JobId): void {
+  onJobEnded(id: JobId): void {
     const run = this.jobs.get(id);
     if (run && !run.ended) this.endRun(run);
     else if (this.waiting.delete(id)) this.stopAllTasks(id);
@@ -282,7 +282,7 @@
 
   /** Answers a worker's report. An answered report renews the worker's lease. */
   onReport(message: WorkerMessage): ReportReply {
-    const machine = this.members.present(message.machine);
+    const machine = this.members.findPresent(message.machine);
     const now = this.deps.runtime.now();
     if (!machine || this.dropped) return { status: 421, body: encodeRedirect(null) };
     // The next holder counts the worker's lease from the write that hands the shard or the machine over.
@@ -291,7 +291,7 @@
     // Another node may hold the shard by now, so this worker's lease must not be renewed.
     if (this.deps.standing() === 'nothing') return { status: 503, body: { error: 'nobody is heard' } };
     const { generation, fenced } = machine.belief;
-    const verdict = machine.belief.take(message, now);
+    const verdict = machine.belief.applyReport(message, now);
     if (verdict === 'superseded') {
       this.superseded(machine);
       return { status: 421, body: encodeRedirect(null) };
@@ -301,11 +301,11 @@
       const noticed = (message.noticeS === null) !== (machine.noticeUntil === null);
       machine.noticeUntil = message.noticeS === null ? null : millis(now + message.noticeS * 1000);
       if (noticed && message.noticeS !== null)
-        this.deps.trail?.note({ kind: 'notice', machine: machine.id, leftS: message.noticeS });
+        this.deps.trail?.record({ kind: 'notice', machine: machine.id, leftS: message.noticeS });
       if (generation !== machine.belief.generation || machine.lost || noticed || fenced !== machine.belief.fenced) {
         machine.lost = false;
         this.applyWorkerState(machine);
-        this.soon();
+        this.requestReplan();
       }
     } else if (message.session < machine.belief.session || !machine.belief.heard) {
       return { status: 503, body: { error: 'an old report' } };
@@ -360,7 +360,7 @@
       if (!machine.belief.tasks.has(key)) machine.processedExits.delete(key);
     for (const key of machine.stopSentAt.keys()) if (!machine.belief.tasks.has(key)) machine.stopSentAt.delete(key);
     for (const [key, { run, task }] of machine.active) {
-      if (!machine.belief.possibly(key)) this.release(machine, run, task, 'not there any more');
+      if (!machine.belief.mayHaveTask(key)) this.release(machine, run, task, 'not there any more');
     }
     this.bookingOf(machine, now);
   }
@@ -399,9 +399,9 @@
         active.runningAt ??= now;
         run.startedAt ??= now;
         const { index, attempt, adopted } = active;
-        this.deps.trail?.note({ kind: 'began', job: run.id, index, attempt, machine: machine.id, adopted });
+        this.deps.trail?.record({ kind: 'began', job: run.id, index, attempt, machine: machine.id, adopted });
         if (machine.noteImage(run.spec.image))
-          this.deps.trail?.note({ kind: 'image', machine: machine.id, image: run.spec.image });
+          this.deps.trail?.record({ kind: 'image', machine: machine.id, image: run.spec.image });
       }
     }
   }
@@ -413,13 +413,13 @@
     machine.active.delete(taskKey(run.id, active.index));
     const { index, attempt } = active;
     const ran = active.runningAt !== null;
-    this.deps.trail?.note({ kind: 'left', job: run.id, index, attempt, machine: machine.id, why, ran });
+    this.deps.trail?.record({ kind: 'left', job: run.id, index, attempt, machine: machine.id, why, ran });
     this.deps.log.debug({ job: run.id, index: active.index, machine: machine.id, why }, 'task left its machine');
     if (run.spec.kind === 'gang' && !run.done.has(active.index)) {
       // A gang's attempt fails as a whole: running tasks exit by themselves, the others are stopped, then all restart.
       for (const other of run.active.values()) if (other.state !== 'running') this.stop(run, other, 'regroup');
     }
-    this.soon();
+    this.requestReplan();
   }
 
   /** Records that none of the tracked tasks is on the machine any more. */
@@ -433,7 +433,7 @@
     if (reason === 'cancelled' || reason === 'regroup') graceS = 0;
     active.stopping = { reason, since: this.deps.runtime.now(), graceS };
     const { index, attempt } = active;
-    this.deps.trail?.note({ kind: 'stopping', job: run.id, index, attempt, machine: active.machine, why: reason });
+    this.deps.trail?.record({ kind: 'stopping', job: run.id, index, attempt, machine: active.machine, why: reason });
     const machine = this.machines.get(active.machine);
     if (machine) {
       this.machinesWithStops.add(machine);
@@ -454,7 +454,7 @@
   /** The spec of any job that is stored as open, in any shard. */
   readonly storedSpecOf = (id: JobId): JobSpec | null => {
     const stored = this.jobs.has(id) ? undefined : this.deps.mirror.get(jobKey(id));
-    return stored ? decodeSpec(stored.value) : this.specOf(id);
+    return stored ? decodeJobSpec(stored.value) : this.specOf(id);
   };
 
   /**
@@ -474,7 +474,7 @@
   }
 
   /** Counts of running and done tasks of an open job; null when this holder has no such job. */
-  runningOf(id: JobId): { running: number; done: number } | null {
+  progressOf(id: JobId): { running: number; done: number } | null {
     const run = this.jobs.get(id);
     return run && !run.ended ? { running: run.runningCount, done: run.done.count } : null;
   }
--- a/src/holder/holder.ts
+++ b/src/holder/holder.ts
@@ -71,12 +71,12 @@
   }
 
   /** Releases the shard by a write; see `Moves.releaseShard`. */
-  giveUp(why: string, to: NodeName | null = null): Promise<boolean> {
+  releaseShard(why: string, to: NodeName | null = null): Promise<boolean> {
     return this.moves.releaseShard(why, to);
   }
 
   /** Runs one reconcile round. */
-  round(): void {
+  reconcile(): void {
     if (this.dropped || this.frozen) return;
     const now = this.deps.runtime.now();
     const sweep = now - this.lastSweepAt >= SWEEP_INTERVAL_MS;
@@ -118,18 +118,18 @@
       if (this.unfencedMachines.has(machine.id) && this.predecessorsStoppedAt === null) continue;
       const at = machine.missing
         ? missingMachineEmptyAt(machine, leaseMs, reportMs)
-        : machine.belief.expiresAt(leaseMs);
+        : machine.belief.leaseExpiresAt(leaseMs);
       // Only this holder's answers can have renewed the worker's lease if no other node can have claimed the shard
       // until `at`.
-      if (now < at || this.deps.heldUntil() < at) continue;
+      if (now < at || this.deps.exclusiveUntil() < at) continue;
       if (machine.missing) {
         this.members.expire(machine);
         continue;
       }
       machine.lost = true;
-      machine.belief.expire();
+      machine.belief.expireLease();
       this.markFenced(machine.id);
-      this.deps.trail?.note({ kind: 'lost', machine: machine.id });
+      this.deps.trail?.record({ kind: 'lost', machine: machine.id });
       this.deps.log.info({ machine: machine.id }, 'worker lost: it is silent and its lease has expired');
       this.releaseAll(machine, 'lease over');
     }
@@ -149,12 +149,12 @@
   private collectStops(orders: Map<MachineId, Order[]>, now: Millis): void {
     for (const machine of this.machinesWithStops) {
       const list: Order[] = [];
-      let any = false;
+      let hasStops = false;
       for (const [key, listed] of machine.belief.tasks) {
         if (listed.state === 'exited') continue;
         const grace = this.stopGraceS(machine, listed, now);
         if (grace === null) continue;
-        any = true;
+        hasStops = true;
         const sentAt = machine.stopSentAt.get(key);
         const saving = listed.state === 'saving' && grace > 0;
         if (saving || (sentAt !== undefined && now - sentAt < STOP_RESEND_INTERVAL_MS)) continue;
@@ -162,7 +162,7 @@
       }
       if (list.length > 0) orders.set(machine.id, list);
       // A start that is still in flight shows up in a later message, which adds the machine again.
-      else if (!any) this.machinesWithStops.delete(machine);
+      else if (!hasStops) this.machinesWithStops.delete(machine);
     }
   }
 
@@ -170,11 +170,11 @@
   private sendOrders(machine: HeldMachine, orders: Order[], now: Millis): void {
     const { belief, commandSender } = machine;
     if (machine.missing) return;
-    const silent = now - belief.lastHeardAt > 1.4 * this.deps.settings.workers.reportMs;
-    if (orders.length === 0 && belief.fenced && !belief.doubted && !(silent && !machine.lost)) return;
+    const silent = now - belief.lastMessageAt > 1.4 * this.deps.settings.workers.reportMs;
+    if (orders.length === 0 && belief.fenced && !belief.needsProbe && !(silent && !machine.lost)) return;
     if (!commandSender.ready()) return;
     for (const order of orders) {
-      if (order.op === 'start') belief.noteStart(order.key, order.attempt);
+      if (order.op === 'start') belief.recordStart(order.key, order.attempt);
       else machine.stopSentAt.set(order.key, now);
     }
     this.logOrders(machine, orders);
@@ -214,13 +214,13 @@
   }
 
   /** Number of tasks of unknown jobs. Above 0, they keep teams with a limit from starting anything. */
-  get heldBackBy(): number {
+  get blockingUnknownTasks(): number {
     return this.teamQuotas.blockingUnknownTasks;
   }
 
   /** Whether all tasks that may be on the machines are known and the shard is not changing holders. */
   get settled(): boolean {
-    return this.fenced && !this.frozen && !this.dropped && this.deps.certain();
+    return this.fenced && !this.frozen && !this.dropped && this.deps.isExclusiveHolder();
   }
 
   /** What teams with a limit use and wait for in this shard. */
@@ -230,7 +230,7 @@
 
   /** Whether it has open jobs of teams with a limit whose whole limit is assigned to another shard. */
   get hasForeignWork(): boolean {
-    return this.teamQuotas.foreign;
+    return this.teamQuotas.hasForeignWork;
   }
 
   /** Summary of the shard's machines and demand for the peers and the leader. */
@@ -242,12 +242,12 @@
     let reportedLately = 0;
     const present = [...this.machines.values()].filter(({ missing }) => !missing);
     for (const { belief } of present) {
-      if (now - belief.lastHeardAt < 2.5 * reportMs) heardLately += 1;
+      if (now - belief.lastMessageAt < 2.5 * reportMs) heardLately += 1;
       if (now - belief.lastReportAt < 2.5 * reportMs) reportedLately += 1;
     }
     for (const machine of present) {
       const booking = this.bookingOf(machine, now);
-      const silentMs = now - machine.belief.lastHeardAt;
+      const silentMs = now - machine.belief.lastMessageAt;
       // It has not acknowledged the token since the claim: it may run cancelled tasks, and earlier jobs wait for it.
       const unknown = this.unfencedMachines.has(machine.id) && this.isGivenUp(machine, now);
       // It neither reports nor answers commands. As most other machines of the block do, this node's own network is not
@@ -256,8 +256,9 @@
         machine.commandSender.failures >= 2 && silentMs > 2 * reportMs + 1500 && heardLately * 2 > present.length;
       // It answers commands but its reports reach no controller, while most other machines' do: its leases expire.
       const unreportedMs = now - machine.belief.lastReportAt;
-      const answers = silentMs < 2.5 * reportMs;
-      const unreporting = answers && unreportedMs > leaseMs + 2 * reportMs && reportedLately * 2 > present.length;
+      const respondsToCommands = silentMs < 2.5 * reportMs;
+      const unreporting =
+        respondsToCommands && unreportedMs > leaseMs + 2 * reportMs && reportedLately * 2 > present.length;
       if (unreporting !== machine.unreporting && (unreporting || unreportedMs < 2.5 * reportMs)) {
         machine.unreporting = unreporting;
         const what = unreporting
--- a/src/holder/machine.ts
+++ b/src/holder/machine.ts
@@ -1,7 +1,7 @@
 import type { JobId, Logger, MachineId, Millis, Revision, Runtime, SocketBudget, TaskKey } from '../kernel/index.js';
 import type { BlockMachine } from '../membership/index.js';
 import type { MachineView } from '../placement/index.js';
-import { CommandSender, MachineBelief, type CommandSenderHooks, type Mentions } from '../workers/index.js';
+import { CommandSender, WorkerTracker, type CommandSenderHooks, type TaskIndexListener } from '../workers/index.js';
 import type { Booking } from './booking.js';
 import type { ActiveTask, JobRun } from './run.js';
 
@@ -16,7 +16,7 @@
 
 /** State of one machine of the block on the node that holds the shard. */
 export class HeldMachine {
-  readonly belief: MachineBelief;
+  readonly belief: WorkerTracker;
   readonly commandSender: CommandSender;
   /** Tasks that this holder has started or adopted here. */
   readonly active = new Map<TaskKey, { readonly run: JobRun; readonly task: ActiveTask }>();
@@ -63,12 +63,12 @@
     base: Revision,
     runtime: Runtime,
     log: Logger,
-    mentions: Mentions,
+    mentions: TaskIndexListener,
     hooks: CommandSenderHooks,
     sockets: SocketBudget,
   ) {
     const now = runtime.now();
-    this.belief = new MachineBelief(base, now, { mentions, machine: info.id });
+    this.belief = new WorkerTracker(base, now, { listener: mentions, machine: info.id });
     this.commandSender = new CommandSender(info.id, this.belief, runtime, log, hooks, sockets);
     this.commandSender.setAddress(info.address);
     this.cooldownUntil = now;
--- a/src/holder/members.ts
+++ b/src/holder/members.ts
@@ -28,10 +28,10 @@
  * stopped the tasks that it does not know.
  */
 export const missingMachineEmptyAt = (machine: HeldMachine, leaseMs: number, reportMs: number): Millis =>
-  millis(machine.belief.expiresAt(leaseMs) + REPORTS_UNTIL_STOPPED * reportMs);
+  millis(machine.belief.leaseExpiresAt(leaseMs) + REPORTS_UNTIL_STOPPED * reportMs);
 
 /** Key and revision of a change in the state service that adds or removes machines. */
-export interface BlockSource {
+export interface ChangeSource {
   readonly key: string;
   readonly revision: Revision;
 }
@@ -70,7 +70,7 @@
   ) {}
 
   /** Returns a machine if it is in the block. */
-  present(id: MachineId): HeldMachine | undefined {
+  findPresent(id: MachineId): HeldMachine | undefined {
     const machine = this.machines.get(id);
     return machine?.missing === true ? undefined : machine;
   }
@@ -88,7 +88,7 @@
   }
 
   /** Applies the block as it is stored now. */
-  follow(value: ShardValue, source: BlockSource): void {
+  follow(value: ShardValue, source: ChangeSource): void {
     const wanted = new Set(value.machines.map(({ id }) => id));
     const { joined, back } = this.addMachines(value.machines, source.revision);
     const { left, gone } = this.removeMachines(wanted);
@@ -121,14 +121,14 @@
     const machine = this.hooks.createMachine(info, revision > this.claimedAt ? revision : this.claimedAt);
     this.machines.set(info.id, machine);
     const { id, type, zone, spot } = info;
-    this.deps.trail?.note({ kind: 'joined', machine: id, type, zone, spot });
+    this.deps.trail?.record({ kind: 'joined', machine: id, type, zone, spot });
     return machine;
   }
 
   /** Takes back a machine that was missing, with tokens above all that other holders used for it in between. */
   private rejoin(machine: HeldMachine, revision: Revision): HeldMachine {
     machine.missing = false;
-    machine.belief.rebase(revision);
+    machine.belief.rebaseToken(revision);
     return machine;
   }
 
@@ -165,14 +165,14 @@
   }
 
   private drop(machine: HeldMachine, why: string): void {
-    machine.belief.expire();
+    machine.belief.expireLease();
     this.hooks.release(machine, why);
     machine.commandSender.close();
     this.machines.delete(machine.id);
   }
 
   private logChange(
-    source: BlockSource & { readonly why?: DepartureProof },
+    source: ChangeSource & { readonly why?: DepartureProof },
     machines: readonly MachineTaskCount[],
     what: string,
   ): void {
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -1,8 +1,16 @@
 import type { HeldShard } from './held.js';
 import type { RecordStore } from './store.js';
-import { encodeRecord } from '../jobs/index.js';
+import { encodeJobRecord } from '../jobs/index.js';
 import { isObject, millis, type MachineId, type Millis, type NodeName, type ShardName } from '../kernel/index.js';
-import { blockLimit, encodeShard, enter, leave, settleKey, settleShard, type Entry } from '../membership/index.js';
+import {
+  maxBlockMachines,
+  encodeShard,
+  addMachines,
+  removeMachines,
+  fencePendingWrites,
+  fencePendingShardWrites,
+  type MachineInsertion,
+} from '../membership/index.js';
 import { Urgency, jobKey, shardKey } from '../state/index.js';
 import type { HeldMachine } from './machine.js';
 import type { JobRun } from './run.js';
@@ -18,7 +26,7 @@
 const PENDING_WRITES_TIMEOUT_MS = 2500;
 
 /** The machines that an entry into another shard has room for. */
-const acceptedMachines = (entry: Entry | null, machines: readonly HeldMachine[]): readonly HeldMachine[] => {
+const acceptedMachines = (entry: MachineInsertion | null, machines: readonly HeldMachine[]): readonly HeldMachine[] => {
   const taken = new Set(entry?.taken.map(({ id }) => id));
   return machines.filter(({ id }) => taken.has(id));
 };
@@ -41,12 +49,12 @@
     if (this.held.taskIndex.names(run.id)) return;
     // The search counts as a move as well: it checks every machine of the other blocks.
     this.lastJobMoveAt = now;
-    const to = this.held.deps.roomElsewhere(this.held.shard, run.spec, count);
+    const to = this.held.deps.findShardWithCapacity(this.held.shard, run.spec, count);
     if (to === null || to === this.held.shard) return;
     run.moving = true;
     const key = jobKey(run.id);
     const done = run.done.copy();
-    const value = { ...(encodeRecord({ ...run.record, done, shard: to }) as object), born: run.born };
+    const value = { ...(encodeJobRecord({ ...run.record, done, shard: to }) as object), born: run.born };
     const own = this.held.deps.mirror.get(shardKey(this.held.shard));
     if (!own) {
       run.moving = false;
@@ -70,7 +78,7 @@
         }
         // If the write were applied later, another holder would get the job while this one runs it.
         if (result.kind === 'unknown')
-          await settleKey(
+          await fencePendingWrites(
             key,
             this.held.deps.state,
             this.held.deps.mirror,
@@ -95,13 +103,13 @@
    * empty. A machine that is in use stays.
    */
   transfer(id: MachineId, to: ShardName | null): void {
-    const machine = this.held.members.present(id);
+    const machine = this.held.members.findPresent(id);
     if (!machine || machine.leaving) return;
     if (!machine.belief.empty && this.held.inUse(machine)) return;
     machine.leaving = { to, since: this.held.deps.runtime.now() };
     // A machine with idle accelerators leaves even if arrays use its CPUs: those tasks save and start again elsewhere.
     for (const { run, task } of [...machine.active.values()]) this.held.stopWithGang(run, task, 'drain');
-    this.held.soon();
+    this.held.requestReplan();
   }
 
   /**
@@ -115,7 +123,7 @@
       if (!leaving || leaving.since < 0) continue;
       if (now - leaving.since > MACHINE_TRANSFER_TIMEOUT_MS) {
         machine.leaving = null;
-        this.held.soon();
+        this.held.requestReplan();
         continue;
       }
       const { belief } = machine;
@@ -141,18 +149,18 @@
     if (!own || own.value.holder !== this.held.deps.self) return;
     const target = to === null ? undefined : directory.all.get(to);
     // One write removes the machines of one page; the others follow in the next round.
-    const [first] = leave(this.held.shard, own, new Set(machines.map(({ id }) => id)));
+    const [first] = removeMachines(this.held.shard, own, new Set(machines.map(({ id }) => id)));
     const batch = machines.filter(({ id }) => first?.ids.includes(id) === true);
     const infos = batch.map((machine) => ({ ...machine.info, address: machine.commandSender.knownAddress }));
     const { limits } = state;
-    const room = { recordMost: blockLimit(limits.presentValueKb), pageBytes: limits.valueBytes };
-    const entry = to !== null && target ? enter(to, target, infos, room) : null;
+    const room = { recordMost: maxBlockMachines(limits.currentMaxValueKb), pageBytes: limits.maxValueBytes };
+    const entry = to !== null && target ? addMachines(to, target, infos, room) : null;
     const taken = to === null ? batch : acceptedMachines(entry, batch);
     for (const machine of batch) if (!taken.includes(machine)) machine.leaving = null;
     if (taken.length === 0) return;
     const ids = new Set(taken.map((machine) => machine.id));
     const earlier = [...this.held.earlier.values()];
-    const [left] = leave(this.held.shard, { ...own, value: { ...own.value, earlier } }, ids);
+    const [left] = removeMachines(this.held.shard, { ...own, value: { ...own.value, earlier } }, ids);
     if (!left) return;
     // From here on their reports are not answered, because the next holder counts their leases from this write.
     for (const machine of taken) machine.leaving = { to, since: millis(-1) };
@@ -168,10 +176,10 @@
     // A write of unknown outcome may still be applied: the machines get no new tasks until it is settled.
     if (result.kind === 'unknown') {
       for (const { key } of left.change.guards)
-        await settleKey(key, state, mirror, this.held.deps.runtime, () => !this.held.dropped);
+        await fencePendingWrites(key, state, mirror, this.held.deps.runtime, () => !this.held.dropped);
     }
     for (const machine of taken) machine.leaving = null;
-    this.held.soon();
+    this.held.requestReplan();
   }
 
   /**
@@ -186,7 +194,7 @@
       if (
         machine.missing ||
         machine.leaving ||
-        now - machine.belief.lastHeardAt > 2 * this.held.deps.settings.workers.reportMs
+        now - machine.belief.lastMessageAt > 2 * this.held.deps.settings.workers.reportMs
       )
         return false;
     }
@@ -242,7 +250,7 @@
       return true;
     }
     if (result.kind === 'unknown')
-      await settleShard(
+      await fencePendingShardWrites(
         this.held.shard,
         this.held.deps.state,
         this.held.deps.mirror,
--- a/src/holder/recall.ts
+++ b/src/holder/recall.ts
@@ -1,4 +1,4 @@
-import { groupedOf } from '../jobs/index.js';
+import { groupedProgressOf } from '../jobs/index.js';
 import type { JobRun } from './run.js';
 
 /**
@@ -7,7 +7,7 @@
  */
 export function applyGroupedProgress(run: JobRun, group: unknown): void {
   if (run.ended) return;
-  const done = groupedOf(group, run.id, run.spec.tasks);
+  const done = groupedProgressOf(group, run.id, run.spec.tasks);
   if (!done) return;
   const stored = run.stored.copy();
   for (const index of done.members()) {
--- a/src/holder/run.ts
+++ b/src/holder/run.ts
@@ -1,5 +1,5 @@
 import {
-  Bits,
+  BitSet,
   millis,
   type Attempt,
   type JobId,
@@ -9,7 +9,7 @@
   type WallMillis,
 } from '../kernel/index.js';
 import type { JobRecord, JobSpec } from '../jobs/index.js';
-import { inheriting, type Inherited } from '../pipelines/index.js';
+import { withInheritedConstraints, type InheritedConstraints } from '../pipelines/index.js';
 import type { Pipelines } from './deps.js';
 import { median } from '../speculation/index.js';
 import type { TaskState } from '../workers/index.js';
@@ -53,9 +53,9 @@
   /** Attempts that may be on a machine, by task index. */
   readonly active = new Map<number, ActiveTask>();
   /** Tasks that are done, stored or not. */
-  readonly done: Bits;
+  readonly done: BitSet;
   /** Tasks that are stored as done in the state service. */
-  stored: Bits;
+  stored: BitSet;
   /** The job is done or cancelled: any task that is still on a machine is stopped. */
   ended = false;
   /** A write of the job's record is in flight. */
@@ -95,7 +95,7 @@
   usesInheritedPriority = false;
   /** The last result of `spec` and its inputs. */
   private asked: {
-    readonly inherited: Inherited;
+    readonly inherited: InheritedConstraints;
     readonly stored: JobSpec;
     readonly usesInheritedPriority: boolean;
     readonly spec: JobSpec;
@@ -132,7 +132,7 @@
       asked.usesInheritedPriority === usesInheritedPriority
     )
       return asked.spec;
-    const spec = inheriting(this.record, inherited, usesInheritedPriority);
+    const spec = withInheritedConstraints(this.record, inherited, usesInheritedPriority);
     this.asked = { inherited, stored: this.record.spec, usesInheritedPriority, spec };
     return spec;
   }
--- a/src/holder/starts.ts
+++ b/src/holder/starts.ts
@@ -13,21 +13,21 @@
 import type { DemandSummary } from '../peers/index.js';
 import {
   planPlacement,
-  relevance,
+  machineFilterFor,
   slackOf,
   type MachineView,
   type PendingJob,
   type Plan,
-  type Reserve,
+  type GpuReserve,
   type Slack,
-  type Unplaced,
+  type UnplacedTasks,
 } from '../placement/index.js';
 import type { Order } from '../workers/index.js';
 import type { HeldMachine } from './machine.js';
 import type { JobRun } from './run.js';
 
 /** The larger of two reserves, by resource. */
-const maxReserve = (a: Reserve | null, b: Reserve): Reserve => ({
+const maxReserve = (a: GpuReserve | null, b: GpuReserve): GpuReserve => ({
   cpus: Math.max(a?.cpus ?? 0, b.cpus),
   memoryGb: Math.max(a?.memoryGb ?? 0, b.memoryGb),
 });
@@ -51,9 +51,9 @@
   /** Jobs that wait for capacity; the leader rents machines for them. */
   demand: DemandSummary[] = [];
   /** Tasks that the last plan would start if their team had a larger share of its limit here. */
-  shareBound: readonly Unplaced[] = [];
+  shareBound: readonly UnplacedTasks[] = [];
   /** Largest task with accelerators seen so far, by resource. */
-  private largestGpuTask: Reserve | null = null;
+  private largestGpuTask: GpuReserve | null = null;
   private lastPlanEventAt: Millis | null = null;
 
   constructor(
@@ -81,7 +81,8 @@
       machine.commandSender.failures === 0 &&
       // A worker that answers commands but reaches no controller loses its lease, and the tasks started there, again
       // and again.
-      now - Math.min(belief.lastHeardAt, belief.lastReportAt) < 2.5 * this.held.deps.settings.workers.reportMs + 500 &&
+      now - Math.min(belief.lastMessageAt, belief.lastReportAt) <
+        2.5 * this.held.deps.settings.workers.reportMs + 500 &&
       !machine.faulty(now) &&
       !operator.cordoned.has(machine.id) &&
       !operator.drained.has(machine.id)
@@ -145,7 +146,7 @@
   }
 
   /** Resources of the largest task with accelerators seen so far, which other tasks leave free beside accelerators. */
-  private largestReserve(): Reserve | null {
+  private largestReserve(): GpuReserve | null {
     for (const run of this.held.jobs.values()) {
       if (run.spec.gpus > 0) this.largestGpuTask = maxReserve(this.largestGpuTask, run.spec);
     }
@@ -166,7 +167,7 @@
         continue;
       // This node accepted the job, possibly after another node's claim that the watch has not delivered yet: the
       // claimant starts the job at once, while this node might still command the shard's machines.
-      if (!this.held.deps.certain() && run.born > this.held.deps.mirror.seenUpTo) continue;
+      if (!this.held.deps.isExclusiveHolder() && run.born > this.held.deps.mirror.seenUpTo) continue;
       if (run.spec.kind === 'gang' && run.active.size > 0) continue;
       const most = run.failsEverywhere ? 1 : MAX_READY_TASKS;
       const ready = run.ready(run.spec.kind === 'gang' ? run.spec.tasks : most);
@@ -194,7 +195,7 @@
       return;
     }
     const views: MachineView[] = [];
-    const relevant = relevance(pending.map((job) => job.spec));
+    const relevant = machineFilterFor(pending.map((job) => job.spec));
     for (const machine of this.held.machines.values()) {
       const booking = this.held.bookingOf(machine, now);
       if (!booking || !relevant(machine.info, booking)) continue;
@@ -243,7 +244,7 @@
       orders.set(start.machine, list);
     }
     this.shareBound = plan.shareBound;
-    if (plan.shareBound.length > 0) this.held.deps.quotas.wanted();
+    if (plan.shareBound.length > 0) this.held.deps.quotas.reportWaitingWork();
     this.noteDemand(plan.unplaced, now);
   }
 
@@ -252,7 +253,7 @@
     const { trail } = this.held.deps;
     if (!trail || (this.lastPlanEventAt !== null && now - this.lastPlanEventAt < PLAN_EVENT_INTERVAL_MS)) return;
     this.lastPlanEventAt = now;
-    trail.note({
+    trail.record({
       kind: 'plan',
       shard: this.held.shard,
       ready: pending.reduce((sum, job) => sum + job.ready.length, 0),
@@ -264,8 +265,8 @@
 
   /** Whether a task may be on a machine of the shard. A task may be started only if it is not. */
   private mayBeOnAnyMachine(key: TaskKey): boolean {
-    for (const id of this.held.taskIndex.machinesOf(key))
-      if (this.held.machines.get(id)?.belief.possibly(key)) return true;
+    for (const id of this.held.taskIndex.machinesOfTask(key))
+      if (this.held.machines.get(id)?.belief.mayHaveTask(key)) return true;
     return false;
   }
 
@@ -302,7 +303,7 @@
       const missing = run.spec.kind === 'gang' ? count : Math.max(count, run.missing);
       if (!run.waitEventRecorded && now - run.unplacedSince >= WAIT_EVENT_AFTER_MS) {
         run.waitEventRecorded = true;
-        this.held.deps.trail?.note({ kind: 'waits', job, missing });
+        this.held.deps.trail?.record({ kind: 'waits', job, missing });
       }
       this.demand.push({
         job,
--- a/src/holder/store.ts
+++ b/src/holder/store.ts
@@ -1,6 +1,6 @@
 import { GroupedProgress } from './grouping.js';
 import type { HeldShard } from './held.js';
-import { decodeRecord, encodeRecord } from '../jobs/index.js';
+import { decodeJobRecord, encodeJobRecord } from '../jobs/index.js';
 import { millis, type Millis } from '../kernel/index.js';
 import { Urgency, jobKey, reread } from '../state/index.js';
 import type { JobRun } from './run.js';
@@ -41,7 +41,7 @@
       this.progressWrites += 1;
       void this.trackStore(run, () => this.storeProgress(run)).finally(() => {
         this.progressWrites -= 1;
-        this.held.deps.nudge();
+        this.held.deps.requestRound();
       });
     }
   }
@@ -59,7 +59,7 @@
 
   /** Writes the completion of a job. */
   private async finish(run: JobRun): Promise<void> {
-    const result = await this.held.deps.registry.end(
+    const result = await this.held.deps.registry.storeFinal(
       run.id,
       run.version,
       { phase: 'done', done: run.done.count, at: this.held.deps.runtime.wall() },
@@ -78,7 +78,7 @@
   private async storeProgress(run: JobRun): Promise<void> {
     const done = run.done.copy();
     const record = { ...run.record, done };
-    const value = { ...(encodeRecord(record) as object), born: run.born };
+    const value = { ...(encodeJobRecord(record) as object), born: run.born };
     const key = jobKey(run.id);
     const result = await this.held.deps.state.txn(
       Urgency.progress,
@@ -98,7 +98,7 @@
     const key = jobKey(run.id);
     const read = await reread(this.held.deps.state, this.held.deps.mirror, key);
     if (read.kind === 'found') {
-      const record = decodeRecord(read.entry.value);
+      const record = decodeJobRecord(read.entry.value);
       if (record && !run.ended && record.shard === this.held.shard) {
         run.version = read.entry.version;
         run.record = record;
--- a/src/holder/teamneeds.ts
+++ b/src/holder/teamneeds.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from '../jobs/index.js';
 import type { Millis } from '../kernel/index.js';
-import { NO_NEED, plus, times, type Amount, type TeamNeed } from '../quota/index.js';
+import { NO_NEED, add, times, type Amount, type TeamNeed } from '../quota/index.js';
 import type { TeamUse } from '../placement/index.js';
 
 /** A job with tasks that wait to be started. */
@@ -15,7 +15,7 @@
 const startUnit = ({ spec }: WaitingJob): Amount => times(spec, spec.kind === 'gang' ? spec.tasks : 1);
 
 /** Whether `a` is served before `b`: by priority, then by waiting time. */
-const before = (a: WaitingJob, b: Pick<TeamNeed, 'priority' | 'waitedMs'>): boolean =>
+const comesBefore = (a: WaitingJob, b: Pick<TeamNeed, 'priority' | 'waitedMs'>): boolean =>
   a.spec.priority > b.priority || (a.spec.priority === b.priority && a.waitedMs > b.waitedMs);
 
 /** Computes what teams with a limit use and wait for in a shard. Pure. */
@@ -30,10 +30,10 @@
     const { team, priority } = job.spec;
     if (!use.has(team) || job.missing <= 0) continue;
     const known = needs.get(team) ?? NO_NEED;
-    const first = known.unit === NO_NEED.unit || before(job, known);
+    const first = known.unit === NO_NEED.unit || comesBefore(job, known);
     needs.set(team, {
       use: known.use,
-      waiting: plus(known.waiting, times(job.spec, job.missing)),
+      waiting: add(known.waiting, times(job.spec, job.missing)),
       ...(first
         ? { unit: startUnit(job), priority, waitedMs: job.waitedMs }
         : { unit: known.unit, priority: known.priority, waitedMs: known.waitedMs }),
--- a/src/holder/teamuse.ts
+++ b/src/holder/teamuse.ts
@@ -1,12 +1,12 @@
-import type { TeamFacts } from '../config/index.js';
+import type { TeamQuota } from '../config/index.js';
 import type { JobSpec } from '../jobs/index.js';
 import { parseTaskKey, type JobId, type TaskKey } from '../kernel/index.js';
 import type { TeamUse } from '../placement/index.js';
-import type { MachineBelief } from '../workers/index.js';
+import type { WorkerTracker } from '../workers/index.js';
 
 /** Tasks that may be on a machine, and those that its holder has started or adopted there. */
 export interface MachineTasks {
-  readonly belief: Pick<MachineBelief, 'tasks' | 'pendingStarts'>;
+  readonly belief: Pick<WorkerTracker, 'tasks' | 'pendingStarts'>;
   readonly active: ReadonlyMap<TaskKey, unknown>;
 }
 
@@ -25,7 +25,7 @@
  * their tasks. When these did not count, the next start of a team at its limit exceeded the limit. Pure.
  */
 export function computeTeamUse(
-  teams: ReadonlyMap<string, TeamFacts>,
+  teams: ReadonlyMap<string, TeamQuota>,
   machines: Iterable<MachineTasks>,
   specOf: (id: JobId) => JobSpec | null,
 ): LimitedTeamUse {
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,15 +1,15 @@
 /** Admission check for jobs. */
 import type { MachineType } from '../cloud/index.js';
-import type { TeamFacts } from '../config/index.js';
+import type { TeamQuota } from '../config/index.js';
 import type { JobSpec } from './model.js';
 
 /** Tolerance for rounding errors in sums of decimal amounts. */
 const ROUNDING_TOLERANCE = 1e-9;
 
 /** Returns why a job can never run, or null if it can. A pure function, so that every node gives the same answer. */
-export function whyNever(
+export function unschedulableReason(
   spec: JobSpec,
-  teams: ReadonlyMap<string, TeamFacts>,
+  teams: ReadonlyMap<string, TeamQuota>,
   types: readonly MachineType[],
 ): string | null {
   const team = teams.get(spec.team);
--- a/src/jobs/index.ts
+++ b/src/jobs/index.ts
@@ -3,4 +3,4 @@
 export * from './model.js';
 export * from './progress.js';
 export * from './registry.js';
-export { encodeView, parseJobId, parseSubmission } from './wire.js';
+export { encodeJobView, parseJobId, parseSubmission } from './wire.js';
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -1,6 +1,6 @@
 /** The job model and the form in which jobs are stored. */
 import {
-  Bits,
+  BitSet,
   isObject,
   jobId,
   type JobId,
@@ -9,7 +9,7 @@
   type WallMillis,
   wallMillis,
 } from '../kernel/index.js';
-import { isForeign, unknownFields, type Fields } from '../state/index.js';
+import { isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
 
 /**
  * `array`: independent tasks; `gang`: tasks that start together; `service`: tasks that run until the job is cancelled.
@@ -65,11 +65,11 @@
   readonly shard: ShardName;
   readonly submittedAt: WallMillis;
   /** Numbers of the tasks that are done. */
-  readonly done: Bits;
+  readonly done: BitSet;
   /** Dependencies: jobs that must be done before any task of this one starts, less those done when it was accepted. */
   readonly awaits: readonly JobId[];
   /** Fields that a later release has added to the record; they are kept when the record is rewritten. */
-  readonly rest?: Fields;
+  readonly rest?: RecordFields;
 }
 
 /**
@@ -82,7 +82,7 @@
 const KNOWN_FIELDS: ReadonlySet<string> = new Set(['spec', 'job', 'awaits', 'shard', 'submittedAt', 'done', 'born']);
 
 /** Whether a job record is of a newer version than this program reads. Its holder may run it, so it is left alone. */
-export const isForeignJob = (value: unknown): boolean => isForeign(value, JOB_FORMAT);
+export const isNewerJobFormat = (value: unknown): boolean => isNewerFormat(value, JOB_FORMAT);
 
 /** The phase of a job that has ended. */
 export type FinalPhase = 'done' | 'cancelled';
@@ -116,11 +116,11 @@
   typeof value === 'string' && value !== '' ? value.split(' ').map((suffix) => jobId(`${JOB_ID_PREFIX}${suffix}`)) : [];
 
 /** Decodes only the dependencies of a stored job; empty if the record has a newer version. */
-export const awaitsOf = (value: unknown): JobId[] =>
-  isObject(value) && !isForeignJob(value) ? decodeDependencies(value['awaits']) : [];
+export const dependenciesOf = (value: unknown): JobId[] =>
+  isObject(value) && !isNewerJobFormat(value) ? decodeDependencies(value['awaits']) : [];
 
 /** Encodes a job record for the state service, in the oldest version that can express it. */
-export function encodeRecord(record: JobRecord): unknown {
+export function encodeJobRecord(record: JobRecord): unknown {
   return {
     ...record.rest,
     ...(record.awaits.length === 0
@@ -136,7 +136,7 @@
 const decodedRecords = new WeakMap<object, JobRecord | null>();
 
 /** Decodes a stored job; null if malformed or of a newer version. Callers share the result and must not modify it. */
-export function decodeRecord(value: unknown): JobRecord | null {
+export function decodeJobRecord(value: unknown): JobRecord | null {
   if (!isObject(value)) return null;
   const cached = decodedRecords.get(value);
   if (cached !== undefined) return cached;
@@ -146,8 +146,8 @@
 }
 
 function parseRecord(value: unknown): JobRecord | null {
-  if (!isObject(value) || isForeignJob(value)) return null;
-  const spec = decodeSpec(value);
+  if (!isObject(value) || isNewerJobFormat(value)) return null;
+  const spec = decodeJobSpec(value);
   if (!spec) return null;
   const shard = value['shard'];
   const submittedAt = value['submittedAt'];
@@ -158,14 +158,14 @@
     spec,
     shard: shardName(shard),
     submittedAt: wallMillis(submittedAt),
-    done: Bits.decode(spec.tasks, done),
+    done: BitSet.decode(spec.tasks, done),
     awaits: decodeDependencies(value['awaits']),
     rest: unknownFields(value, KNOWN_FIELDS),
   };
 }
 
 /** Decodes only the spec of a stored job, for callers that don't need to know which tasks are done. */
-export function decodeSpec(value: unknown): JobSpec | null {
+export function decodeJobSpec(value: unknown): JobSpec | null {
   const spec = isObject(value) ? (value['spec'] ?? value['job']) : null;
   return isObject(spec) && typeof spec['id'] === 'string' ? (spec as unknown as JobSpec) : null;
 }
@@ -174,7 +174,7 @@
  * Decodes the final record of a job; null if it is malformed. Final records are kept forever, so `phase` and `done`
  * must keep their meaning in every release; `at` was added later.
  */
-export function decodeFinal(value: unknown): JobFinal | null {
+export function decodeJobFinal(value: unknown): JobFinal | null {
   if (!isObject(value)) return null;
   const phase = value['phase'];
   const done = value['done'];
@@ -184,4 +184,4 @@
 }
 
 /** Maximum number of a job's tasks in one zone. */
-export const zoneLimit = (spec: JobSpec): number => (spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks);
+export const maxTasksPerZone = (spec: JobSpec): number => (spec.spread ? Math.ceil(spec.tasks / 2) : spec.tasks);
--- a/src/jobs/registry.ts
+++ b/src/jobs/registry.ts
@@ -1,13 +1,21 @@
 /** The job registry: submissions, queries and cancellations of users. */
 import type { MachineType } from '../cloud/index.js';
-import type { TeamFacts } from '../config/index.js';
-import { Bits, type JobId, type Logger, type Revision, type Runtime, type ShardName } from '../kernel/index.js';
-import { finalKey, Freshness, jobKey, Urgency, valueBytes, type Mirror, type StateClient } from '../state/index.js';
-import { whyNever } from './admission.js';
+import type { TeamQuota } from '../config/index.js';
+import { BitSet, type JobId, type Logger, type Revision, type Runtime, type ShardName } from '../kernel/index.js';
 import {
-  decodeFinal,
-  decodeRecord,
-  encodeRecord,
+  finalKey,
+  FreshnessChecker,
+  jobKey,
+  Urgency,
+  storedSizeBytes,
+  type Mirror,
+  type StateClient,
+} from '../state/index.js';
+import { unschedulableReason } from './admission.js';
+import {
+  decodeJobFinal,
+  decodeJobRecord,
+  encodeJobRecord,
   type JobFinal,
   type JobRecord,
   type JobSpec,
@@ -15,7 +23,7 @@
 } from './model.js';
 
 /** The outcome of a user's request, before it is encoded as an HTTP response. */
-export type Outcome =
+export type JobRequestOutcome =
   /** The job was accepted by this request. */
   | { readonly kind: 'created'; readonly view: JobView }
   /** The job was accepted earlier. */
@@ -37,29 +45,29 @@
 /** What the registry needs from the rest of the controller. */
 export interface RegistryHooks {
   /** Machine types, or null while they are unknown. */
-  types(): readonly MachineType[] | null;
+  machineTypes(): readonly MachineType[] | null;
   /**
    * Chooses the shard for a new job. `waits`: the job starts later, so that capacity that is free now is irrelevant.
    */
   chooseShard(spec: JobSpec, waits: boolean): ShardName | null;
   /** Whether jobs with dependencies may be stored. */
-  pipelines(): boolean;
+  supportsDependencies(): boolean;
   /**
    * Unfinished dependencies of an open job; null if one of them is cancelled, so that this job must be cancelled too.
    */
-  awaits(id: JobId): readonly JobId[] | null;
+  unfinishedDependencies(id: JobId): readonly JobId[] | null;
   /** Counts of running and done tasks of a job, as far as this node knows. */
-  running(id: JobId): { running: number; done: number };
+  progressOf(id: JobId): { running: number; done: number };
   /**
    * Whether users may be told that a job is cancelled: true once its tasks are certain to end in time, whatever fails
    * from then on.
    */
-  carried(id: JobId, final: JobFinal, version: Revision): Promise<boolean>;
+  awaitAcknowledgement(id: JobId, final: JobFinal, version: Revision): Promise<boolean>;
   /** Called when this node first learns that a job has ended. */
-  ended(id: JobId, final: JobFinal): void;
+  onJobEnded(id: JobId, final: JobFinal): void;
 }
 
-const retryLater = (reason: string): Outcome => ({ kind: 'later', reason });
+const retryLater = (reason: string): JobRequestOutcome => ({ kind: 'later', reason });
 /** Maximum number of ended jobs that the registry remembers, in each of its two caches. */
 const MAX_CACHED_FINALS = 20_000;
 /**
@@ -87,30 +95,30 @@
   private readonly finals = new Map<JobId, { readonly final: JobFinal; readonly version: Revision }>();
   /** Jobs that a peer of an earlier release reported as cancelled; it reports nothing but the id. */
   private readonly reportedCancelled = new Set<JobId>();
-  private readonly freshness: Freshness;
+  private readonly freshness: FreshnessChecker;
 
   constructor(
     private readonly state: StateClient,
     private readonly mirror: Mirror,
-    private readonly teams: ReadonlyMap<string, TeamFacts>,
+    private readonly teams: ReadonlyMap<string, TeamQuota>,
     private readonly hooks: RegistryHooks,
     private readonly runtime: Runtime,
     private readonly log: Logger,
   ) {
-    this.freshness = new Freshness(state, mirror, runtime);
+    this.freshness = new FreshnessChecker(state, mirror, runtime);
   }
 
   /**
    * Reads the current state of a job from the state service. The open job is read before the final record, because the
    * final is stored in the transaction that removes the open job.
    */
-  async look(id: JobId): Promise<JobState> {
+  async readState(id: JobId): Promise<JobState> {
     const cached = this.finals.get(id);
     if (cached) return { kind: 'ended', ...cached };
     const open = await this.state.get(jobKey(id));
     if (open.kind === 'unavailable') return { kind: 'unavailable' };
     if (open.kind === 'found') {
-      const record = decodeRecord(open.entry.value);
+      const record = decodeJobRecord(open.entry.value);
       if (!record) return { kind: 'unavailable' };
       return { kind: 'open', record, version: open.entry.version };
     }
@@ -120,25 +128,25 @@
       // A job accepted between the two reads is not absent; the first read was too early.
       return this.mirror.get(jobKey(id)) ? { kind: 'unavailable' } : { kind: 'absent' };
     }
-    const final = decodeFinal(ended.entry.value);
+    const final = decodeJobFinal(ended.entry.value);
     if (!final) return { kind: 'unavailable' };
     const { version } = ended.entry;
-    this.remember(id, final, version);
+    this.recordFinal(id, final, version);
     return { kind: 'ended', final, version };
   }
 
   /** The final record of a job if this node has it in its cache. */
-  finalOf(id: JobId): JobFinal | undefined {
+  cachedFinalOf(id: JobId): JobFinal | undefined {
     return this.finals.get(id)?.final;
   }
 
   /** Whether this node knows that the job has ended. Any other state of it is older, and it is never run again. */
-  isOver(id: JobId): boolean {
+  isKnownEnded(id: JobId): boolean {
     return this.finals.has(id) || this.reportedCancelled.has(id);
   }
 
   /** Records that a peer of an earlier release reported a stored cancellation; the job's progress is not known. */
-  heardOver(id: JobId): void {
+  recordReportedCancellation(id: JobId): void {
     if (this.reportedCancelled.size >= MAX_CACHED_FINALS) this.reportedCancelled.clear();
     this.reportedCancelled.add(id);
   }
@@ -146,21 +154,21 @@
   /**
    * Caches the final record of a job, stored at the given revision, and notifies the hooks unless it is cached already.
    */
-  remember(id: JobId, final: JobFinal, version: Revision): void {
+  recordFinal(id: JobId, final: JobFinal, version: Revision): void {
     if (this.finals.size >= MAX_CACHED_FINALS) {
       const oldest = this.finals.keys().next();
       if (!oldest.done) this.finals.delete(oldest.value);
     }
     const cached = this.finals.has(id);
     this.finals.set(id, { final, version });
-    if (!cached) this.hooks.ended(id, final);
+    if (!cached) this.hooks.onJobEnded(id, final);
   }
 
   /** Accepts a job, or reports the state of a job that was accepted under the same id before. */
-  async submit(requested: JobSpec, awaits: readonly JobId[] = []): Promise<Outcome> {
+  async submit(requested: JobSpec, awaits: readonly JobId[] = []): Promise<JobRequestOutcome> {
     const spec = this.withoutUnknownTypes(requested);
-    const types = this.hooks.types();
-    const rejection = types === null ? null : whyNever(spec, this.teams, types);
+    const types = this.hooks.machineTypes();
+    const rejection = types === null ? null : unschedulableReason(spec, this.teams, types);
     if (types === null || rejection !== null) {
       // A job accepted earlier stays accepted, whatever the current settings or machine types are.
       const existing = await this.queryExisting(spec.id);
@@ -180,10 +188,10 @@
       const existing = await this.queryExisting(spec.id);
       return existing.kind === 'absent' ? retryLater('no shard is held yet') : existing;
     }
-    const done = Bits.empty(spec.tasks);
+    const done = BitSet.empty(spec.tasks);
     const record: JobRecord = { spec, shard, submittedAt: this.runtime.wall(), done, awaits: unfinished };
-    const value = encodeRecord(record);
-    if (valueBytes(value) + RECORD_GROWTH_BYTES > this.state.limits.valueBytes) {
+    const value = encodeJobRecord(record);
+    if (storedSizeBytes(value) + RECORD_GROWTH_BYTES > this.state.limits.maxValueBytes) {
       const existing = await this.queryExisting(spec.id);
       return existing.kind === 'absent' ? { kind: 'malformed', reason: 'the job is too long to be stored' } : existing;
     }
@@ -212,7 +220,7 @@
    * Drops names of machine types that do not exist from a long list, so that they take no room in the stored record.
    */
   private withoutUnknownTypes(spec: JobSpec): JobSpec {
-    const types = this.hooks.types();
+    const types = this.hooks.machineTypes();
     if (!types || !spec.types || spec.types.length <= MAX_UNFILTERED_TYPES) return spec;
     const existing = new Set(types.map(({ name }) => name));
     const kept = spec.types.filter((name) => existing.has(name));
@@ -220,8 +228,9 @@
   }
 
   /** Reads the dependencies of a new job; returns an outcome if the job can't be accepted because of them. */
-  private async checkDependencies(awaits: readonly JobId[]): Promise<DependencyState | Outcome> {
-    if (!this.hooks.pipelines()) return retryLater('not every controller supports jobs with dependencies yet');
+  private async checkDependencies(awaits: readonly JobId[]): Promise<DependencyState | JobRequestOutcome> {
+    if (!this.hooks.supportsDependencies())
+      return retryLater('not every controller supports jobs with dependencies yet');
     const states = await Promise.all(awaits.map(async (id) => ({ id, state: await this.readDependency(id) })));
     const unfinished: JobId[] = [];
     let cancelled = false;
@@ -241,11 +250,11 @@
    * learns of its end later. That it does not exist must come from a fresh read.
    */
   private async readDependency(id: JobId): Promise<JobState> {
-    return this.openInMirror(id, this.mirror.loaded) ?? this.look(id);
+    return this.openInMirror(id, this.mirror.loaded) ?? this.readState(id);
   }
 
   /** Accepts a job and stores it as cancelled at once, because one of its dependencies is cancelled. */
-  private async acceptAsCancelled(id: JobId): Promise<Outcome> {
+  private async acceptAsCancelled(id: JobId): Promise<JobRequestOutcome> {
     const final: JobFinal = { phase: 'cancelled', done: 0, at: this.runtime.wall() };
     const guards = [
       { key: jobKey(id), version: 0 },
@@ -255,7 +264,7 @@
     if (result.kind === 'refused' || result.kind === 'no-lease')
       return retryLater('the state service accepts no writes');
     if (result.kind === 'ok') {
-      this.remember(id, final, result.revision);
+      this.recordFinal(id, final, result.revision);
       this.log.info({ job: id }, 'job accepted as cancelled: one of its dependencies is cancelled');
       return { kind: 'created', view: { id, phase: 'cancelled', done: 0, running: 0 } };
     }
@@ -264,13 +273,13 @@
   }
 
   /** The state of a job that an earlier request may have stored. */
-  private async queryExisting(id: JobId): Promise<Outcome> {
+  private async queryExisting(id: JobId): Promise<JobRequestOutcome> {
     return this.query(id);
   }
 
   /** Reports the state of a job to a user. */
-  async query(id: JobId): Promise<Outcome> {
-    const state = this.openInMirror(id, await this.isMirrorUsable(id)) ?? (await this.look(id));
+  async query(id: JobId): Promise<JobRequestOutcome> {
+    const state = this.openInMirror(id, await this.isMirrorUsable(id)) ?? (await this.readState(id));
     switch (state.kind) {
       case 'unavailable':
         return retryLater('the state service cannot be read');
@@ -280,18 +289,18 @@
         const { final, version } = state;
         // A cancellation is not reported before every holder knows of it: once confirmed, it must take effect even if
         // all other components fail.
-        if (final.phase === 'cancelled' && !(await this.hooks.carried(id, final, version)))
+        if (final.phase === 'cancelled' && !(await this.hooks.awaitAcknowledgement(id, final, version)))
           return retryLater('the cancellation has not reached every holder yet');
         return { kind: 'known', view: { id, phase: final.phase, done: final.done, running: 0 } };
       }
       case 'open': {
-        const awaits = this.hooks.awaits(id);
+        const awaits = this.hooks.unfinishedDependencies(id);
         if (awaits === null) {
           // A dependency is cancelled. Once this job's cancellation is stored, every node reports it as cancelled only.
-          const ended = await this.withdraw(id);
+          const ended = await this.cancelDependent(id);
           return ended ? this.query(id) : retryLater('the job is being cancelled because a dependency is cancelled');
         }
-        const progress = this.hooks.running(id);
+        const progress = this.hooks.progressOf(id);
         const done = Math.min(state.record.spec.tasks, Math.max(progress.done, state.record.done.count));
         return {
           kind: 'known',
@@ -311,24 +320,24 @@
    * Whether the mirror is fresh enough to answer a query; not checked for an ended job, whose final record is cached.
    */
   private isMirrorUsable(id: JobId): Promise<boolean> {
-    return this.finals.has(id) ? Promise.resolve(false) : this.freshness.ensure();
+    return this.finals.has(id) ? Promise.resolve(false) : this.freshness.waitUntilFresh();
   }
 
   /** The open job in the mirror; null if the mirror is not fresh or does not hold the job as open. */
   private openInMirror(id: JobId, fresh: boolean): JobState | null {
     const entry = fresh ? this.mirror.get(jobKey(id)) : undefined;
-    const record = entry && !this.finals.has(id) ? decodeRecord(entry.value) : null;
+    const record = entry && !this.finals.has(id) ? decodeJobRecord(entry.value) : null;
     return entry && record ? { kind: 'open', record, version: entry.version } : null;
   }
 
   /** Cancels a job because one of its dependencies is cancelled. Returns true if the job has ended, for any reason. */
-  async withdraw(id: JobId): Promise<boolean> {
+  async cancelDependent(id: JobId): Promise<boolean> {
     for (let attempts = 0; attempts < 4; attempts++) {
-      const state = await this.look(id);
+      const state = await this.readState(id);
       if (state.kind === 'ended') return true;
       if (state.kind !== 'open') return false;
       const final: JobFinal = { phase: 'cancelled', done: state.record.done.count, at: this.runtime.wall() };
-      const ended = await this.end(id, state.version, final, 1200);
+      const ended = await this.storeFinal(id, state.version, final, 1200);
       if (ended === 'ok') this.log.info({ job: id }, 'job cancelled with a job that it needs');
       if (ended !== 'conflict') return ended === 'ok';
     }
@@ -336,14 +345,19 @@
   }
 
   /** Cancels a job at its user's request, and reports it once the cancellation may be confirmed. */
-  async cancel(id: JobId): Promise<Outcome> {
+  async cancel(id: JobId): Promise<JobRequestOutcome> {
     for (let attempts = 0; attempts < 4; attempts++) {
-      const state = await this.look(id);
+      const state = await this.readState(id);
       if (state.kind === 'unavailable') return retryLater('the state service cannot be read');
       if (state.kind === 'absent') return { kind: 'absent' };
       if (state.kind === 'ended') return this.query(id);
-      const done = Math.max(state.record.done.count, this.hooks.running(id).done);
-      const ended = await this.end(id, state.version, { phase: 'cancelled', done, at: this.runtime.wall() }, 1200);
+      const done = Math.max(state.record.done.count, this.hooks.progressOf(id).done);
+      const ended = await this.storeFinal(
+        id,
+        state.version,
+        { phase: 'cancelled', done, at: this.runtime.wall() },
+        1200,
+      );
       if (ended === 'ok') {
         this.log.info({ job: id }, 'job cancelled by its user');
         return this.query(id);
@@ -358,7 +372,12 @@
    * `conflict`: the job has changed since `version`, or the outcome is unknown. `later`: the state service accepts no
    * writes.
    */
-  async end(id: JobId, version: Revision, final: JobFinal, waitMs: number): Promise<'ok' | 'conflict' | 'later'> {
+  async storeFinal(
+    id: JobId,
+    version: Revision,
+    final: JobFinal,
+    waitMs: number,
+  ): Promise<'ok' | 'conflict' | 'later'> {
     const result = await this.state.txn(
       Urgency.final,
       [
@@ -369,7 +388,7 @@
       waitMs,
     );
     if (result.kind === 'ok') {
-      this.remember(id, final, result.revision);
+      this.recordFinal(id, final, result.revision);
       this.mirror.apply({ key: jobKey(id), value: undefined, removed: true, version: result.revision });
       return 'ok';
     }
--- a/src/jobs/wire.ts
+++ b/src/jobs/wire.ts
@@ -102,7 +102,7 @@
 }
 
 /** Encodes a job's state for the users' API; `awaits` is omitted when the job waits for no other job. */
-export function encodeView(view: JobView): unknown {
+export function encodeJobView(view: JobView): unknown {
   const { awaits = [] } = view;
   const dependencies = awaits.length === 0 ? {} : { awaits };
   return { ref: view.id, phase: PHASE_NAMES[view.phase], done: view.done, running: view.running, ...dependencies };
--- a/src/kernel/bits.ts
+++ b/src/kernel/bits.ts
@@ -1,5 +1,5 @@
 /** A fixed-size set of task indexes, kept as a bitmap and stored as base64. */
-export class Bits {
+export class BitSet {
   private constructor(
     /** Exclusive upper bound of the indexes. */
     readonly size: number,
@@ -7,8 +7,8 @@
     private memberCount: number,
   ) {}
 
-  static empty(size: number): Bits {
-    return new Bits(size, new Uint8Array((size + 7) >> 3), 0);
+  static empty(size: number): BitSet {
+    return new BitSet(size, new Uint8Array((size + 7) >> 3), 0);
   }
 
   /** Number of indexes in the set. */
@@ -36,14 +36,14 @@
   }
 
   /** Returns a new set with the indexes of both sets, which must have the same size. */
-  union(other: Bits): Bits {
+  union(other: BitSet): BitSet {
     const result = this.copy();
     for (const index of other.members()) result.add(index);
     return result;
   }
 
-  copy(): Bits {
-    return new Bits(this.size, this.bytes.slice(), this.memberCount);
+  copy(): BitSet {
+    return new BitSet(this.size, this.bytes.slice(), this.memberCount);
   }
 
   /** Encodes the set as base64; the empty set is the empty string. */
@@ -55,7 +55,7 @@
    * Decodes a set written by `encode`. Works on whole bytes, because jobs have up to 100,000 tasks and records are
    * read often.
    */
-  static decode(size: number, text: string): Bits {
+  static decode(size: number, text: string): BitSet {
     const bytes = new Uint8Array((size + 7) >> 3);
     bytes.set(Buffer.from(text, 'base64').subarray(0, bytes.length));
     // Clears the bits beyond the size.
@@ -66,6 +66,6 @@
       let remaining = byte;
       for (; remaining !== 0; remaining &= remaining - 1) memberCount += 1;
     }
-    return new Bits(size, bytes, memberCount);
+    return new BitSet(size, bytes, memberCount);
   }
 }
--- a/src/kernel/brands.ts
+++ b/src/kernel/brands.ts
@@ -21,7 +21,7 @@
 /** Revision of the state service; a key's version is the revision of its last change. */
 export type Revision = Brand<number, 'Revision'>;
 /** Fencing token of a machine. */
-export type Token = Brand<number, 'Token'>;
+export type FencingToken = Brand<number, 'Token'>;
 /** Attempt number of a task. */
 export type Attempt = Brand<number, 'Attempt'>;
 /** Number of a worker's session. */
@@ -39,7 +39,7 @@
 export const jobId = (s: string): JobId => s as JobId;
 export const incarnation = (s: string): Incarnation => s as Incarnation;
 export const revision = (n: number): Revision => n as Revision;
-export const token = (n: number): Token => n as Token;
+export const fencingToken = (n: number): FencingToken => n as FencingToken;
 export const attempt = (n: number): Attempt => n as Attempt;
 export const session = (n: number): Session => n as Session;
 export const sequence = (n: number): Sequence => n as Sequence;
--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -12,4 +12,4 @@
  * Lengthens a duration in milliseconds by the safety margin for clock drift. Monotonic clocks of different machines
  * drift apart by up to 0.05 %; the margin of 0.2 % is more than twice that.
  */
-export const withDrift = (ms: number): number => ms * 1.002;
+export const withClockDriftMargin = (ms: number): number => ms * 1.002;
--- a/src/kernel/http.ts
+++ b/src/kernel/http.ts
@@ -7,7 +7,7 @@
  * Result of an outgoing request. After a failure it is unknown whether the server has executed the request, unless the
  * request was never sent.
  */
-export type Answer =
+export type HttpResult =
   | { readonly kind: 'answered'; readonly status: number; readonly body: unknown; readonly retryAfterS: number | null }
   | { readonly kind: 'failed'; readonly reason: string };
 
@@ -18,7 +18,7 @@
 }
 
 /** An outgoing HTTP request. */
-export interface Call {
+export interface HttpRequest {
   readonly method: 'GET' | 'POST' | 'PATCH' | 'DELETE';
   readonly path: string;
   /** Sent as JSON. */
@@ -26,7 +26,7 @@
   /** Every request has a timeout, because an unresponsive machine causes no error. */
   readonly timeoutMs: number;
   /** Upper bound of the response, head included. */
-  readonly maxBytes?: number;
+  readonly maxResponseBytes?: number;
 }
 
 const DEFAULT_MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
@@ -45,11 +45,11 @@
   readonly text: string;
   readonly maxResponseBytes: number;
   /** Reports the result; every call but the first is ignored. */
-  readonly finish: (result: Answer) => void;
+  readonly finish: (result: HttpResult) => void;
   done: boolean;
 }
 
-const failed = (reason: string): Answer => ({ kind: 'failed', reason });
+const failed = (reason: string): HttpResult => ({ kind: 'failed', reason });
 
 /** A connection that serves one request at a time. A connection error fails the request; it is never resent. */
 class ClientConnection {
@@ -149,7 +149,7 @@
     this.head = undefined;
     this.input = [];
     this.size = 0;
-    let result: Answer;
+    let result: HttpResult;
     try {
       const value = body.length === 0 ? null : (JSON.parse(body.toString('utf8')) as unknown);
       result = { kind: 'answered', status: head.status, body: value, retryAfterS: head.retryAfterS };
@@ -192,11 +192,11 @@
   }
 
   /** Sends a request, or queues it until a connection is free. The promise never rejects. */
-  call(call: Call): Promise<Answer> {
+  call(call: HttpRequest): Promise<HttpResult> {
     return new Promise((resolve) => {
       const pending: PendingRequest = {
         text: this.encode(call),
-        maxResponseBytes: call.maxBytes ?? DEFAULT_MAX_RESPONSE_BYTES,
+        maxResponseBytes: call.maxResponseBytes ?? DEFAULT_MAX_RESPONSE_BYTES,
         done: false,
         finish: (result) => {
           if (pending.done) return;
@@ -216,7 +216,7 @@
     });
   }
 
-  private encode(call: Call): string {
+  private encode(call: HttpRequest): string {
     const head = `${call.method} ${call.path} HTTP/1.1\r\nhost: ${this.address.host}:${this.address.port}\r\n`;
     if (call.body === undefined) return `${head}\r\n`;
     const body = JSON.stringify(call.body);
@@ -276,7 +276,7 @@
 export const asNumber = (value: unknown): number | undefined =>
   typeof value === 'number' && Number.isFinite(value) ? value : undefined;
 /** Returns a non-negative safe integer, or undefined for any other value. */
-export const asCount = (value: unknown): number | undefined =>
+export const asNonNegativeInteger = (value: unknown): number | undefined =>
   typeof value === 'number' && Number.isSafeInteger(value) && value >= 0 ? value : undefined;
 /** Returns an array; any other value counts as an empty one. */
-export const asList = (value: unknown): readonly unknown[] => (Array.isArray(value) ? value : []);
+export const asArray = (value: unknown): readonly unknown[] => (Array.isArray(value) ? value : []);
--- a/src/kernel/lane.ts
+++ b/src/kernel/lane.ts
@@ -2,14 +2,14 @@
 import type { Connection } from './runtime.js';
 
 /** Response of a handler on the fast path. */
-export interface LaneAnswer {
+export interface FastPathResponse {
   readonly status: number;
   /** The JSON body. */
   readonly text: string;
   readonly retryAfterS?: number;
 }
 /** Serves one request on the fast path; the promise must not reject. */
-export type LaneHandler = (head: RequestHead, body: Buffer) => LaneAnswer | Promise<LaneAnswer>;
+export type FastPathHandler = (head: RequestHead, body: Buffer) => FastPathResponse | Promise<FastPathResponse>;
 
 const MAX_HEAD_BYTES = 8 * 1024;
 /** Input that may queue up behind a pending response; clients are not expected to pipeline. */
@@ -32,7 +32,7 @@
 };
 
 /** Formats head and body as one string: one write costs fewer packets and calls than two. */
-export function formatResponse({ status, text, retryAfterS }: LaneAnswer, close: boolean): string {
+export function formatResponse({ status, text, retryAfterS }: FastPathResponse, close: boolean): string {
   const retryAfterHeader = retryAfterS === undefined ? '' : `retry-after: ${retryAfterS}\r\n`;
   return (
     `HTTP/1.1 ${status} ${STATUS_TEXTS[status] ?? 'Status'}\r\ncontent-type: application/json\r\n` +
@@ -46,7 +46,7 @@
  * as much as the response itself. The first other request (another path, a chunked body) hands the connection over to the
  * http module, together with all later requests on it.
  */
-export class Lane {
+export class FastPathConnection {
   private input: Buffer = EMPTY_BUFFER;
   private head: RequestHead | undefined;
   private busy = false;
@@ -54,7 +54,7 @@
 
   private constructor(
     private readonly socket: Connection,
-    private readonly findHandler: (head: RequestHead) => LaneHandler | undefined,
+    private readonly findHandler: (head: RequestHead) => FastPathHandler | undefined,
     private readonly maxBodyBytes: number,
     private readonly handOver: (socket: Connection, unread: Buffer) => void,
   ) {}
@@ -66,11 +66,11 @@
    */
   static serve(
     socket: Connection,
-    findHandler: (head: RequestHead) => LaneHandler | undefined,
+    findHandler: (head: RequestHead) => FastPathHandler | undefined,
     maxBodyBytes: number,
     handOver: (socket: Connection, unread: Buffer) => void,
-  ): Lane {
-    const connection = new Lane(socket, findHandler, maxBodyBytes, handOver);
+  ): FastPathConnection {
+    const connection = new FastPathConnection(socket, findHandler, maxBodyBytes, handOver);
     socket.on('data', connection.onData);
     socket.on('end', connection.onEnd);
     socket.on('error', connection.onError);
@@ -80,7 +80,7 @@
   }
 
   /** True when no request is being received or served. */
-  get resting(): boolean {
+  get isIdle(): boolean {
     return !this.busy && this.input.length === 0;
   }
 
@@ -167,7 +167,7 @@
     });
   }
 
-  private send(response: LaneAnswer): void {
+  private send(response: FastPathResponse): void {
     const { socket } = this;
     if (socket.destroyed) return;
     if (socket.timeout !== IDLE_TIMEOUT_MS) socket.setTimeout(IDLE_TIMEOUT_MS);
--- a/src/kernel/loop.ts
+++ b/src/kernel/loop.ts
@@ -46,7 +46,7 @@
   }
 
   /** Requests a round soon, or another one after the round that is running. */
-  nudge(): void {
+  trigger(): void {
     if (this.busy) this.rerunRequested = true;
     else this.triggers.next();
   }
--- a/src/kernel/runtime.ts
+++ b/src/kernel/runtime.ts
@@ -30,7 +30,7 @@
 }
 
 /** A TCP listener. */
-export interface Listening {
+export interface TcpListener {
   /** Resolves to the port; the system chooses one for port 0. */
   readonly ready: Promise<number>;
   /** Accepts no more connections; open ones stay open. */
@@ -63,5 +63,5 @@
   /** Opens a connection. It emits 'connect' or 'error', or neither while the network drops all packets. */
   connect(to: Endpoint): Connection;
   /** Opens a TCP listener. */
-  listen(options: ListenOptions): Listening;
+  listen(options: ListenOptions): TcpListener;
 }
--- a/src/kernel/sockets.ts
+++ b/src/kernel/sockets.ts
@@ -20,7 +20,7 @@
   ) {}
 
   /** True when another connection may be opened now. */
-  get room(): boolean {
+  get hasRoom(): boolean {
     return this.openCount < this.most || this.idle.size > 0;
   }
 
--- a/src/kernel/system.ts
+++ b/src/kernel/system.ts
@@ -2,9 +2,9 @@
 import { connect, createServer, type AddressInfo } from 'node:net';
 import { asyncScheduler } from 'rxjs';
 import { millis, wallMillis } from './brands.js';
-import type { Listening, ListenOptions, Runtime } from './runtime.js';
+import type { TcpListener, ListenOptions, Runtime } from './runtime.js';
 
-function listen({ host, port, maxConnections, allowHalfOpen, accept, failed }: ListenOptions): Listening {
+function listen({ host, port, maxConnections, allowHalfOpen, accept, failed }: ListenOptions): TcpListener {
   const server = createServer({ allowHalfOpen: allowHalfOpen === true, noDelay: true }, accept);
   if (maxConnections !== undefined) server.maxConnections = maxConnections;
   server.on('error', failed);
--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -1,5 +1,5 @@
 import type { CloudClient, MachineType, Rental } from '../cloud/index.js';
-import { decodeSpec, type JobSpec } from '../jobs/index.js';
+import { decodeJobSpec, type JobSpec } from '../jobs/index.js';
 import {
   millis,
   type JobId,
@@ -12,23 +12,23 @@
   type ShardName,
 } from '../kernel/index.js';
 import {
-  blockLimit,
+  maxBlockMachines,
   encodePage,
-  enter,
-  leave,
-  settleKey,
+  addMachines,
+  removeMachines,
+  fencePendingWrites,
   type BlockMachine,
   type KnownShard,
   type ShardDirectory,
 } from '../membership/index.js';
 import type { PeerMessage, ShardSummary } from '../peers/index.js';
-import type { Coming } from '../pipelines/index.js';
+import type { UpcomingJob } from '../pipelines/index.js';
 import type { Trail } from '../trail/index.js';
 import {
   jobKey,
-  JOBS,
-  LEADER,
-  PAGES,
+  JOBS_PREFIX,
+  LEADER_KEY,
+  PAGES_PREFIX,
   reread,
   shardKey,
   Urgency,
@@ -36,7 +36,14 @@
   type StateClient,
 } from '../state/index.js';
 import type { WorkerMessage } from '../workers/index.js';
-import { inCalls, kindKey, LEASE_POLICY, planLeases, type LooseMachine, type RentWish } from './plan.js';
+import {
+  splitIntoCalls,
+  machineKindKey,
+  LEASE_POLICY,
+  planLeases,
+  type UnleasedMachine,
+  type PlannedRent,
+} from './plan.js';
 
 /** What the leader needs from the rest of the node. */
 export interface LeaderDeps {
@@ -52,17 +59,17 @@
   readonly listLagMs: number;
   readonly shards: ShardDirectory;
   /** Returns this node's term (the revision of the leader key), or null while it is not the leader. */
-  leading(): Revision | null;
+  leaderTerm(): Revision | null;
   /** Returns the latest summary that each shard's holder has sent. */
   summaries(): readonly ShardSummary[];
   /** Returns jobs whose prerequisites are expected to finish soon. */
-  coming(): readonly Coming[];
+  upcomingJobs(): readonly UpcomingJob[];
   /** Returns the machine types that the cloud offers, by name. */
   types(): ReadonlyMap<string, MachineType>;
   /** Sends a message to another node, or handles it locally if the holder is this node. */
-  tell(holder: NodeName, message: PeerMessage): void;
+  sendToPeer(holder: NodeName, message: PeerMessage): void;
   /** Requests another round of the leader soon. */
-  nudge(): void;
+  requestRound(): void;
 }
 
 /** A machine that the cloud has listed or rented out, or whose worker has reported, during this term. */
@@ -126,11 +133,11 @@
   }
 
   /** Records the report of a worker whose machine is in no block: the machine is up and may be leased. */
-  noteUp(message: WorkerMessage): void {
+  recordUnleasedWorker(message: WorkerMessage): void {
     const now = this.deps.runtime.now();
     const isNew = !this.known.get(message.machine)?.reportedAt;
     const known = this.getOrAddMachine(message.machine, message.type, message.zone, message.spot, now);
-    if (isNew) this.deps.nudge();
+    if (isNew) this.deps.requestRound();
     known.reportedAt = now;
     known.address = message.address;
   }
@@ -165,7 +172,7 @@
 
   /** Runs one reconciliation of machines, leases and rentals; does nothing while this node is not the leader. */
   async round(): Promise<void> {
-    const term = this.deps.leading();
+    const term = this.deps.leaderTerm();
     if (term === null) {
       this.term = null;
       return;
@@ -175,12 +182,12 @@
     const now = this.deps.runtime.now();
     if (term !== this.term) {
       this.term = term;
-      this.deps.trail?.note({ kind: 'leads' });
+      this.deps.trail?.record({ kind: 'leads' });
       this.known.clear();
       this.startedAt = now;
       this.lastListAt = millis(-1e9);
     }
-    if (now - this.lastListAt > LIST_INTERVAL_MS && !this.listInFlight && this.deps.cloud.mayCall())
+    if (now - this.lastListAt > LIST_INTERVAL_MS && !this.listInFlight && this.deps.cloud.canCall())
       void this.list(now);
     const shards = this.deps.shards.all;
     const summaries = this.deps.summaries().filter((s) => shards.get(s.shard)?.value.holder === s.holder);
@@ -189,7 +196,7 @@
     await this.returnUnleased(now);
     if (this.deps.types().size === 0 || !(await this.blocksAreConsistent(term))) return;
 
-    const unleasedMachines: LooseMachine[] = [];
+    const unleasedMachines: UnleasedMachine[] = [];
     for (const known of this.known.values()) {
       if (this.isLeased(known.id) || known.doomed || known.phase === 'failed' || this.releaseAskedAt.has(known.id))
         continue;
@@ -199,24 +206,24 @@
     for (const [key, at] of this.refused) if (now - at > REFUSED_KIND_BACKOFF_MS) this.refused.delete(key);
     const plan = planLeases({
       shards: summaries,
-      loose: unleasedMachines,
+      unleased: unleasedMachines,
       types: this.deps.types(),
       specOf: this.specOf,
       refused: new Set(this.refused.keys()),
       headroom: this.serviceHeadroom(),
-      upcoming: this.deps.coming(),
+      upcoming: this.deps.upcomingJobs(),
       ...LEASE_POLICY,
-      ageOf: (id) => {
+      machineAgeS: (id) => {
         const known = this.known.get(id);
         return known ? (now - known.rentedAt) / 1000 : 0;
       },
     });
     await this.grantMachines(plan.grants, term);
-    for (const { machine, from, to } of plan.transfers) this.ask(machine, from, to, shards, now);
+    for (const { machine, from, to } of plan.transfers) this.requestTransfer(machine, from, to, shards, now);
     for (const { machine, from } of plan.releases) {
       this.deps.log.info({ machine, from }, 'asking the holder to release an idle machine');
       this.releaseAskedAt.set(machine, now);
-      this.ask(machine, from, null, shards, now);
+      this.requestTransfer(machine, from, null, shards, now);
     }
     // A new leader waits up to 10 s for the cloud's list before it rents: renting the same capacity twice costs money.
     const rentalsKnown = [...this.known.values()].some((k) => k.listedAt !== null) || now - this.startedAt > 10_000;
@@ -230,7 +237,7 @@
 
   private readonly specOf = (id: JobId): JobSpec | null => {
     const entry = this.deps.mirror.get(jobKey(id));
-    return entry ? decodeSpec(entry.value) : null;
+    return entry ? decodeJobSpec(entry.value) : null;
   };
 
   /**
@@ -238,8 +245,8 @@
    */
   private serviceHeadroom(): JobSpec[] {
     const largest = new Map<string, JobSpec>();
-    for (const entry of this.deps.mirror.under(JOBS)) {
-      const spec = decodeSpec(entry.value);
+    for (const entry of this.deps.mirror.under(JOBS_PREFIX)) {
+      const spec = decodeJobSpec(entry.value);
       if (!spec || spec.kind !== 'service') continue;
       const known = largest.get(spec.jobClass);
       if (!known || spec.tasks * spec.cpus > known.tasks * known.cpus) largest.set(spec.jobClass, spec);
@@ -248,7 +255,7 @@
   }
 
   /** Asks a machine's holder to lease it to another shard, or to release it when `to` is null. */
-  private ask(
+  private requestTransfer(
     machine: MachineId,
     from: ShardName,
     to: ShardName | null,
@@ -258,7 +265,7 @@
     if (now - (this.asked.get(machine) ?? -1e9) < TRANSFER_RETRY_MS) return;
     this.asked.set(machine, now);
     const holder = shards.get(from)?.value.holder;
-    if (holder !== undefined) this.deps.tell(holder, { kind: 'transfer', machine, to });
+    if (holder !== undefined) this.deps.sendToPeer(holder, { kind: 'transfer', machine, to });
   }
 
   /** Updates the known machines from the cloud's list. */
@@ -297,9 +304,10 @@
    */
   private async blocksAreConsistent(term: Revision): Promise<boolean> {
     const { mirror, shards } = this.deps;
-    const upTo = Math.max(shards.newest, term) as Revision;
+    const upTo = Math.max(shards.newestRevision, term) as Revision;
     return (
-      mirror.seenUpTo >= upTo || ((await mirror.reach(upTo, CATCH_UP_TIMEOUT_MS)) && mirror.seenUpTo >= shards.newest)
+      mirror.seenUpTo >= upTo ||
+      ((await mirror.reach(upTo, CATCH_UP_TIMEOUT_MS)) && mirror.seenUpTo >= shards.newestRevision)
     );
   }
 
@@ -334,7 +342,7 @@
     const { state, mirror, runtime, log } = this.deps;
     const shards = this.deps.shards.all;
     const target = shards.get(to);
-    if (!target || this.deps.leading() !== term) return [];
+    if (!target || this.deps.leaderTerm() !== term) return [];
     const candidates: BlockMachine[] = [];
     for (const id of machines) {
       const known = this.known.get(id);
@@ -342,9 +350,9 @@
         candidates.push({ id, type: known.type, zone: known.zone, spot: known.spot, address: known.address });
     }
     const { limits } = state;
-    const { taken, change } = enter(to, target, candidates, {
-      recordMost: blockLimit(limits.presentValueKb),
-      pageBytes: limits.valueBytes,
+    const { taken, change } = addMachines(to, target, candidates, {
+      recordMost: maxBlockMachines(limits.currentMaxValueKb),
+      pageBytes: limits.maxValueBytes,
     });
     if (taken.length === 0) return [];
     // The transaction is guarded by the record version of every shard: a machine must never be in two blocks, however
@@ -354,7 +362,7 @@
       [...shards].map(([name, { version }]) => [shardKey(name), { key: shardKey(name), version }]),
     );
     for (const { key, version } of change.guards) guards.set(key, { key, version: version as Revision });
-    guards.set(LEADER, { key: LEADER, version: term });
+    guards.set(LEADER_KEY, { key: LEADER_KEY, version: term });
     const result = await state.txn(Urgency.shard, [...guards.values()], change.ops);
     const ids = taken.map((m) => m.id);
     if (result.kind === 'ok') {
@@ -365,11 +373,11 @@
     if (result.kind === 'unknown') {
       // The write may still be applied for as long as this term lasts, regardless of what this node meanwhile knows
       // about its own lease.
-      const termLasts = (): boolean => mirror.get(LEADER)?.version === term;
+      const termLasts = (): boolean => mirror.get(LEADER_KEY)?.version === term;
       for (const op of change.ops)
         if ('put' in op) {
-          const absent = op.put.startsWith(PAGES) ? EMPTY_PAGE : undefined;
-          await settleKey(op.put, state, mirror, runtime, termLasts, (value) => value, absent);
+          const absent = op.put.startsWith(PAGES_PREFIX) ? EMPTY_PAGE : undefined;
+          await fencePendingWrites(op.put, state, mirror, runtime, termLasts, (value) => value, absent);
         }
       return 'unknown';
     }
@@ -389,13 +397,13 @@
         if (m.lost || (m.faulty && m.empty) || known?.phase === 'failed') lost.add(m.id);
       }
     }
-    if (lost.size === 0 || !this.deps.cloud.mayCall()) return;
+    if (lost.size === 0 || !this.deps.cloud.canCall()) return;
     const ids = [...lost].slice(0, 50);
-    if (!(await this.deps.cloud.giveBack(ids))) return;
+    if (!(await this.deps.cloud.returnMachines(ids))) return;
     this.deps.log.info({ machines: ids, term: this.term }, 'gave back machines that were lost or faulty');
     for (const id of ids) {
       this.markDeleted(id);
-      this.deps.trail?.note({ kind: 'returned', machine: id, why: 'lost or faulty' });
+      this.deps.trail?.record({ kind: 'returned', machine: id, why: 'lost or faulty' });
       this.asked.set(id, now);
     }
     await this.removeFromBlocks(new Set(ids));
@@ -405,16 +413,18 @@
   private async removeFromBlocks(ids: ReadonlySet<MachineId>): Promise<void> {
     const { state, mirror, shards } = this.deps;
     for (let tries = 0; tries < 3; tries++) {
-      const changes = [...shards.all].flatMap(([name, known]) => leave(name, known, ids).map(({ change }) => change));
+      const changes = [...shards.all].flatMap(([name, known]) =>
+        removeMachines(name, known, ids).map(({ change }) => change),
+      );
       if (changes.length === 0) return;
       // Whole records are written one per transaction: several of them may exceed the transaction's size limit.
-      const whole = changes.some(({ ops }) => ops.some((op) => 'put' in op && !op.put.startsWith(PAGES)));
+      const whole = changes.some(({ ops }) => ops.some((op) => 'put' in op && !op.put.startsWith(PAGES_PREFIX)));
       const changesPerTxn = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, MAX_PAGES_PER_TXN));
       for (let at = 0; at < changes.length; at += changesPerTxn) {
-        const term = this.deps.leading();
+        const term = this.deps.leaderTerm();
         if (term === null) return;
         const batch = changes.slice(at, at + changesPerTxn);
-        const guards = [...batch.flatMap((change) => change.guards), { key: LEADER, version: term as number }];
+        const guards = [...batch.flatMap((change) => change.guards), { key: LEADER_KEY, version: term as number }];
         const ops = batch.flatMap((change) => change.ops);
         const result = await state.txn(Urgency.shard, guards, ops);
         if (result.kind === 'ok') {
@@ -443,33 +453,33 @@
       if (releaseAsked || neverUp || silent || known.phase === 'failed' || known.doomed) ids.push(known.id);
     }
     for (const [id, at] of this.releaseAskedAt) if (now - at > 60_000) this.releaseAskedAt.delete(id);
-    if (ids.length === 0 || !this.deps.cloud.mayCall()) return;
+    if (ids.length === 0 || !this.deps.cloud.canCall()) return;
     const batch = ids.slice(0, 50);
     // The machines may be deleted from the moment of the request, so they are not leased any more.
     for (const id of batch) {
       const known = this.known.get(id);
       if (known) known.doomed = true;
     }
-    if (!(await this.deps.cloud.giveBack(batch))) return;
+    if (!(await this.deps.cloud.returnMachines(batch))) return;
     this.deps.log.info({ machines: batch, term: this.term }, 'returned unleased machines to the cloud');
     for (const id of batch) {
       const why = this.releaseAskedAt.has(id) ? 'idle' : 'in no block';
       this.markDeleted(id);
-      this.deps.trail?.note({ kind: 'returned', machine: id, why });
+      this.deps.trail?.record({ kind: 'returned', machine: id, why });
       this.releaseAskedAt.delete(id);
     }
   }
 
   /** Rents machines from the cloud as planned, within its call rate and as long as the term lasts. */
-  private async rentMachines(wishes: readonly RentWish[], term: Revision): Promise<void> {
+  private async rentMachines(wishes: readonly PlannedRent[], term: Revision): Promise<void> {
     if (this.rentInFlight) return;
     this.rentInFlight = true;
     try {
       // A request above the limit of one call is split into several calls. The kinds take turns, so that each gets some
       // calls when the call rate is limited.
-      for (const wish of inCalls(wishes)) {
-        if (this.refused.has(kindKey(wish.type, wish.zone, wish.spot))) continue;
-        if (!this.deps.cloud.mayCall() || this.deps.leading() !== term) return;
+      for (const wish of splitIntoCalls(wishes)) {
+        if (this.refused.has(machineKindKey(wish.type, wish.zone, wish.spot))) continue;
+        if (!this.deps.cloud.canCall() || this.deps.leaderTerm() !== term) return;
         this.requests += 1;
         // The term is a revision and the counter only grows, so a name is never used twice.
         const name = `w${term}-${this.requests}`;
@@ -479,15 +489,15 @@
           const { type, zone, spot } = wish;
           for (const id of result.ids) {
             this.getOrAddMachine(id, type, zone, spot, now);
-            this.deps.trail?.note({ kind: 'rented', machine: id, type, zone, spot });
+            this.deps.trail?.record({ kind: 'rented', machine: id, type, zone, spot });
           }
           this.deps.log.info({ ...wish, got: result.ids.length }, 'rented machines');
         }
         if (result.kind === 'no-capacity' || (result.kind === 'rented' && result.ids.length < wish.count)) {
-          this.refused.set(kindKey(wish.type, wish.zone, wish.spot), now);
+          this.refused.set(machineKindKey(wish.type, wish.zone, wish.spot), now);
           const { type, zone, spot, count: wanted } = wish;
           const got = result.kind === 'rented' ? result.ids.length : 0;
-          this.deps.trail?.note({ kind: 'short', type, zone, spot, wanted, got });
+          this.deps.trail?.record({ kind: 'short', type, zone, spot, wanted, got });
         }
       }
     } finally {
--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -1,8 +1,8 @@
 import type { MachineType } from '../cloud/index.js';
 import type { JobSpec, Priority } from '../jobs/index.js';
 import type { JobId, MachineId, ShardName } from '../kernel/index.js';
-import { allowedKind, mayBorrow } from '../placement/index.js';
-import type { Coming } from '../pipelines/index.js';
+import { allowsMachine, mayUseReserve } from '../placement/index.js';
+import type { UpcomingJob } from '../pipelines/index.js';
 import type { MachineSummary, ShardSummary } from '../peers/index.js';
 
 const EPSILON = 1e-6;
@@ -28,7 +28,7 @@
 } as const;
 
 /** A machine that is rented but not leased to a shard: it is in no block yet. */
-export interface LooseMachine {
+export interface UnleasedMachine {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
@@ -43,7 +43,7 @@
 export interface LeaseInput {
   readonly shards: readonly ShardSummary[];
   /** Machines that are rented but in no block. */
-  readonly loose: readonly LooseMachine[];
+  readonly unleased: readonly UnleasedMachine[];
   readonly types: ReadonlyMap<string, MachineType>;
   /** Returns a job's specification, or null if the job is unknown. */
   readonly specOf: (id: JobId) => JobSpec | null;
@@ -54,17 +54,17 @@
   /**
    * Jobs that will be ready soon. Nothing is leased for them yet, but the machines they will lack are rented in time.
    */
-  readonly upcoming?: readonly Coming[];
+  readonly upcoming?: readonly UpcomingJob[];
   /** Seconds that a machine is idle before it is returned to the cloud. */
   readonly idleReturnS: number;
   /** Share of the time left to their objectives within which arrays are planned to finish. */
   readonly backlogTimeShare: number;
   /** Returns the seconds since a machine in a block was rented. */
-  readonly ageOf: (id: MachineId) => number;
+  readonly machineAgeS: (id: MachineId) => number;
 }
 
 /** A number of machines of one kind to rent. */
-export interface RentWish {
+export interface PlannedRent {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -78,7 +78,7 @@
   /** Machines that their holder should lease to another shard. */
   readonly transfers: readonly { readonly machine: MachineId; readonly from: ShardName; readonly to: ShardName }[];
   /** Machines to rent from the cloud. */
-  readonly rents: readonly RentWish[];
+  readonly rents: readonly PlannedRent[];
   /** Empty machines that their holder should release, to be returned to the cloud. */
   readonly releases: readonly { readonly machine: MachineId; readonly from: ShardName }[];
 }
@@ -109,7 +109,7 @@
 }
 
 /** Returns the key of a kind of machine, which consists of its type, its zone and whether it is a spot machine. */
-export const kindKey = (type: string, zone: string, spot: boolean): string =>
+export const machineKindKey = (type: string, zone: string, spot: boolean): string =>
   `${type}/${zone}/${spot ? 'spot' : 'own'}`;
 
 /** Waiting work of one array. */
@@ -145,9 +145,9 @@
 
 /** Allocates free capacity to as many tasks as fit and returns their number. */
 function allocateSlots(demand: JobDemand, s: FreeCapacity): number {
-  if (!allowedKind(demand.spec, { type: s.type.name, zone: s.zone, spot: s.spot })) return 0;
+  if (!allowsMachine(demand.spec, { type: s.type.name, zone: s.zone, spot: s.spot })) return 0;
   // Machines with free accelerators are reserved for jobs that need accelerators, or that may borrow their cpus.
-  if (demand.spec.gpus <= 0 && s.gpus > EPSILON && !mayBorrow(demand.spec)) return 0;
+  if (demand.spec.gpus <= 0 && s.gpus > EPSILON && !mayUseReserve(demand.spec)) return 0;
   const slots = Math.min(demand.slots, slotsThatFit(demand.spec, s));
   s.cpus -= slots * demand.spec.cpus;
   s.gpus -= slots * demand.spec.gpus;
@@ -195,7 +195,7 @@
   const freeCpusByShard = new Map(
     input.shards.map((s) => [s.shard, s.machines.reduce((sum, m) => sum + m.freeCpus + 1, 0)]),
   );
-  for (const machine of input.loose) {
+  for (const machine of input.unleased) {
     if (!machine.up || input.shards.length === 0) continue;
     const type = input.types.get(machine.type);
     if (!type) continue;
@@ -204,7 +204,7 @@
       shardToServe(demands, capacity) ??
       [...freeCpusByShard].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
     if (to === undefined) continue;
-    serve(demands, capacity, to);
+    allocateToShard(demands, capacity, to);
     grants.push({ machine: machine.id, to });
     freeCpusByShard.set(to, (freeCpusByShard.get(to) ?? 0) + type.cpus);
   }
@@ -222,14 +222,14 @@
     const capacity = totalCapacity(type, entry.machine.zone, entry.machine.spot);
     if (entry.machine.idleMs < 300 || !entry.machine.empty) {
       if (!entry.machine.empty) stillIdle.push(entry);
-      serve(demands, capacity, entry.shard.shard);
+      allocateToShard(demands, capacity, entry.shard.shard);
       continue;
     }
     const to = shardToServe(demands, capacity);
     if (to !== null && to !== entry.shard.shard) {
-      serve(demands, capacity, to);
+      allocateToShard(demands, capacity, to);
       transfers.push({ machine: entry.machine.id, from: entry.shard.shard, to });
-    } else if (to !== null) serve(demands, capacity, to);
+    } else if (to !== null) allocateToShard(demands, capacity, to);
     else stillIdle.push(entry);
   }
 
@@ -258,12 +258,12 @@
     const capacity = totalCapacity(type, machine.zone, machine.spot);
     const to = shardToServe(urgentGangs, capacity);
     if (to === null) continue;
-    serve(urgentGangs, capacity, to);
+    allocateToShard(urgentGangs, capacity, to);
     if (to !== shard.shard) transfers.push({ machine: machine.id, from: shard.shard, to });
   }
 
   // Booting machines will serve the remaining demand; those that take too long to boot are not counted.
-  for (const machine of input.loose) {
+  for (const machine of input.unleased) {
     if (machine.up) continue;
     const type = input.types.get(machine.type);
     if (!type || machine.ageS > type.bootS * 1.8 + 5) continue;
@@ -289,7 +289,7 @@
         capacities.push({ type, zone: m.zone, spot: m.spot, cpus, gpus: m.freeGpus, memoryGb });
       }
     }
-    for (const m of input.loose) {
+    for (const m of input.unleased) {
       const type = input.types.get(m.type);
       if (type && m.ageS <= type.bootS * 1.8 + 5) capacities.push(totalCapacity(type, m.zone, m.spot));
     }
@@ -312,7 +312,7 @@
   const released = new Set<MachineId>();
   let headroomChecks = 0;
   const longIdle = stillIdle
-    .filter(({ machine }) => machine.idleMs > input.idleReturnS * 1000 && input.ageOf(machine.id) > 50)
+    .filter(({ machine }) => machine.idleMs > input.idleReturnS * 1000 && input.machineAgeS(machine.id) > 50)
     .sort((a, b) => hourlyPrice(input, b.machine) - hourlyPrice(input, a.machine));
   for (const { machine, shard } of longIdle) {
     // Machines are released gradually: those that are idle now may be needed again shortly, and they were all rented
@@ -324,7 +324,8 @@
       break;
     const type = input.types.get(machine.type);
     if (!type || keptForUpcoming.has(machine.id)) continue;
-    if (waiting.some((w) => allowedKind(w.spec, machine) && (w.spec.gpus > 0 || machine.freeGpus < EPSILON))) continue;
+    if (waiting.some((w) => allowsMachine(w.spec, machine) && (w.spec.gpus > 0 || machine.freeGpus < EPSILON)))
+      continue;
     if (machine.freeGpus < EPSILON && !machine.spot) {
       headroomChecks += 1;
       if (unmetHeadroom(capacityForServices(new Set([...released, machine.id]))).length > 0) continue;
@@ -333,7 +334,7 @@
     released.add(machine.id);
   }
 
-  const rentsByKind = new Map<string, RentWish>();
+  const rentsByKind = new Map<string, PlannedRent>();
   const needs = [...demands, ...upcoming, ...unmetHeadroom(capacityForServices(new Set()))];
   for (const demand of needs)
     addRents(demand, input, rentsByKind, demand.spec.kind === 'array' ? MAX_CPU_PRICE_RATIO : Infinity);
@@ -356,8 +357,8 @@
  * plan for 300 machines at the start of a day with a backlog was sent as one call for 50; as 50 came, fewer than
  * planned, the kind was treated as sold out.
  */
-export function inCalls(wishes: readonly RentWish[]): RentWish[] {
-  const calls: RentWish[] = [];
+export function splitIntoCalls(wishes: readonly PlannedRent[]): PlannedRent[] {
+  const calls: PlannedRent[] = [];
   const most = Math.max(0, ...wishes.map((wish) => wish.count));
   for (let done = 0; done < most; done += MAX_MACHINES_PER_CALL) {
     for (const wish of wishes) {
@@ -374,7 +375,7 @@
 /** Returns the demand of arrays that will be ready about when a machine that is rented now would be up. */
 function upcomingDemand(input: LeaseInput): JobDemand[] {
   const demands: JobDemand[] = [];
-  for (const { spec, inS, slackS } of input.upcoming ?? []) {
+  for (const { spec, readyInS: inS, slackS } of input.upcoming ?? []) {
     if (spec.kind !== 'array' || inS > leadTimeS(spec, input) + RENT_AHEAD_S) continue;
     demands.push({ spec, shard: null, slots: spec.tasks, runS: Math.max(1, spec.estimateS), slackS, readyInS: inS });
   }
@@ -483,7 +484,7 @@
     if (slotsThatFit(spec, type) <= 0) continue;
     for (const zone of type.zones) {
       for (const spot of [true, false]) {
-        if (!allowedKind(spec, { type: type.name, zone, spot })) continue;
+        if (!allowsMachine(spec, { type: type.name, zone, spot })) continue;
         lowest = Math.min(lowest, (spot ? type.spotPrice : type.price) / type.cpus);
       }
     }
@@ -501,15 +502,15 @@
 function shardToServe(demands: readonly JobDemand[], capacity: FreeCapacity): ShardName | null {
   for (const demand of demands) {
     if (demand.slots <= 0 || demand.shard === null) continue;
-    if (!allowedKind(demand.spec, { type: capacity.type.name, zone: capacity.zone, spot: capacity.spot })) continue;
-    if (demand.spec.gpus <= 0 && capacity.gpus > EPSILON && !mayBorrow(demand.spec)) continue;
+    if (!allowsMachine(demand.spec, { type: capacity.type.name, zone: capacity.zone, spot: capacity.spot })) continue;
+    if (demand.spec.gpus <= 0 && capacity.gpus > EPSILON && !mayUseReserve(demand.spec)) continue;
     if (slotsThatFit(demand.spec, capacity) > 0) return demand.shard;
   }
   return null;
 }
 
 /** Allocates capacity to the demand of one shard. */
-function serve(demands: readonly JobDemand[], capacity: FreeCapacity, shard: ShardName): void {
+function allocateToShard(demands: readonly JobDemand[], capacity: FreeCapacity, shard: ShardName): void {
   for (const demand of demands) if (demand.slots > 0 && demand.shard === shard) allocateSlots(demand, capacity);
 }
 
@@ -517,7 +518,7 @@
  * Plans rents of the cheapest kinds for the demand that is left. The cost is the price of a machine divided by the
  * slots that are actually used, and grows slightly with the number already planned of the kind.
  */
-function addRents(demand: JobDemand, input: LeaseInput, rents: Map<string, RentWish>, maxPriceRatio: number): void {
+function addRents(demand: JobDemand, input: LeaseInput, rents: Map<string, PlannedRent>, maxPriceRatio: number): void {
   const maxCpuPrice = maxPriceRatio === Infinity ? Infinity : lowestCpuPrice(demand.spec, input) * maxPriceRatio;
   for (let tries = 0; tries < 40 && demand.slots > 0; tries++) {
     let best: { type: MachineType; zone: string; spot: boolean; slots: number } | null = null;
@@ -527,8 +528,8 @@
       if (slots <= 0 || (demand.spec.gpus <= 0 && type.gpus > 0)) continue;
       for (const zone of type.zones) {
         for (const spot of [true, false]) {
-          if (!allowedKind(demand.spec, { type: type.name, zone, spot })) continue;
-          const key = kindKey(type.name, zone, spot);
+          if (!allowsMachine(demand.spec, { type: type.name, zone, spot })) continue;
+          const key = machineKindKey(type.name, zone, spot);
           if (input.refused.has(key)) continue;
           const price = spot ? type.spotPrice : type.price;
           if (price / type.cpus > maxCpuPrice) continue;
@@ -542,7 +543,7 @@
       }
     }
     if (!best) return;
-    const key = kindKey(best.type.name, best.zone, best.spot);
+    const key = machineKindKey(best.type.name, best.zone, best.spot);
     rents.set(key, { type: best.type.name, zone: best.zone, spot: best.spot, count: (rents.get(key)?.count ?? 0) + 1 });
     demand.slots -= best.slots;
   }
--- a/src/leasing/routing.ts
+++ b/src/leasing/routing.ts
@@ -1,7 +1,7 @@
 import type { MachineType } from '../cloud/index.js';
 import type { JobSpec } from '../jobs/index.js';
 import type { ShardName } from '../kernel/index.js';
-import { allowedKind, mayBorrow } from '../placement/index.js';
+import { allowsMachine, mayUseReserve } from '../placement/index.js';
 import type { ShardSummary } from '../peers/index.js';
 
 const EPSILON = 1e-6;
@@ -34,12 +34,12 @@
   let capacity = 0;
   let slotsAfterPreemption = 0;
   for (const m of summary.machines) {
-    if (!m.usable || m.faulty || m.lost || !allowedKind(spec, m)) continue;
+    if (!m.usable || m.faulty || m.lost || !allowsMachine(spec, m)) continue;
     const type = types.get(m.type);
     if (spec.gpus > 0) capacity += type?.gpus ?? 0;
     // Only the capacity that arrays share counts: a machine full of replicas or gangs does not drain the queue.
-    else if (type && (type.gpus <= 0 || mayBorrow(spec))) capacity += m.freeCpus + m.yieldCpus;
-    if (spec.gpus <= 0 && m.freeGpus > EPSILON && !mayBorrow(spec)) continue;
+    else if (type && (type.gpus <= 0 || mayUseReserve(spec))) capacity += m.freeCpus + m.yieldCpus;
+    if (spec.gpus <= 0 && m.freeGpus > EPSILON && !mayUseReserve(spec)) continue;
     if (type && type.gpus >= spec.gpus && type.cpus >= spec.cpus && type.memoryGb >= spec.memoryGb) machines += 1;
     const by = (need: number, free: number): number => (need <= 0 ? Infinity : Math.floor((free + EPSILON) / need));
     const slotsWith = (cpus: number, memoryGb: number): number =>
@@ -131,7 +131,7 @@
  * Returns the shard to which a waiting job without running tasks should move, or null if it should stay. An array moves
  * to a shard that has room for all of it, or whose queue is shorter by enough that the array is not moved back at once.
  */
-export function betterShard(
+export function chooseMoveTarget(
   spec: JobSpec,
   count: number,
   here: ShardSummary | undefined,
@@ -156,10 +156,15 @@
  * Returns the summary as it is expected to look after a job was routed to the shard: its tasks take free capacity, and
  * array tasks that find none are added to the demand. Used until the shard sends its next summary.
  */
-export function bookRoom(spec: JobSpec, summary: ShardSummary): ShardSummary {
+export function reserveCapacity(spec: JobSpec, summary: ShardSummary): ShardSummary {
   let left = spec.tasks;
   const machines = summary.machines.map((m) => {
-    if (left <= 0 || !m.usable || !allowedKind(spec, m) || (spec.gpus <= 0 && m.freeGpus > EPSILON && !mayBorrow(spec)))
+    if (
+      left <= 0 ||
+      !m.usable ||
+      !allowsMachine(spec, m) ||
+      (spec.gpus <= 0 && m.freeGpus > EPSILON && !mayUseReserve(spec))
+    )
       return m;
     let { freeCpus, freeGpus, freeMemoryGb } = m;
     while (
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -1,5 +1,5 @@
 import type { MachineId, Revision, ShardName } from '../kernel/index.js';
-import { PAGES, SHARDS, type Mirror } from '../state/index.js';
+import { PAGES_PREFIX, SHARDS_PREFIX, type Mirror } from '../state/index.js';
 import { decodePage, parsePageKey, type KnownShard, type Page } from './pages.js';
 import { decodeShard, type ShardValue } from './shard.js';
 
@@ -51,25 +51,25 @@
    * The revision of the newest change to any block in the mirror. Once the watch has reached it, all blocks together
    * are a consistent snapshot. Before that, a machine that has moved may seem to be in no block.
    */
-  get newest(): Revision {
+  get newestRevision(): Revision {
     this.refresh();
     return this.latestVersion as Revision;
   }
 
   /** Decodes the records and pages that have changed in the mirror since the last call. */
   private refresh(): void {
-    const generation = `${this.mirror.generationOf(SHARDS)} ${this.mirror.generationOf(PAGES)}`;
+    const generation = `${this.mirror.generationOf(SHARDS_PREFIX)} ${this.mirror.generationOf(PAGES_PREFIX)}`;
     if (generation === this.generation) return;
     this.generation = generation;
     const changed = new Set<ShardName>();
-    for (const { key, value, version } of this.mirror.under(SHARDS)) {
-      const name = key.slice(SHARDS.length) as ShardName;
+    for (const { key, value, version } of this.mirror.under(SHARDS_PREFIX)) {
+      const name = key.slice(SHARDS_PREFIX.length) as ShardName;
       if (this.records.get(name)?.version === version) continue;
       this.records.set(name, { version, value: decodeShard(value) });
       this.latestVersion = Math.max(this.latestVersion, version);
       changed.add(name);
     }
-    for (const { key, value, version } of this.mirror.under(PAGES)) {
+    for (const { key, value, version } of this.mirror.under(PAGES_PREFIX)) {
       if (this.pageVersions.get(key) === version) continue;
       this.pageVersions.set(key, version);
       this.latestVersion = Math.max(this.latestVersion, version);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -11,23 +11,23 @@
   type ShardName,
 } from '../kernel/index.js';
 import {
-  formatOf,
-  LEADER,
+  formatVersionOf,
+  LEADER_KEY,
   nodeKey,
   rereadGuards,
   shardKey,
   Urgency,
-  type Fields,
+  type RecordFields,
   type Mirror,
   type StateClient,
   type TxnResult,
 } from '../state/index.js';
 import type { ShardDirectory } from './directory.js';
 import { Paging } from './paging.js';
-import { earlierHolders, encodeShard, SHARD_FORMAT, type PreviousHolder, type ShardValue } from './shard.js';
+import { previousHolders, encodeShard, SHARD_FORMAT, type PreviousHolder, type ShardValue } from './shard.js';
 
 /** Time to live of a node's lease in the state service. */
-export const LEASE_MS = 4000;
+export const NODE_LEASE_MS = 4000;
 const LEASE_RENEW_INTERVAL_MS = 1000;
 /** Unit of the delays by which nodes stagger their claims, so that the node with the best reason claims first. */
 const CLAIM_DELAY_STEP_MS = 500;
@@ -47,9 +47,9 @@
   /** False while another node should be the leader. */
   mayLead(): boolean;
   /** True if machines are stored in pages instead of in the shards' records. */
-  paged(): boolean;
+  usesPages(): boolean;
   /** The fields of this node's key that describe its program, beside its incarnation. */
-  announcement(): Fields;
+  announcement(): RecordFields;
 }
 
 /**
@@ -105,7 +105,7 @@
   }
 
   /** The latest time at which this node's shards certainly hadn't been claimed by another node. */
-  get heldUntilAtLeast(): Millis {
+  get ownershipProvenAt(): Millis {
     return this.leaseProvenAt;
   }
 
@@ -113,12 +113,12 @@
    * True while our lease is certain to be valid, clock drift included: until it expires nobody can claim a shard of
    * ours.
    */
-  get certain(): boolean {
-    return this.clock.now() < this.leaseProvenAt + LEASE_MS / 1.002;
+  get leaseValid(): boolean {
+    return this.clock.now() < this.leaseProvenAt + NODE_LEASE_MS / 1.002;
   }
 
   /** The incarnation in a node's key, or null if the node has no key and therefore no valid lease. */
-  alive = (node: NodeName): Incarnation | null => {
+  liveIncarnationOf = (node: NodeName): Incarnation | null => {
     const value = this.mirror.get(nodeKey(node))?.value;
     return isObject(value) && typeof value['incarnation'] === 'string' ? (value['incarnation'] as Incarnation) : null;
   };
@@ -129,23 +129,23 @@
   }
 
   /** Number of live controllers, this one included. They share the state service's limit on changes per second. */
-  get aliveCount(): number {
-    return 1 + this.others.filter((node) => this.alive(node) !== null).length;
+  get liveControllerCount(): number {
+    return 1 + this.others.filter((node) => this.liveIncarnationOf(node) !== null).length;
   }
 
   /** The leader according to the mirror, or null. */
   get leader(): NodeName | null {
-    const value = this.mirror.get(LEADER)?.value;
+    const value = this.mirror.get(LEADER_KEY)?.value;
     return isObject(value) && typeof value['node'] === 'string' ? (value['node'] as NodeName) : null;
   }
 
   /**
    * The version of the leader's key while this node is the leader, otherwise null. It guards every write of the leader.
    */
-  get leading(): Revision | null {
-    const entry = this.mirror.get(LEADER);
+  get leaderTerm(): Revision | null {
+    const entry = this.mirror.get(LEADER_KEY);
     if (!entry || !isObject(entry.value) || entry.value['incarnation'] !== this.incarnation) return null;
-    return this.clock.now() - this.leaseProvenAt < LEASE_MS ? entry.version : null;
+    return this.clock.now() - this.leaseProvenAt < NODE_LEASE_MS ? entry.version : null;
   }
 
   /** Interval at which the lease has to be renewed. */
@@ -154,7 +154,7 @@
   }
 
   /** Runs one round of maintaining the lease and the node's key: renews the lease, or registers again if it is gone. */
-  async keep(): Promise<void> {
+  async maintainLease(): Promise<void> {
     const sentAt = this.clock.now();
     if (this.lease !== undefined && this.nodeVersion !== undefined) {
       const renewed = await this.state.renewLease(this.lease);
@@ -170,7 +170,7 @@
       this.nodeVersion = undefined;
       this.ownershipVerified = false;
     }
-    this.lease ??= (await this.state.grantLease(LEASE_MS)) ?? undefined;
+    this.lease ??= (await this.state.grantLease(NODE_LEASE_MS)) ?? undefined;
     if (this.lease === undefined) return;
     const value = { ...this.hooks.announcement(), incarnation: this.incarnation };
     const key = nodeKey(this.self);
@@ -194,26 +194,26 @@
     if (this.lease === undefined || this.nodeVersion === undefined) return;
     // A leader that can't read every block would lease a machine that is in an unreadable block to another shard.
     if (this.directory.unreadable.size > 0 || !this.hooks.mayLead()) return this.stepDown();
-    if (this.mirror.get(LEADER)) return;
+    if (this.mirror.get(LEADER_KEY)) return;
     const value = { node: this.self, incarnation: this.incarnation };
     // Session urgency: queued behind users' submissions, no leader would be elected for as long as a burst lasts.
     const result = await this.state.txn(
       Urgency.session,
       [
-        { key: LEADER, version: 0 },
+        { key: LEADER_KEY, version: 0 },
         { key: nodeKey(this.self), version: this.nodeVersion },
       ],
-      [{ put: LEADER, value, lease: this.lease }],
+      [{ put: LEADER_KEY, value, lease: this.lease }],
     );
     if (result.kind === 'ok') {
-      this.mirror.apply({ key: LEADER, value, removed: false, version: result.revision });
+      this.mirror.apply({ key: LEADER_KEY, value, removed: false, version: result.revision });
       this.logTermChange();
     }
   }
 
   /** Logs when this node starts or stops being the leader, whatever the cause. */
   private logTermChange(): void {
-    const { leading, term } = this;
+    const { leaderTerm: leading, term } = this;
     if (leading === term) return;
     this.term = leading;
     const { seenUpTo } = this.mirror;
@@ -223,18 +223,22 @@
 
   /** Gives up leadership by removing the leader's key, which guards every write of the leader. */
   private async stepDown(): Promise<void> {
-    const { leading } = this;
+    const { leaderTerm: leading } = this;
     if (leading === null) return;
-    const result = await this.state.txn(Urgency.session, [{ key: LEADER, version: leading }], [{ remove: LEADER }]);
+    const result = await this.state.txn(
+      Urgency.session,
+      [{ key: LEADER_KEY, version: leading }],
+      [{ remove: LEADER_KEY }],
+    );
     if (result.kind !== 'ok') return;
-    this.mirror.apply({ key: LEADER, value: undefined, removed: true, version: result.revision });
+    this.mirror.apply({ key: LEADER_KEY, value: undefined, removed: true, version: result.revision });
     this.logTermChange();
   }
 
   /**
    * Runs one round of claiming vacant shards: this node's own shard at once, others after a delay that depends on rank.
    */
-  async claim(): Promise<void> {
+  async claimVacantShards(): Promise<void> {
     const nodeVersion = this.nodeVersion;
     if (nodeVersion === undefined || !this.hooks.mayClaim()) return;
     const now = this.clock.now();
@@ -248,7 +252,7 @@
       // Taken from the directory: this runs several times a second, and a record with hundreds of machines is decoded
       // once.
       const value = this.directory.all.get(shard)?.value ?? null;
-      if (!isVacant(value, this.alive)) {
+      if (!isVacant(value, this.liveIncarnationOf)) {
         this.vacantSince.delete(shard);
         continue;
       }
@@ -256,7 +260,7 @@
       this.vacantSince.set(shard, since);
       if (now - since < this.claimDelayMs(shard, entry !== undefined, value, now)) continue;
       // The watch may have shown a head before its pages: the shard's machines must be known before it is claimed.
-      if (value !== null && value.epoch !== null && this.directory.newest > this.mirror.seenUpTo) continue;
+      if (value !== null && value.epoch !== null && this.directory.newestRevision > this.mirror.seenUpTo) continue;
       await this.claimShard(shard, entry?.version ?? 0, value, nodeVersion);
     }
   }
@@ -271,7 +275,7 @@
     this.loggedUnreadable.add(shard);
     const stored = this.mirror.get(shardKey(shard))?.value;
     this.log.error(
-      { shard, format: formatOf(stored), reads: SHARD_FORMAT },
+      { shard, format: formatVersionOf(stored), reads: SHARD_FORMAT },
       "a shard's record can't be read by this release: it is left alone",
     );
   }
@@ -288,8 +292,10 @@
     const namesake = shard as unknown as NodeName;
     // A shard that was never claimed waits for the first start of the node that it is named after.
     if (!exists) return Math.max(0, FIRST_START_GRACE_MS - (now - this.startedAt)) + CLAIM_DELAY_STEP_MS;
-    const namesakeAlive = this.alive(namesake) !== null;
-    const rank = this.others.filter((n) => n !== namesake && this.alive(n) !== null && n < this.self).length;
+    const namesakeAlive = this.liveIncarnationOf(namesake) !== null;
+    const rank = this.others.filter(
+      (n) => n !== namesake && this.liveIncarnationOf(n) !== null && n < this.self,
+    ).length;
     const heldCount = this.hooks.held().length;
     return (
       (namesakeAlive ? 3 * CLAIM_DELAY_STEP_MS : 0) +
@@ -312,9 +318,9 @@
     if (holder !== null && holder !== this.self && value?.released !== true) {
       nodes.push({ key: nodeKey(holder), version: this.mirror.get(nodeKey(holder))?.version ?? 0 });
     }
-    const earlier = earlierHolders(value, this.self);
+    const earlier = previousHolders(value, this.self);
     const known = this.directory.all.get(shard);
-    const paged = this.hooks.paged();
+    const paged = this.hooks.usesPages();
     const movesToPages = paged && value?.epoch === null && known !== undefined;
     // The record as a single value may exceed the state service's limit by now, so its machines are staged in pages
     // first.
@@ -359,7 +365,7 @@
   }
 
   /** The holders of a shard before our latest claim that may still send commands. */
-  previousOf(shard: ShardName): readonly PreviousHolder[] {
+  previousHoldersOf(shard: ShardName): readonly PreviousHolder[] {
     return this.previousHolders.get(shard) ?? [];
   }
 }
--- a/src/membership/pages.ts
+++ b/src/membership/pages.ts
@@ -1,8 +1,17 @@
 // A shard's machines (its block) are stored either in the shard's record, or in several pages with the record reduced
 // to a head that names the epoch of its pages. This module has the pure functions that encode, lay out and change them.
 
-import { asCount, isObject, type MachineId, type Revision, type ShardName } from '../kernel/index.js';
-import { isForeign, pageKey, PAGES, shardKey, valueBytes, type Fields, type Guard, type Op } from '../state/index.js';
+import { asNonNegativeInteger, isObject, type MachineId, type Revision, type ShardName } from '../kernel/index.js';
+import {
+  isNewerFormat,
+  pageKey,
+  PAGES_PREFIX,
+  shardKey,
+  storedSizeBytes,
+  type RecordFields,
+  type Guard,
+  type Op,
+} from '../state/index.js';
 import { decodeKinds, encodeKinds, encodeShard, type BlockMachine, type ShardValue } from './shard.js';
 
 /** The newest page format that this program reads, and the one that it writes. */
@@ -40,15 +49,15 @@
 }
 
 /** Encodes a page as it is stored. */
-export const encodePage = (epoch: number, machines: readonly BlockMachine[]): Fields => ({
+export const encodePage = (epoch: number, machines: readonly BlockMachine[]): RecordFields => ({
   epoch,
   kinds: encodeKinds(machines),
 });
 
 /** Decodes a page; null if this program can't read it. */
 export function decodePage(value: unknown): { readonly epoch: number; readonly machines: BlockMachine[] } | null {
-  if (!isObject(value) || isForeign(value, PAGE_FORMAT)) return null;
-  const epoch = asCount(value['epoch']);
+  if (!isObject(value) || isNewerFormat(value, PAGE_FORMAT)) return null;
+  const epoch = asNonNegativeInteger(value['epoch']);
   const machines = decodeKinds(value['kinds']);
   return epoch === undefined || machines === null ? null : { epoch, machines };
 }
@@ -56,12 +65,12 @@
 /** Returns the shard and the page number that a page's key names. */
 export function parsePageKey(key: string): { readonly shard: ShardName; readonly n: number } {
   const separator = key.lastIndexOf('.');
-  return { shard: key.slice(PAGES.length, separator) as ShardName, n: Number(key.slice(separator + 1)) };
+  return { shard: key.slice(PAGES_PREFIX.length, separator) as ShardName, n: Number(key.slice(separator + 1)) };
 }
 
 /** Reports whether the machines fill a page up to no more than the fill ratio. */
 const fitsInPage = (epoch: number, machines: readonly BlockMachine[], maxBytes: number): boolean =>
-  valueBytes(encodePage(epoch, machines)) <= maxBytes * PAGE_FILL_RATIO;
+  storedSizeBytes(encodePage(epoch, machines)) <= maxBytes * PAGE_FILL_RATIO;
 
 /**
  * Distributes machines over pages. Deterministic: every caller with the same machines and limit gets the same pages.
@@ -86,7 +95,7 @@
 }
 
 /** The machines that one change of a shard can add to it, and that change. */
-export interface Entry {
+export interface MachineInsertion {
   /** A prefix of the machines that were passed; the others didn't fit. */
   readonly taken: readonly BlockMachine[];
   readonly change: BlockChange;
@@ -96,12 +105,12 @@
  * Adds machines to a shard, as many as fit into one page or into the record. The change is guarded by the head, too. A
  * machine is therefore added either before a claim, which then sees it, or after the claim, for the new holder.
  */
-export function enter(
+export function addMachines(
   shard: ShardName,
   known: KnownShard,
   machines: readonly BlockMachine[],
   limits: { readonly recordMost: number; readonly pageBytes: number },
-): Entry {
+): MachineInsertion {
   const head = { key: shardKey(shard), version: known.version as number };
   const { value, pages, spare } = known;
   const { epoch } = value;
@@ -148,7 +157,7 @@
  * Guards for moving a shard's machines from its pages back into its record: the head, its pages, and the key that the
  * next new page would get. Without the last one, a machine in a page that the holder hadn't seen yet was lost.
  */
-export const foldGuards = (shard: ShardName, { version, pages, spare }: KnownShard): Guard[] =>
+export const moveToRecordGuards = (shard: ShardName, { version, pages, spare }: KnownShard): Guard[] =>
   blockGuards(shard, version, [...pages, ...spare]);
 
 /**
@@ -195,7 +204,7 @@
   a.length === b.length && a.every((machine, i) => machine.id === b[i]?.id);
 
 /** Removes machines from a shard: one change for its record, or one for each page that names any of them. */
-export function leave(
+export function removeMachines(
   shard: ShardName,
   known: KnownShard,
   ids: ReadonlySet<MachineId>,
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -3,7 +3,7 @@
 import type { ShardDirectory } from './directory.js';
 import {
   moveToPagesGuards,
-  foldGuards,
+  moveToRecordGuards,
   stageChanges,
   type BlockChange,
   type KnownShard,
@@ -41,7 +41,7 @@
   async stage(shard: ShardName, known: KnownShard, urgency: Urgency): Promise<boolean> {
     const { state, directory, mirror, log } = this.deps;
     const { limits } = state;
-    const changes = stageChanges(shard, known, directory.pagesOf(shard), limits.valueBytes);
+    const changes = stageChanges(shard, known, directory.pagesOf(shard), limits.maxValueBytes);
     if (changes === null) return false;
     const pagesPerTxn = Math.min(limits.txnOps, MAX_PAGES_PER_TXN);
     for (let start = 0; start < changes.length; start += pagesPerTxn) {
@@ -65,14 +65,14 @@
     const { state, directory } = this.deps;
     const pages: PageVersion[] = [];
     for (const page of directory.pagesOf(shard).values()) if (page) pages.push(page);
-    return moveToPagesGuards(shard, version, pages, state.limits.conditions - otherConditions);
+    return moveToPagesGuards(shard, version, pages, state.limits.maxGuards - otherConditions);
   }
 
   /**
    * Turns a record into a head once all pages are staged, by one small write that is guarded by the record and its
    * pages. Called by the holder of the shard.
    */
-  async flip(shard: ShardName, known: KnownShard): Promise<void> {
+  async moveToPages(shard: ShardName, known: KnownShard): Promise<void> {
     if (!(await this.stage(shard, known, Urgency.shard))) return;
     const { version } = known;
     if (await this.writeRecord(shard, { ...known.value, epoch: version }, this.moveToPagesGuards(shard, version)))
@@ -83,9 +83,9 @@
    * Moves the machines back into the record, by one write that is guarded by the head and all pages. Resolves to false
    * if that takes more guards than a transaction may have, or if the write failed.
    */
-  async fold(shard: ShardName, known: KnownShard): Promise<boolean> {
-    const guards = foldGuards(shard, known);
-    if (guards.length > this.deps.state.limits.conditions) return false;
+  async moveToRecord(shard: ShardName, known: KnownShard): Promise<boolean> {
+    const guards = moveToRecordGuards(shard, known);
+    if (guards.length > this.deps.state.limits.maxGuards) return false;
     const done = await this.writeRecord(shard, { ...known.value, epoch: null }, guards);
     if (done) this.deps.log.info({ shard }, "a shard's machines are back in its record");
     return done;
--- a/src/membership/seal.ts
+++ b/src/membership/seal.ts
@@ -20,11 +20,11 @@
  * Seals a shard's record, which makes releases without quota shares leave it alone, or removes the seal. Only the
  * holder of the shard does this.
  */
-export class Seals {
+export class ShardSealer {
   constructor(private readonly deps: ShardSealerDeps) {}
 
   /** Writes the record with or without the seal. Resolves without effect if the record has changed meanwhile. */
-  async set(shard: ShardName, known: KnownShard, sealed: boolean): Promise<void> {
+  async setSealed(shard: ShardName, known: KnownShard, sealed: boolean): Promise<void> {
     const { state, mirror, log } = this.deps;
     const key = shardKey(shard);
     const node = nodeKey(SEALED_HOLDER);
--- a/src/membership/shard.ts
+++ b/src/membership/shard.ts
@@ -1,6 +1,6 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asString,
   incarnation,
   isObject,
@@ -10,7 +10,7 @@
   type MachineId,
   type NodeName,
 } from '../kernel/index.js';
-import { formatOf, isForeign, unknownFields, type Fields } from '../state/index.js';
+import { formatVersionOf, isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
 
 /** A machine of a shard's block. */
 export interface BlockMachine {
@@ -46,7 +46,7 @@
   /** Sealed: releases that don't support quota shares can't hold it. */
   readonly sealed?: boolean;
   /** Fields that a later release has added to the record; they are preserved. */
-  readonly rest?: Fields;
+  readonly rest?: RecordFields;
 }
 
 /**
@@ -77,7 +77,7 @@
  * A shard's record as it is stored. Machines are grouped by kind, each as its name and address in one string, to keep a
  * block of a thousand machines below the largest value that the state service takes.
  */
-interface StoredShard extends Fields {
+interface StoredShard extends RecordFields {
   readonly holder: string;
   readonly incarnation: string;
   readonly released: boolean;
@@ -126,12 +126,12 @@
 /** Decodes machines that are grouped by kind; null if the value has another form. */
 export function decodeKinds(value: unknown): BlockMachine[] | null {
   const machines: BlockMachine[] = [];
-  for (const kind of asList(value)) {
+  for (const kind of asArray(value)) {
     if (!isObject(kind)) return null;
     const type = asString(kind['type']);
     const zone = asString(kind['zone']);
     if (type === undefined || zone === undefined) return null;
-    for (const item of asList(kind['machines'])) {
+    for (const item of asArray(kind['machines'])) {
       const [id, address] = asString(item)?.split(' ') ?? [];
       if (id === undefined || id === '') return null;
       machines.push({ id: machineId(id), type, zone, spot: kind['spot'] === true, address: address ?? '' });
@@ -145,7 +145,7 @@
  * holders that the previous claimant hadn't proven to have stopped. Otherwise it would count the workers' leases from
  * the end of the wrong holder, which happened when all controllers were restarted.
  */
-export function earlierHolders(value: ShardValue | null, self: NodeName): PreviousHolder[] {
+export function previousHolders(value: ShardValue | null, self: NodeName): PreviousHolder[] {
   if (value === null) return [];
   // An earlier incarnation of this node has ended, since this one is running.
   const unconfirmed = value.earlier.filter((holder) => holder.node !== self);
@@ -158,7 +158,7 @@
 
 function decodePreviousHolders(value: unknown): PreviousHolder[] {
   const earlier: PreviousHolder[] = [];
-  for (const item of asList(value)) {
+  for (const item of asArray(value)) {
     const node = isObject(item) ? asString(item['node']) : undefined;
     const holderIncarnation = isObject(item) ? asString(item['incarnation']) : undefined;
     if (node !== undefined && holderIncarnation !== undefined)
@@ -173,8 +173,8 @@
  * shard. The machines of a head are not part of the result: the directory adds them from its pages.
  */
 export function decodeShard(value: unknown): ShardValue | null {
-  if (!isObject(value) || isForeign(value, SHARD_FORMAT)) return null;
-  const format = formatOf(value);
+  if (!isObject(value) || isNewerFormat(value, SHARD_FORMAT)) return null;
+  const format = formatVersionOf(value);
   const sealed = format === SHARD_FORMAT;
   const fields = sealed ? value['seal'] : value;
   if (!isObject(fields)) return null;
@@ -183,7 +183,7 @@
   const next = asString(fields['next']);
   if (holder === undefined || holderIncarnation === undefined) return null;
   const paged = format === HEAD_FORMAT || (sealed && value['epoch'] !== undefined);
-  const epoch = paged ? asCount(value['epoch']) : null;
+  const epoch = paged ? asNonNegativeInteger(value['epoch']) : null;
   const machines = paged ? [] : decodeKinds(value['kinds']);
   if (epoch === undefined || machines === null) return null;
   return {
@@ -205,5 +205,5 @@
 const MAX_BYTES_OF_OTHER_FIELDS = 2048;
 
 /** Returns how many machines a block may have so that the state service still takes its record as one value. */
-export const blockLimit = (valueKb: number): number =>
+export const maxBlockMachines = (valueKb: number): number =>
   Math.max(1, Math.floor((valueKb * 1024 - MAX_BYTES_OF_OTHER_FIELDS) / MAX_BYTES_PER_MACHINE));
