--- a/src/peers/link.ts
+++ b/src/peers/link.ts
@@ -3,7 +3,7 @@
   Address,
   Connection,
   Incarnation,
-  Listening,
+  TcpListener,
   Logger,
   Millis,
   NodeName,
@@ -14,8 +14,8 @@
 import {
   decodeMessage,
   encodeMessage,
-  isKindOf,
-  type AskOp,
+  frameVersionHasKind,
+  type ForwardedOperation,
   type PeerCondition,
   type PeerMessage,
 } from './messages.js';
@@ -38,11 +38,11 @@
   readonly node: NodeName;
   readonly incarnation: Incarnation;
   /** When the hello arrived. */
-  readonly heardAt: Millis;
+  readonly lastHelloAt: Millis;
 }
 
 /** A message and the peer that sent it. */
-export interface Received {
+export interface ReceivedMessage {
   readonly from: NodeName;
   readonly message: PeerMessage;
 }
@@ -71,13 +71,13 @@
  * Sends and receives frames between controllers. A node sends on the connections that it opened and receives on those
  * that its peers opened, apart from the welcome, which the accepting side sends back.
  */
-export class PeerLink {
-  readonly received = new Subject<Received>();
+export class PeerTransport {
+  readonly received = new Subject<ReceivedMessage>();
   private readonly peers: OutgoingConnection[];
   private readonly status = new Map<NodeName, PeerStatus>();
   /** Requests to peers without an answer so far, by request id. */
   private readonly pendingRequests = new Map<number, (answer: { status: number; body: string } | null) => void>();
-  private server: Listening | undefined;
+  private server: TcpListener | undefined;
   private incomingCount = 0;
   private nextRequestId = 1;
   private helloTimer: Timer | undefined;
@@ -117,14 +117,14 @@
   }
 
   /** Names of all configured peers, connected or not. */
-  get names(): readonly NodeName[] {
+  get peerNames(): readonly NodeName[] {
     return this.peers.map((peer) => peer.node);
   }
 
   /** Returns the latest hello of a peer; null when it is older than `withinMs`. */
   statusOf(node: NodeName, withinMs = 3000): PeerStatus | null {
     const status = this.status.get(node);
-    return status && this.runtime.now() - status.heardAt <= withinMs ? status : null;
+    return status && this.runtime.now() - status.lastHelloAt <= withinMs ? status : null;
   }
 
   /** Number of frames skipped because their version or kind is unknown to this program. */
@@ -138,7 +138,7 @@
   }
 
   /** Returns all peers that have sent a hello recently. */
-  views(): RecentPeer[] {
+  recentPeers(): RecentPeer[] {
     return this.peers.flatMap((peer) => {
       const status = this.statusOf(peer.node);
       return status ? [{ ...status, frames: peer.ready ? peer.version : null }] : [];
@@ -151,7 +151,7 @@
    */
   send(to: NodeName, message: PeerMessage): boolean {
     const peer = this.peers.find((p) => p.node === to);
-    return peer !== undefined && isKindOf(message.kind, peer.version) && this.write(peer, message);
+    return peer !== undefined && frameVersionHasKind(message.kind, peer.version) && this.write(peer, message);
   }
 
   /** Sends a message to all connected peers whose frame version has its kind. */
@@ -159,7 +159,7 @@
     // The message is encoded once per frame version in use.
     const frames = new Map<number, Buffer | undefined>();
     for (const peer of this.peers) {
-      if (!this.canWrite(peer) || !isKindOf(message.kind, peer.version)) continue;
+      if (!this.canWrite(peer) || !frameVersionHasKind(message.kind, peer.version)) continue;
       if (!frames.has(peer.version)) frames.set(peer.version, this.encode(message, peer.version));
       this.write(peer, message, frames.get(peer.version));
     }
@@ -179,7 +179,12 @@
   }
 
   /** Forwards a user's request to a peer; resolves to null when it cannot be sent or no answer arrives in time. */
-  ask(to: NodeName, op: AskOp, body: string, timeoutMs: number): Promise<{ status: number; body: string } | null> {
+  forwardRequest(
+    to: NodeName,
+    op: ForwardedOperation,
+    body: string,
+    timeoutMs: number,
+  ): Promise<{ status: number; body: string } | null> {
     return new Promise((resolve) => {
       const id = this.nextRequestId++ >>> 0;
       const timer = this.runtime.after(timeoutMs, () => {
@@ -196,7 +201,7 @@
   }
 
   /** Sends the current condition of this node to all peers without waiting for the next periodic hello. */
-  greet(): void {
+  broadcastHello(): void {
     this.broadcast(this.helloMessage());
   }
 
@@ -310,7 +315,7 @@
           limitsFallen,
         };
         from = node;
-        this.status.set(node, { ...condition, heardAt: this.runtime.now() });
+        this.status.set(node, { ...condition, lastHelloAt: this.runtime.now() });
       }
       if (from === undefined) throw new Error('frame received before the hello');
       if (message.kind === 'answer')
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -77,9 +77,9 @@
 }
 
 /** Kinds of user requests that are forwarded to a peer. */
-export type AskOp = 'submit' | 'query' | 'cancel';
+export type ForwardedOperation = 'submit' | 'query' | 'cancel';
 /** An operation's index is its code in a frame. */
-const FORWARDED_OPERATIONS: readonly AskOp[] = ['submit', 'query', 'cancel'];
+const FORWARDED_OPERATIONS: readonly ForwardedOperation[] = ['submit', 'query', 'cancel'];
 
 /** Condition of a node, which it announces with every hello. */
 export interface PeerCondition {
@@ -118,7 +118,7 @@
   /** The leader requests that a holder lease an empty machine to another shard, or release it when `to` is null. */
   | { readonly kind: 'transfer'; readonly machine: MachineId; readonly to: ShardName | null }
   /** A user's request, forwarded as JSON to the node that can serve it. */
-  | { readonly kind: 'ask'; readonly id: number; readonly op: AskOp; readonly body: string }
+  | { readonly kind: 'ask'; readonly id: number; readonly op: ForwardedOperation; readonly body: string }
   /** Response to the request with the same id: HTTP status and JSON body. */
   | { readonly kind: 'answer'; readonly id: number; readonly status: number; readonly body: string }
   /** The sender has claimed the shard at `version`; the previous holder must stop sending commands for it. */
@@ -142,18 +142,18 @@
   /** Acknowledges 'withdrawn': this incarnation of the sender starts no more tasks of the job and stops running ones. */
   | { readonly kind: 'heard'; readonly job: JobId; readonly incarnation: Incarnation }
   /** Periodic message to one peer, see `PeerSync`. */
-  | ({ readonly kind: 'word' } & Word)
+  | ({ readonly kind: 'word' } & PeerSync)
   /** Usage and demand of teams with a limit in a shard, from which the shares of the limits are computed. */
   | {
       readonly kind: 'quota';
       readonly shard: ShardName;
       /** Revision at which the sender claimed the shard. */
       readonly claimedAt: Revision;
-      readonly teams: readonly QuotaNeed[];
+      readonly teams: readonly TeamQuotaDemand[];
     };
 
 /** Usage and demand of a team in a shard, in CPUs and accelerators. */
-export interface QuotaNeed {
+export interface TeamQuotaDemand {
   readonly team: string;
   /** Used by everything of the team that may be on the shard's machines. */
   readonly useCpus: number;
@@ -184,7 +184,7 @@
  * Periodic message to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can date
  * the message: it was sent after the echoed time and counts as no newer than that, however late it arrives.
  */
-export interface Word {
+export interface PeerSync {
   readonly incarnation: Incarnation;
   /** The sender's monotonic clock in milliseconds. */
   readonly stamp: number;
@@ -216,7 +216,7 @@
 const KINDS_SINCE_VERSION_3: ReadonlySet<PeerMessage['kind']> = new Set(['withdrawn', 'heard', 'word', 'quota']);
 
 /** True when a frame version has this message kind. */
-export const isKindOf = (kind: PeerMessage['kind'], version: number): boolean =>
+export const frameVersionHasKind = (kind: PeerMessage['kind'], version: number): boolean =>
   version > OLDEST_FRAME_VERSION || !KINDS_SINCE_VERSION_3.has(kind);
 
 const KNOWN_FRAME_KINDS: ReadonlySet<number> = new Set(Object.values(FrameKind));
@@ -410,7 +410,7 @@
     }
     case FrameKind.quota: {
       const [shard, claimedAt] = [shardName(r.text()), revision(r.f64())];
-      const teams = r.items((): QuotaNeed => ({
+      const teams = r.items((): TeamQuotaDemand => ({
         ...{ team: r.text(), useCpus: r.f64(), useGpus: r.f64(), waitingCpus: r.f64(), waitingGpus: r.f64() },
         ...{ unitCpus: r.f64(), unitGpus: r.f64(), priority: r.u8(), waitedMs: r.f64() },
       }));
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -2,7 +2,7 @@
 import type { JobId, WallMillis } from '../kernel/index.js';
 
 /** Priority and deadline that a job inherits from the open jobs that depend on it, directly or transitively. */
-export interface Inherited {
+export interface InheritedConstraints {
   /** The highest priority among those jobs. */
   readonly priority: Priority;
   /**
@@ -25,9 +25,9 @@
  * once the deadline is close (`pressing`). Until then the job counts as an ordinary job with a deadline; otherwise
  * whole chains would be placed before other jobs whose own deadlines are just as close.
  */
-export function inheriting(
+export function withInheritedConstraints(
   { spec, submittedAt }: Pick<DependentJob, 'spec' | 'submittedAt'>,
-  inherited: Inherited | null,
+  inherited: InheritedConstraints | null,
   pressing: boolean,
 ): JobSpec {
   if (!inherited) return spec;
@@ -89,7 +89,7 @@
   /** Jobs that await a job, by the job that they await. */
   private readonly dependents = new Map<JobId, Set<JobId>>();
   /** What each job inherits that an open job depends on. */
-  private readonly inherited = new Map<JobId, Inherited>();
+  private readonly inherited = new Map<JobId, InheritedConstraints>();
   /** Jobs whose pending dependencies may all run already. */
   private readonly upcoming = new Set<JobId>();
 
@@ -237,7 +237,7 @@
   }
 
   /** What a job inherits; null when no open job depends on it. */
-  inheritedOf(id: JobId): Inherited | null {
+  inheritedOf(id: JobId): InheritedConstraints | null {
     return this.inherited.get(id) ?? null;
   }
 
@@ -255,8 +255,8 @@
   }
 
   /** Computes what a job inherits from its direct dependents and from what those inherit themselves. */
-  private computeInherited(id: JobId): Inherited | null {
-    let combined: Inherited | null = null;
+  private computeInherited(id: JobId): InheritedConstraints | null {
+    let combined: InheritedConstraints | null = null;
     for (const dependent of this.dependents.get(id) ?? []) {
       const node = this.nodes.get(dependent);
       if (!node || node.doomed) continue;
--- a/src/pipelines/steward.ts
+++ b/src/pipelines/steward.ts
@@ -1,4 +1,11 @@
-import { awaitsOf, decodeRecord, decodeSpec, type JobFinal, type JobRegistry, type JobSpec } from '../jobs/index.js';
+import {
+  dependenciesOf,
+  decodeJobRecord,
+  decodeJobSpec,
+  type JobFinal,
+  type JobRegistry,
+  type JobSpec,
+} from '../jobs/index.js';
 import {
   jobId,
   wallMillis,
@@ -8,9 +15,9 @@
   type ShardName,
   type WallMillis,
 } from '../kernel/index.js';
-import { jobKey, JOBS, type Change, type Mirror } from '../state/index.js';
-import { slackOf, type ClassAim } from '../placement/index.js';
-import { inheriting, JobGraph, stepDurationS, type Inherited } from './graph.js';
+import { jobKey, JOBS_PREFIX, type Change, type Mirror } from '../state/index.js';
+import { slackOf, type ClassObjective } from '../placement/index.js';
+import { withInheritedConstraints, JobGraph, stepDurationS, type InheritedConstraints } from './graph.js';
 
 /** Maximum number of concurrent reads, and of concurrent writes: after a claim there may be thousands to process. */
 const MAX_CONCURRENT_REQUESTS = 4;
@@ -22,10 +29,10 @@
 const NON_HOLDER_CANCEL_DELAY_MS = 2500;
 
 /** A job that is expected to be ready soon. */
-export interface Coming {
+export interface UpcomingJob {
   readonly spec: JobSpec;
   /** Approximate time until the job is ready, in seconds. */
-  readonly inS: number;
+  readonly readyInS: number;
   /** Seconds from now until the job has to start to meet its deadline or its class's objective. */
   readonly slackS: number;
 }
@@ -41,9 +48,9 @@
   /** Called when all dependencies of a job are done, so that it may start. */
   ready(id: JobId): void;
   /** The objectives of the job classes. */
-  readonly objectives: readonly ClassAim[];
+  readonly objectives: readonly ClassObjective[];
   /** Returns whether any task of the job runs or is done, as far as this node knows. */
-  begun(id: JobId): boolean;
+  hasStarted(id: JobId): boolean;
   /** Returns the approximate time that fetching the job's image takes, in seconds. */
   fetchS(spec: JobSpec): number;
 }
@@ -84,7 +91,7 @@
  * never change. After any handover every holder therefore reaches the same results and completes what another has
  * begun.
  */
-export class Steward {
+export class DependencyTracker {
   private readonly graph: JobGraph;
   private readonly readQueue = new JobWorkQueue((id) => this.readFinal(id));
   private readonly cancelQueue = new JobWorkQueue((id) => this.cancelDoomed(id));
@@ -94,8 +101,8 @@
   }
 
   /** Handles a change of a stored job. Changes come in the order of the mirror. */
-  onJob(change: Change): void {
-    const id = jobId(change.key.slice(JOBS.length));
+  onJobChange(change: Change): void {
+    const id = jobId(change.key.slice(JOBS_PREFIX.length));
     if (change.removed) {
       this.graph.remove(id);
       this.cancelQueue.delete(id);
@@ -104,20 +111,20 @@
       return;
     }
     if (this.graph.has(id)) return;
-    const awaits = awaitsOf(change.value);
-    const record = awaits.length > 0 ? decodeRecord(change.value) : null;
+    const awaits = dependenciesOf(change.value);
+    const record = awaits.length > 0 ? decodeJobRecord(change.value) : null;
     if (!record) return;
     const doomed = this.graph.add(id, { spec: record.spec, submittedAt: record.submittedAt, awaits });
     for (const dependent of doomed) this.scheduleCancellation(dependent, awaits[0] ?? dependent);
     for (const dependency of awaits) {
-      const final = this.deps.registry.finalOf(dependency);
-      if (final) this.over(dependency, final);
+      const final = this.deps.registry.cachedFinalOf(dependency);
+      if (final) this.onJobFinal(dependency, final);
       else if (!this.deps.mirror.get(jobKey(dependency))) this.readQueue.add(dependency);
     }
   }
 
   /** Handles the final state of a job when this node first learns of it. */
-  over(id: JobId, { phase, at }: JobFinal): void {
+  onJobFinal(id: JobId, { phase, at }: JobFinal): void {
     const { ready, doomed } = this.graph.recordFinal(id, phase, at ?? this.deps.runtime.wall());
     for (const dependent of ready) {
       this.deps.log.info({ job: dependent, last: id }, 'all dependencies of the job are done: it may start');
@@ -136,16 +143,16 @@
 
   /** The shard that a job is stored for; null when the mirror has no readable record of it. */
   private shardOf(id: JobId): ShardName | null {
-    return decodeRecord(this.deps.mirror.get(jobKey(id))?.value)?.shard ?? null;
+    return decodeJobRecord(this.deps.mirror.get(jobKey(id))?.value)?.shard ?? null;
   }
 
   /** Reads the final state of a job that others wait for; retries until it is known or the job is seen to be open. */
   private async readFinal(id: JobId): Promise<void> {
     if (!this.graph.hasDependents(id)) return;
     // The registry remembers a final state that it has read and reports it to this class.
-    const state = await this.deps.registry.look(id);
+    const state = await this.deps.registry.readState(id);
     if (state.kind === 'ended') {
-      this.over(id, state.final);
+      this.onJobFinal(id, state.final);
       return;
     }
     // The job is open after all, and the mirror has it, so the watch will show when it is removed.
@@ -155,7 +162,7 @@
 
   /** Stores the cancellation of a doomed job; retries until the job is over. */
   private async cancelDoomed(id: JobId): Promise<void> {
-    if (!this.graph.isDoomed(id) || (await this.deps.registry.withdraw(id))) return;
+    if (!this.graph.isDoomed(id) || (await this.deps.registry.cancelDependent(id))) return;
     this.deps.runtime.after(RETRY_DELAY_MS, () => this.cancelQueue.add(id));
   }
 
@@ -178,29 +185,29 @@
   }
 
   /** Returns the jobs that are expected to be ready soon, by their owners' estimates. Used to rent machines in time. */
-  coming(): Coming[] {
+  upcomingJobs(): UpcomingJob[] {
     const { mirror, runtime, objectives } = this.deps;
     const wall = runtime.wall();
-    const upcoming: Coming[] = [];
+    const upcoming: UpcomingJob[] = [];
     for (const { id, job, pending } of this.graph.upcomingJobs(MAX_UPCOMING_JOBS)) {
       let inS = 0;
       for (const dependency of pending) {
-        const spec = decodeSpec(mirror.get(jobKey(dependency))?.value);
+        const spec = decodeJobSpec(mirror.get(jobKey(dependency))?.value);
         if (!spec) continue;
         const durationS = stepDurationS(spec, this.deps.fetchS(spec));
         // The progress of a running job is not known, so it is assumed to be halfway, as it is on average.
-        inS = Math.max(inS, this.deps.begun(dependency) ? durationS / 2 : durationS);
+        inS = Math.max(inS, this.deps.hasStarted(dependency) ? durationS / 2 : durationS);
       }
-      const spec = inheriting(job, this.graph.inheritedOf(id), false);
+      const spec = withInheritedConstraints(job, this.graph.inheritedOf(id), false);
       const aimsFrom = { sinceS: -inS, always: true };
       const { slackS } = slackOf(spec, (wall - job.submittedAt) / 1000, spec.estimateS, objectives, aimsFrom);
-      upcoming.push({ spec, inS, slackS });
+      upcoming.push({ spec, readyInS: inS, slackS });
     }
     return upcoming;
   }
 
   /** What the job inherits; null when no open job depends on it. */
-  inherited(id: JobId): Inherited | null {
+  inherited(id: JobId): InheritedConstraints | null {
     return this.graph.inheritedOf(id);
   }
 
--- a/src/placement/begin.ts
+++ b/src/placement/begin.ts
@@ -2,7 +2,7 @@
 
 import type { JobSpec } from '../jobs/index.js';
 import type { JobId } from '../kernel/index.js';
-import { allowedKind, allowsZone, allocate, fits, comparePending, score } from './fit.js';
+import { allowsMachine, allowsZone, allocate, fits, comparePending, score } from './fit.js';
 import type { PlanInput, PlannedStart, PlanMachine } from './model.js';
 
 /**
@@ -33,7 +33,7 @@
     let best: PlanMachine | undefined;
     for (const machine of machines) {
       const { view } = machine;
-      if (!fits(spec, machine) || !allowedKind(spec, view) || avoid.has(view.id)) continue;
+      if (!fits(spec, machine) || !allowsMachine(spec, view) || avoid.has(view.id)) continue;
       if (!allowsZone(spec, view.zone, zoneUse)) continue;
       if (!best || score(spec, machine, 0) < score(spec, best, 0)) best = machine;
     }
--- a/src/placement/fit.ts
+++ b/src/placement/fit.ts
@@ -1,8 +1,8 @@
 // The order of pending jobs, the constraints and the score that decide where a task goes, and room held for starved
 // gangs.
 
-import { Priority, zoneLimit, type JobSpec } from '../jobs/index.js';
-import { EPSILON, type MachineView, type PendingJob, type Reserve, type PlanMachine } from './model.js';
+import { Priority, maxTasksPerZone, type JobSpec } from '../jobs/index.js';
+import { EPSILON, type MachineView, type PendingJob, type GpuReserve, type PlanMachine } from './model.js';
 
 /**
  * With less slack than this until its last objective, a job without a deadline is ordered by that slack, whatever its
@@ -48,7 +48,7 @@
  * Whether the job's constraints on type, zone and spot machines allow this machine. This is the only definition of a
  * wrong placement.
  */
-export function allowedKind(spec: JobSpec, m: Pick<MachineView, 'type' | 'zone' | 'spot'>): boolean {
+export function allowsMachine(spec: JobSpec, m: Pick<MachineView, 'type' | 'zone' | 'spot'>): boolean {
   if (spec.types !== null && !spec.types.includes(m.type)) return false;
   if (spec.zone !== null && spec.zone !== m.zone) return false;
   return !m.spot || spec.spot;
@@ -60,7 +60,7 @@
  */
 export function allowsZone(spec: JobSpec, zone: string, use: ReadonlyMap<string, number>): boolean {
   if (spec.oneZone) for (const [other, count] of use) if (count > 0 && other !== zone) return false;
-  return !spec.spread || (use.get(zone) ?? 0) < zoneLimit(spec);
+  return !spec.spread || (use.get(zone) ?? 0) < maxTasksPerZone(spec);
 }
 
 /** Whether one task of the job fits in the machine's free resources. */
@@ -93,7 +93,7 @@
 export function leavesReserve(
   spec: JobSpec,
   free: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number },
-  reserve: Reserve | null,
+  reserve: GpuReserve | null,
 ): boolean {
   if (spec.gpus > 0 || free.gpus < EPSILON) return true;
   if (!reserve) return false;
@@ -104,7 +104,7 @@
  * Whether the job may use CPUs and memory that are kept free beside free GPUs. Other work gets only what a GPU task
  * leaves. The exception is low-priority arrays with checkpoints, because they can be preempted and lose little work.
  */
-export const mayBorrow = (spec: JobSpec): boolean =>
+export const mayUseReserve = (spec: JobSpec): boolean =>
   spec.gpus <= 0 && spec.kind === 'array' && spec.priority === Priority.low && spec.checkpointS > 0;
 
 /** Subtracts one task of the job from the machine's free resources. */
@@ -142,14 +142,14 @@
  */
 export const equivalenceClassOf = (spec: JobSpec): string =>
   `${spec.types?.join(',') ?? ''}|${spec.zone ?? ''}|${spec.spot ? 1 : 0}|${spec.cpus}|${spec.gpus}|${spec.memoryGb}|` +
-  `${spec.kind}|${spec.priority}|${mayBorrow(spec) ? 1 : 0}`;
+  `${spec.kind}|${spec.priority}|${mayUseReserve(spec) ? 1 : 0}`;
 
 /**
  * Returns a filter for the machines that a plan for these jobs needs to consider; most machines of a full shard are of
  * no use to it. An array below high priority takes only free room. All other jobs may preempt tasks, so every machine
  * that they are allowed on counts.
  */
-export function relevance(
+export function machineFilterFor(
   specs: readonly JobSpec[],
 ): (
   m: Pick<MachineView, 'type' | 'zone' | 'spot'>,
@@ -160,7 +160,7 @@
   return (m, free) => {
     const key = `${m.type}|${m.zone}|${m.spot}`;
     let here = allowed.get(key);
-    if (!here) allowed.set(key, (here = kinds.filter((spec) => allowedKind(spec, m))));
+    if (!here) allowed.set(key, (here = kinds.filter((spec) => allowsMachine(spec, m))));
     return here.some(
       (spec) =>
         spec.kind !== 'array' ||
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,6 +1,6 @@
 // Placement: which task starts on which machine, and which tasks are preempted for it.
 
-export { allowedKind, allowsZone, leavesReserve, mayBorrow, comparePending, relevance } from './fit.js';
+export { allowsMachine, allowsZone, leavesReserve, mayUseReserve, comparePending, machineFilterFor } from './fit.js';
 export type {
   MachineView,
   PendingJob,
@@ -8,10 +8,10 @@
   PlanInput,
   PlannedStart,
   PlannedStop,
-  Reserve,
-  Stoppable,
+  GpuReserve,
+  PreemptableTask,
   TeamUse,
-  Unplaced,
+  UnplacedTasks,
 } from './model.js';
 export { planPlacement } from './plan.js';
-export { slackOf, type ClassAim, type Slack } from './slack.js';
+export { slackOf, type ClassObjective, type Slack } from './slack.js';
--- a/src/placement/model.ts
+++ b/src/placement/model.ts
@@ -29,11 +29,11 @@
   /** 0: healthy; higher: tasks there have failed or run slowly. */
   readonly suspicion: number;
   /** Tasks that could be preempted. */
-  readonly running: readonly Stoppable[];
+  readonly running: readonly PreemptableTask[];
 }
 
 /** A running task that can be preempted. */
-export interface Stoppable {
+export interface PreemptableTask {
   readonly job: JobId;
   readonly index: number;
   readonly priority: Priority;
@@ -93,11 +93,11 @@
   readonly teams: ReadonlyMap<string, TeamUse>;
   readonly maxStarts: number;
   /** What the largest known GPU task needs besides GPUs; null if no GPU task is known. */
-  readonly reserve: Reserve | null;
+  readonly reserve: GpuReserve | null;
 }
 
 /** CPUs and memory to keep free on machines with free GPUs, so that GPU tasks still fit. */
-export interface Reserve {
+export interface GpuReserve {
   readonly cpus: number;
   readonly memoryGb: number;
 }
@@ -121,7 +121,7 @@
 }
 
 /** A number of tasks of a job that the plan doesn't start. */
-export interface Unplaced {
+export interface UnplacedTasks {
   readonly job: JobId;
   readonly count: number;
 }
@@ -131,9 +131,9 @@
   readonly starts: readonly PlannedStart[];
   readonly stops: readonly PlannedStop[];
   /** Tasks without room: the leader leases and rents machines for them. */
-  readonly unplaced: readonly Unplaced[];
+  readonly unplaced: readonly UnplacedTasks[];
   /** Tasks that have room and wait only for a larger share of their team's limit. */
-  readonly shareBound: readonly Unplaced[];
+  readonly shareBound: readonly UnplacedTasks[];
 }
 
 /** A machine while a plan is being made. */
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -4,12 +4,12 @@
 import type { JobSpec } from '../jobs/index.js';
 import {
   comparePending,
-  allowedKind,
+  allowsMachine,
   allowsZone,
   countSlots,
   fits,
   leavesReserve,
-  mayBorrow,
+  mayUseReserve,
   allocate,
   score,
   equivalenceClassOf,
@@ -23,7 +23,7 @@
   type PlanInput,
   type PlannedStart,
   type PlannedStop,
-  type Unplaced,
+  type UnplacedTasks,
   type Plan,
   type PlanMachine,
 } from './model.js';
@@ -64,8 +64,8 @@
   const teams = new Map([...input.teams].map(([name, use]) => [name, { ...use }]));
   const starts: PlannedStart[] = [];
   const stops: PlannedStop[] = [];
-  const unplaced: Unplaced[] = [];
-  const shareBound: Unplaced[] = [];
+  const unplaced: UnplacedTasks[] = [];
+  const shareBound: UnplacedTasks[] = [];
   const stopped = new Set<string>();
   /** Late replicas without room, which are placed on GPU machines at the end. */
   const left: LateReplicas[] = [];
@@ -118,7 +118,7 @@
     const mayUse = (machine: PlanMachine): boolean =>
       accumulated.size === 0 || !accumulated.has(machine) || (spec.kind === 'array' && spec.gpus <= 0);
     const candidates = machines.filter(
-      (machine) => allowedKind(spec, machine.view) && !job.avoid.has(machine.view.id) && mayUse(machine),
+      (machine) => allowsMachine(spec, machine.view) && !job.avoid.has(machine.view.id) && mayUse(machine),
     );
     if (spec.kind === 'gang') {
       if (!withinLimit(spec, job.ready.length)) {
@@ -153,7 +153,7 @@
       if (!fits(spec, machine) || !allowsZone(spec, machine.view.zone, zoneUse)) return Infinity;
       if (cpuOnlyService && machine.view.gpus > 0) return Infinity;
       const leaves = leavesReserve(spec, machine, input.reserve);
-      if (!leaves && !mayBorrow(spec)) return Infinity;
+      if (!leaves && !mayUseReserve(spec)) return Infinity;
       return score(spec, machine, machineUse.get(machine.view.id) ?? 0) + (leaves ? 0 : 40);
     });
     for (const [position, index] of job.ready.entries()) {
--- a/src/placement/preempt.ts
+++ b/src/placement/preempt.ts
@@ -2,7 +2,7 @@
 
 import { Priority, type JobSpec } from '../jobs/index.js';
 import {
-  allowedKind,
+  allowsMachine,
   allowsZone,
   fits,
   leavesReserve,
@@ -13,7 +13,7 @@
 } from './fit.js';
 import {
   EPSILON,
-  type Stoppable,
+  type PreemptableTask,
   type PendingJob,
   type PlanInput,
   type PlannedStart,
@@ -46,7 +46,7 @@
   const starts: PlannedStart[] = [];
   for (const { job, indices } of left) {
     const { spec } = job;
-    const here = machines.filter((c) => c.view.gpus > 0 && allowedKind(spec, c.view) && !job.avoid.has(c.view.id));
+    const here = machines.filter((c) => c.view.gpus > 0 && allowsMachine(spec, c.view) && !job.avoid.has(c.view.id));
     const scored = new ScoredMachines(here, (machine) =>
       fits(spec, machine) &&
       leavesReserve(spec, machine, input.reserve) &&
@@ -132,9 +132,13 @@
 }
 
 /** The tasks of lower priority to stop so that one task fits; null if stopping all of them is not enough. */
-export function victimsFor(spec: JobSpec, machine: PlanMachine, stopped: ReadonlySet<string>): Stoppable[] | null {
-  const victims: Stoppable[] = [];
-  const sum = (of: (task: Stoppable) => number): number => victims.reduce((total, task) => total + of(task), 0);
+export function victimsFor(
+  spec: JobSpec,
+  machine: PlanMachine,
+  stopped: ReadonlySet<string>,
+): PreemptableTask[] | null {
+  const victims: PreemptableTask[] = [];
+  const sum = (of: (task: PreemptableTask) => number): number => victims.reduce((total, task) => total + of(task), 0);
   const isEnough = (): boolean =>
     machine.cpus + machine.releasing.cpus + sum((task) => task.cpus) + EPSILON >= spec.cpus &&
     machine.gpus + machine.releasing.gpus + sum((task) => task.gpus) + EPSILON >= spec.gpus &&
@@ -151,7 +155,7 @@
 
 /** Plans to stop the victims and allocates one task of the job in the room that they leave. */
 export function evict(
-  victims: readonly Stoppable[],
+  victims: readonly PreemptableTask[],
   spec: JobSpec,
   machine: PlanMachine,
   stopped: Set<string>,
--- a/src/placement/slack.ts
+++ b/src/placement/slack.ts
@@ -10,7 +10,7 @@
 const DEFAULT_OBJECTIVE_S = 120;
 
 /** A service level objective of a job class. */
-export interface ClassAim {
+export interface ClassObjective {
   /** 'wait': the job starts in time; 'finished': it finishes in time; other kinds don't affect the slack. */
   readonly kind: string;
   readonly jobClass: string | null;
@@ -48,7 +48,7 @@
   spec: JobSpec,
   sinceS: number,
   expectedRunS: number,
-  aims: readonly ClassAim[],
+  aims: readonly ClassObjective[],
   from: ObjectiveTiming = { sinceS, always: false },
 ): Slack {
   const runS = expectedRunS * (spec.kind === 'array' && spec.tasks > 1 ? STRAGGLER_FACTOR : 1);
--- a/src/quota/amount.ts
+++ b/src/quota/amount.ts
@@ -1,6 +1,6 @@
 // Arithmetic on amounts of the resources that team limits apply to.
 
-import type { TeamFacts } from '../config/index.js';
+import type { TeamQuota } from '../config/index.js';
 
 /** An amount of each resource that a team's limit can restrict. `Infinity`: unlimited, or unknown. */
 export interface Amount {
@@ -21,9 +21,9 @@
 });
 
 /** Adds two amounts. */
-export const plus = (a: Amount, b: Amount): Amount => combine(a, b, (x, y) => x + y);
+export const add = (a: Amount, b: Amount): Amount => combine(a, b, (x, y) => x + y);
 /** Subtracts `b` from `a`, not below zero. An infinite resource of `a` stays infinite, also when `b` is infinite. */
-export const less = (a: Amount, b: Amount): Amount =>
+export const subtract = (a: Amount, b: Amount): Amount =>
   combine(a, b, (x, y) => (x === Number.POSITIVE_INFINITY ? x : Math.max(0, x - y)));
 /** The smaller value of each resource. */
 export const minAmount = (a: Amount, b: Amount): Amount => combine(a, b, Math.min);
@@ -42,17 +42,17 @@
 export const within = (a: Amount, b: Amount): boolean => a.cpus <= b.cpus + EPSILON && a.gpus <= b.gpus + EPSILON;
 
 /** Whether the amount is zero, within the tolerance. */
-export const isNothing = (a: Amount): boolean => within(a, ZERO_AMOUNT);
+export const isZero = (a: Amount): boolean => within(a, ZERO_AMOUNT);
 
 /** Adds up all amounts. */
 export const sum = (amounts: Iterable<Amount>): Amount => {
   let total = ZERO_AMOUNT;
-  for (const amount of amounts) total = plus(total, amount);
+  for (const amount of amounts) total = add(total, amount);
   return total;
 };
 
 /** A team's limit, infinite for a resource without one; null if the team has no limit at all. */
-export function limitOf(facts: Pick<TeamFacts, 'cpusMax' | 'gpusMax'> | undefined): Amount | null {
+export function limitOf(facts: Pick<TeamQuota, 'cpusMax' | 'gpusMax'> | undefined): Amount | null {
   if (!facts || (facts.cpusMax <= 0 && facts.gpusMax <= 0)) return null;
   const limit = (most: number): number => (most > 0 ? most : Number.POSITIVE_INFINITY);
   return { cpus: limit(facts.cpusMax), gpus: limit(facts.gpusMax) };
--- a/src/quota/decide.ts
+++ b/src/quota/decide.ts
@@ -4,11 +4,11 @@
 import {
   limitedPart,
   isFiniteAmount,
-  isNothing,
+  isZero,
   maxAmount,
-  less,
+  subtract,
   ZERO_AMOUNT,
-  plus,
+  add,
   minAmount,
   sum,
   times,
@@ -57,7 +57,7 @@
  */
 function waitingByPriority(needs: Needs): [ShardName, TeamNeed][] {
   return [...needs]
-    .filter(([, { use, waiting }]) => isFiniteAmount(use) && !isNothing(waiting))
+    .filter(([, { use, waiting }]) => isFiniteAmount(use) && !isZero(waiting))
     .sort(([a, x], [b, y]) => y.priority - x.priority || y.waitedMs - x.waitedMs || (a < b ? -1 : 1));
 }
 
@@ -76,16 +76,16 @@
  */
 export function targetShares(limit: Amount, needs: Needs): Map<ShardName, Amount> {
   const targets = new Map([...needs].map(([shard, { use }]) => [shard, use] as const));
-  let left = less(limit, sum(targets.values()));
+  let left = subtract(limit, sum(targets.values()));
   const give = (shard: ShardName, amount: Amount): void => {
-    targets.set(shard, plus(targets.get(shard) ?? ZERO_AMOUNT, amount));
-    left = less(left, amount);
+    targets.set(shard, add(targets.get(shard) ?? ZERO_AMOUNT, amount));
+    left = subtract(left, amount);
   };
   const remainders: { readonly shard: ShardName; readonly rest: Amount; readonly unit: Amount }[] = [];
   for (const [shard, { unit, waiting, waitedMs }] of waitingByPriority(needs)) {
     if (within(unit, left)) {
       give(shard, unit);
-      remainders.push({ shard, rest: less(waiting, unit), unit });
+      remainders.push({ shard, rest: subtract(waiting, unit), unit });
     } else if (waitedMs >= STARVED_AFTER_MS) {
       give(shard, minAmount(unit, left));
       return targets;
@@ -115,12 +115,12 @@
 }
 
 /** The part of a share that exceeds both the shard's use and its target. */
-const surplusOf = (share: Amount, use: Amount, target: Amount): Amount => less(share, maxAmount(use, target));
+const surplusOf = (share: Amount, use: Amount, target: Amount): Amount => subtract(share, maxAmount(use, target));
 
 /** Whether a transfer is worth a write: the receiver lacks even one unit, or the transfer reaches the minimum. */
 function isWorthTransferring(moved: Amount, share: Amount, { use, unit }: TeamNeed, limit: Amount): boolean {
-  if (isNothing(moved)) return false;
-  if (!within(unit, less(share, use))) return true;
+  if (isZero(moved)) return false;
+  if (!within(unit, subtract(share, use))) return true;
   const part = (x: number, most: number): boolean => Number.isFinite(most) && x >= most * MIN_TRANSFER_FRACTION;
   return part(moved.cpus, limit.cpus) || part(moved.gpus, limit.gpus);
 }
@@ -132,8 +132,12 @@
 function planTransfers({ limit, record, self, use, needs }: AllocationInput): Map<ShardName, Amount> {
   const targets = targetShares(limit, new Map(needs).set(self, { ...(needs.get(self) ?? NO_NEED), use }));
   const lacking = waitingByPriority(needs)
-    .map(([shard, need]) => ({ shard, need, missing: less(targets.get(shard) ?? ZERO_AMOUNT, shareOf(record, shard)) }))
-    .filter(({ shard, missing }) => shard !== self && !isNothing(missing));
+    .map(([shard, need]) => ({
+      shard,
+      need,
+      missing: subtract(targets.get(shard) ?? ZERO_AMOUNT, shareOf(record, shard)),
+    }))
+    .filter(({ shard, missing }) => shard !== self && !isZero(missing));
   const given = new Map<ShardName, Amount>();
   if (lacking.length === 0) return given;
   const surplus = (shard: ShardName): Amount =>
@@ -149,23 +153,23 @@
   for (const shard of record.shares.keys()) {
     if (shard === self) continue;
     const other = surplus(shard);
-    if (size(other) > size(own) || (size(other) === size(own) && shard < self)) before = plus(before, other);
+    if (size(other) > size(own) || (size(other) === size(own) && shard < self)) before = add(before, other);
   }
   let left = own;
   for (const { shard, need, missing } of lacking) {
     // Shards with a larger surplus give first: of two concurrent writes of one record, one fails.
-    const due = less(missing, before);
-    before = less(before, missing);
+    const due = subtract(missing, before);
+    before = subtract(before, missing);
     const moved = minAmount(due, left);
     if (!isWorthTransferring(moved, shareOf(record, shard), need, limit)) continue;
     given.set(shard, moved);
-    left = less(left, moved);
+    left = subtract(left, moved);
   }
   // Headroom from what no shard lacks goes along, so that the receiver's next job has a share already.
   for (const [shard, amount] of given) {
     const more = minAmount(left, times(limitedPart(limit, limit), HEADROOM_FRACTION));
-    given.set(shard, plus(amount, more));
-    left = less(left, more);
+    given.set(shard, add(amount, more));
+    left = subtract(left, more);
   }
   return given;
 }
@@ -174,7 +178,7 @@
 const withShares = (record: QuotaRecord, changes: Iterable<readonly [ShardName, Amount]>): QuotaRecord => {
   const shares = new Map(record.shares);
   for (const [shard, amount] of changes) {
-    if (isNothing(amount)) shares.delete(shard);
+    if (isZero(amount)) shares.delete(shard);
     else shares.set(shard, amount);
   }
   return { ...record, shares };
@@ -195,27 +199,27 @@
   // it, so that other holders take it into account.
   if (!within(use, share)) return withShares(record, [[self, maxAmount(use, share)]]);
   const total = totalOf(record);
-  const excess = less(total, limitedPart(limit, limit));
-  if (!isNothing(excess)) {
-    const kept = maxAmount(use, less(share, excess));
+  const excess = subtract(total, limitedPart(limit, limit));
+  if (!isZero(excess)) {
+    const kept = maxAmount(use, subtract(share, excess));
     return within(share, kept) ? null : withShares(record, [[self, kept]]);
   }
   if (self === account) {
-    const free = less(limitedPart(limit, limit), total);
-    if (!isNothing(free)) return withShares(record, [[self, plus(share, free)]]);
+    const free = subtract(limitedPart(limit, limit), total);
+    if (!isZero(free)) return withShares(record, [[self, add(share, free)]]);
   }
   if (returning) {
-    const spare = less(share, use);
-    if (self === account || isNothing(spare)) return null;
+    const spare = subtract(share, use);
+    if (self === account || isZero(spare)) return null;
     return withShares(record, [
-      [self, less(share, spare)],
-      [account, plus(shareOf(record, account), spare)],
+      [self, subtract(share, spare)],
+      [account, add(shareOf(record, account), spare)],
     ]);
   }
   const given = planTransfers(at);
   if (given.size === 0) return null;
-  const raised = [...given].map(([shard, amount]) => [shard, plus(shareOf(record, shard), amount)] as const);
-  return withShares(record, [[self, less(share, sum(given.values()))], ...raised]);
+  const raised = [...given].map(([shard, amount]) => [shard, add(shareOf(record, shard), amount)] as const);
+  return withShares(record, [[self, subtract(share, sum(given.values()))], ...raised]);
 }
 
 /**
@@ -226,12 +230,12 @@
   const shares = new Map<ShardName, Amount>();
   let left = limitedPart(limit, limit);
   for (const [shard, { use }] of needs) {
-    if (shard === account || isNothing(use)) continue;
+    if (shard === account || isZero(use)) continue;
     if (!isFiniteAmount(use)) return null;
     shares.set(shard, use);
-    left = less(left, use);
+    left = subtract(left, use);
   }
-  if (!isNothing(left)) shares.set(account, left);
+  if (!isZero(left)) shares.set(account, left);
   return { shares, rest: {} };
 }
 
@@ -244,11 +248,11 @@
 /** For operators: why a team's work waits, according to the reports of all holders; null if none waits. Pure. */
 export function heldBackBy(limit: Amount, needs: Needs): HeldBackBy | null {
   const all = [...needs.values()];
-  const waiting = all.filter((need) => !isNothing(need.waiting));
+  const waiting = all.filter((need) => !isZero(need.waiting));
   if (waiting.length === 0) return null;
   const use = sum(all.map((need) => need.use));
   if (!isFiniteAmount(use)) return 'unknown jobs';
-  const left = less(limit, use);
+  const left = subtract(limit, use);
   return waiting.some(({ unit }) => within(unit, left)) ? 'share' : 'limit';
 }
 
@@ -257,8 +261,8 @@
  * tasks from before the division were found), every shard subtracts the whole excess from its own share. Pure.
  */
 export function capOf(limit: Amount, record: QuotaRecord, shard: ShardName): Amount {
-  const excess = less(totalOf(record), limitedPart(limit, limit));
-  const cap = less(shareOf(record, shard), excess);
+  const excess = subtract(totalOf(record), limitedPart(limit, limit));
+  const cap = subtract(shareOf(record, shard), excess);
   return {
     cpus: Number.isFinite(limit.cpus) ? cap.cpus : Number.POSITIVE_INFINITY,
     gpus: Number.isFinite(limit.gpus) ? cap.gpus : Number.POSITIVE_INFINITY,
--- a/src/quota/record.ts
+++ b/src/quota/record.ts
@@ -1,7 +1,7 @@
 // The stored record of a team's shares.
 
 import { isObject, shardName, type ShardName } from '../kernel/index.js';
-import { isForeign, unknownFields, type Fields } from '../state/index.js';
+import { isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
 import { ZERO_AMOUNT, sum, type Amount } from './amount.js';
 
 /** The newest format version of a team's quota record that this release reads, and the one that it writes. */
@@ -16,7 +16,7 @@
 export interface QuotaRecord {
   readonly shares: ReadonlyMap<ShardName, Amount>;
   /** Fields added by a later release; they are written back unchanged. */
-  readonly rest: Fields;
+  readonly rest: RecordFields;
 }
 
 /** A shard's share; zero if it has none. */
@@ -29,7 +29,7 @@
 const rounded = (n: number): number => Math.round(n * ROUNDING_STEPS_PER_UNIT) / ROUNDING_STEPS_PER_UNIT;
 
 /** Encodes a record for storage; shares of zero are left out. */
-export function encodeQuota({ shares, rest }: QuotaRecord): Fields {
+export function encodeQuota({ shares, rest }: QuotaRecord): RecordFields {
   const stored: Record<string, readonly number[]> = {};
   for (const [shard, { cpus, gpus }] of [...shares].sort(([a], [b]) => (a < b ? -1 : 1)))
     if (rounded(cpus) > 0 || rounded(gpus) > 0) stored[shard] = [rounded(cpus), rounded(gpus)];
@@ -42,7 +42,7 @@
  */
 export function decodeQuota(value: unknown): QuotaRecord | 'foreign' | null {
   if (value === undefined) return null;
-  if (!isObject(value) || isForeign(value, QUOTA_FORMAT) || !isObject(value['shares'])) return 'foreign';
+  if (!isObject(value) || isNewerFormat(value, QUOTA_FORMAT) || !isObject(value['shares'])) return 'foreign';
   const shares = new Map<ShardName, Amount>();
   for (const [shard, stored] of Object.entries(value['shares'])) {
     const [cpus, gpus] = Array.isArray(stored) ? (stored as unknown[]) : [];
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -1,18 +1,18 @@
 // Keeps the quota records of all teams up to date and tells how much of a team's limit a shard may use.
 
-import type { TeamFacts } from '../config/index.js';
+import type { TeamQuota } from '../config/index.js';
 import type { Logger, Millis, Revision, Runtime, ShardName } from '../kernel/index.js';
 import {
   reread,
   quotaKey,
-  ROLLOUT_STATE,
+  ROLLOUT_STATE_KEY,
   shardKey,
   Urgency,
   type Guard,
   type Mirror,
   type StateClient,
 } from '../state/index.js';
-import { isFiniteAmount, isNothing, less, limitOf, ZERO_AMOUNT, minAmount, sum, type Amount } from './amount.js';
+import { isFiniteAmount, isZero, subtract, limitOf, ZERO_AMOUNT, minAmount, sum, type Amount } from './amount.js';
 import { capOf, initialShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './decide.js';
 import { DemandReports, type ShardDemand } from './demand.js';
 import { decodeQuota, encodeQuota, shareOf, type QuotaRecord } from './record.js';
@@ -40,7 +40,7 @@
 /** What {@link QuotaShares} needs from the rest of the program. */
 export interface QuotaDeps {
   /** Teams by name, with their limits. */
-  readonly teams: ReadonlyMap<string, TeamFacts>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly state: Pick<StateClient, 'txn' | 'get' | 'limits' | 'writers'>;
   readonly mirror: Pick<Mirror, 'get' | 'apply' | 'wrote'>;
   readonly runtime: Pick<Runtime, 'now'>;
@@ -54,12 +54,12 @@
   /** The shards that this node holds. */
   holders(): Iterable<QuotaHolder>;
   /** Sends a shard's demand to the other controllers. */
-  tell(demand: ShardDemand): void;
+  sendDemand(demand: ShardDemand): void;
   /**
    * Rewrites a shard's record with a guard on its version. Afterwards every earlier write that was guarded by the
    * record either is visible or can never be applied.
    */
-  settle(shard: ShardName): Promise<void>;
+  fencePendingWrites(shard: ShardName): Promise<void>;
 }
 
 /** Fraction of the state service's write rate that quota changes of all controllers together may use. */
@@ -75,7 +75,7 @@
  * The account shard of a team: it has the team's whole limit unless that is divided. It is derived from a hash of the
  * name, so every controller chooses the same; null if there are no shards.
  */
-export function accountOf(team: string, shards: readonly ShardName[]): ShardName | null {
+export function accountShardOf(team: string, shards: readonly ShardName[]): ShardName | null {
   const hash = [...team].reduce((s, c) => (s * 31 + c.charCodeAt(0)) >>> 0, 7);
   return shards[hash % shards.length] ?? null;
 }
@@ -122,7 +122,7 @@
   }
 
   /** Handles a demand report from another holder. */
-  hear(demand: ShardDemand): void {
+  recordDemand(demand: ShardDemand): void {
     this.demandReports.record(demand, this.deps.runtime.now());
   }
 
@@ -138,7 +138,7 @@
 
   /** The account shard of a team; null if there are no shards. */
   account(team: string): ShardName | null {
-    return accountOf(team, this.deps.shards());
+    return accountShardOf(team, this.deps.shards());
   }
 
   /** How much of a team's limit a shard may use now; null if the team has no limit. */
@@ -165,7 +165,7 @@
     for (const other of this.deps.shards()) {
       if (other === shard) continue;
       const use = this.demandReports.lastUseOf(team, other);
-      if (use) left = less(left, use);
+      if (use) left = subtract(left, use);
       else if (!this.returning) return ZERO_AMOUNT;
     }
     return left;
@@ -178,7 +178,7 @@
     const limit = limitOf(this.deps.teams.get(team));
     if (!limit || this.deps.mode() !== 'shared') return null;
     const needs = this.demandReports.needsOf(team, this.deps.runtime.now());
-    return less(limit, sum([...needs.values()].map(({ use }) => use)));
+    return subtract(limit, sum([...needs.values()].map(({ use }) => use)));
   }
 
   /** How many tasks of size `unit` a shard may start within its share, by the use that its holder has reported. */
@@ -186,7 +186,7 @@
     const cap = this.capOf(team, shard);
     if (!cap) return Number.POSITIVE_INFINITY;
     const use = this.demandReports.needsOf(team, this.deps.runtime.now()).get(shard)?.use ?? ZERO_AMOUNT;
-    return unitsIn(less(cap, use), unit);
+    return unitsIn(subtract(cap, use), unit);
   }
 
   /** The team's stored record, decoded; an unreadable record is logged once. */
@@ -208,7 +208,7 @@
   }
 
   /** One reconcile pass: reports the demand of the shards held by this node and writes changes of shares. */
-  round(): void {
+  reconcile(): void {
     const mode = this.deps.mode();
     if (mode === 'whole') {
       this.demandReports.clear();
@@ -241,7 +241,7 @@
     const last = this.lastSent.get(demand.shard);
     if (last && now - last.at < (last.text === text ? RESEND_UNCHANGED_MS : MIN_SEND_INTERVAL_MS)) return;
     this.lastSent.set(demand.shard, { at: now, text });
-    this.deps.tell(demand);
+    this.deps.sendDemand(demand);
   }
 
   /**
@@ -272,7 +272,7 @@
     for (const change of changes) {
       if (batch.length >= most) break;
       const added = change.guards.filter(({ key }) => !keys.has(key));
-      if (keys.size + added.length > this.deps.state.limits.conditions) break;
+      if (keys.size + added.length > this.deps.state.limits.maxGuards) break;
       for (const { key } of added) keys.add(key);
       batch.push(change);
     }
@@ -320,7 +320,7 @@
    * Guards on the rollout state as this node saw it, so that a delayed write fails once the feature is switched off.
    */
   private get rolloutGuards(): Guard[] {
-    return [{ key: ROLLOUT_STATE, version: this.deps.mirror.get(ROLLOUT_STATE)?.version ?? 0 }];
+    return [{ key: ROLLOUT_STATE_KEY, version: this.deps.mirror.get(ROLLOUT_STATE_KEY)?.version ?? 0 }];
   }
 
   /**
@@ -337,7 +337,7 @@
   ): Change | null {
     const { shards, sealed } = this.deps;
     const usedElsewhere = [...needs].some(
-      ([other, { use, waiting }]) => other !== shard && !(isNothing(use) && isNothing(waiting)),
+      ([other, { use, waiting }]) => other !== shard && !(isZero(use) && isZero(waiting)),
     );
     if (!usedElsewhere) return null;
     const versions = sealed();
@@ -370,7 +370,7 @@
         mirror.wrote(ops, result.revision);
         log.info({ shard, teams: changes.map(({ team }) => team) }, 'changed quota shares');
       } else {
-        if (result.kind === 'unknown') await this.deps.settle(shard);
+        if (result.kind === 'unknown') await this.deps.fencePendingWrites(shard);
         if (result.kind !== 'refused') await this.reread(changes);
       }
     } finally {
@@ -395,7 +395,7 @@
       const record = this.recordOf(team);
       const shares = record && record !== 'foreign' ? Object.fromEntries(record.shares) : {};
       const all = this.demandReports.needsOf(team, now);
-      const needs = [...all].filter(([, { use, waiting }]) => !(isNothing(use) && isNothing(waiting)));
+      const needs = [...all].filter(([, { use, waiting }]) => !(isZero(use) && isZero(waiting)));
       overview.push({
         team,
         limit: { cpus: facts.cpusMax, gpus: facts.gpusMax },
--- a/src/rollout/conductor.ts
+++ b/src/rollout/conductor.ts
@@ -1,10 +1,10 @@
 import type { Logger, Millis, NodeName, Revision, Runtime } from '../kernel/index.js';
 import {
-  LEADER,
+  LEADER_KEY,
   nodeKey,
-  PROGRESS,
-  ROLLOUT_STATE,
-  ROLLOUT_WISHES,
+  PROGRESS_PREFIX,
+  ROLLOUT_STATE_KEY,
+  ROLLOUT_WISHES_KEY,
   Urgency,
   type Guard,
   type Mirror,
@@ -27,7 +27,7 @@
   type RolloutState,
   type RolloutWishes,
 } from './record.js';
-import { decodeAnnouncement, GROUPED_PROGRESS, RELEASE, type Feature } from './release.js';
+import { decodeAnnouncement, GROUPED_PROGRESS, RELEASE_NUMBER, type Feature } from './release.js';
 
 /** What the rollout reconciler depends on. */
 export interface RolloutReconcilerDeps {
@@ -40,12 +40,12 @@
   readonly runtime: Runtime;
   readonly log: Logger;
   /** The version of the leader key while this node is the leader; null otherwise. */
-  leading(): Revision | null;
+  leaderTerm(): Revision | null;
   /**
    * Returns how many records of a feature other than grouped progress are still to be reverted; negative when they can
    * no longer be reverted.
    */
-  leftOf(feature: string): number;
+  recordsToRevert(feature: string): number;
 }
 
 /** The outcome of storing an operator's request. */
@@ -57,7 +57,7 @@
   | { readonly kind: 'unavailable' };
 
 /** Observes the controllers, and switches features on and off while this node is the leader. */
-export class Conductor {
+export class RolloutReconciler {
   private nodeObservations: NodeObservations = NO_OBSERVATIONS;
   private decision: RolloutDecision = { next: null, changed: null, waits: new Map() };
   private newerRecordLogged = false;
@@ -74,13 +74,13 @@
   }
 
   /** What this node has observed of the controllers; its times are on the clock of `now`. */
-  get watching(): NodeObservations {
+  get observations(): NodeObservations {
     return this.nodeObservations;
   }
 
   /** True when operators have paused the rollout. */
   get paused(): boolean {
-    return decodeWishes(this.deps.mirror.get(ROLLOUT_WISHES)?.value)?.paused ?? false;
+    return decodeWishes(this.deps.mirror.get(ROLLOUT_WISHES_KEY)?.value)?.paused ?? false;
   }
 
   /** For each feature that has not reached its target state: what it waits for, as this node sees it. */
@@ -92,13 +92,13 @@
    * Runs one reconcile round. Every node observes the controllers, so that a new leader does not have to start from
    * nothing; only the leader stores a change.
    */
-  async round(): Promise<void> {
+  async reconcile(): Promise<void> {
     const { mirror, runtime, features } = this.deps;
     if (!mirror.loaded) return;
     const { nodes } = this;
     this.nodeObservations = observeNodes(this.nodeObservations, nodes, runtime.now());
-    const storedState = mirror.get(ROLLOUT_STATE);
-    const storedWishes = mirror.get(ROLLOUT_WISHES);
+    const storedState = mirror.get(ROLLOUT_STATE_KEY);
+    const storedWishes = mirror.get(ROLLOUT_WISHES_KEY);
     const state = decodeRolloutState(storedState?.value);
     const wishes = decodeWishes(storedWishes?.value);
     if (!state || !wishes) {
@@ -112,23 +112,23 @@
     this.decision = decideRollout({
       ...{ now: runtime.now(), wall: runtime.wall(), features, state, wishes, nodes },
       observations: this.nodeObservations,
-      recordsToRevert: (feature) => this.leftOf(feature),
+      recordsToRevert: (feature) => this.recordsToRevert(feature),
     });
-    const term = this.deps.leading();
+    const term = this.deps.leaderTerm();
     const { next, changed } = this.decision;
     if (term === null || !next || !changed) return;
     // Everything that the decision read must still be current when the change is stored. Otherwise a controller of an
     // older release that has registered in the meantime would be overlooked.
     const guards: Guard[] = [
-      { key: LEADER, version: term },
-      { key: ROLLOUT_STATE, version: storedState?.version ?? 0 },
-      { key: ROLLOUT_WISHES, version: storedWishes?.version ?? 0 },
+      { key: LEADER_KEY, version: term },
+      { key: ROLLOUT_STATE_KEY, version: storedState?.version ?? 0 },
+      { key: ROLLOUT_WISHES_KEY, version: storedWishes?.version ?? 0 },
       ...nodes.map(({ node, version }) => ({ key: nodeKey(node), version })),
     ];
     const value = encodeRolloutState(next);
-    const result = await this.deps.state.txn(Urgency.shard, guards, [{ put: ROLLOUT_STATE, value }]);
+    const result = await this.deps.state.txn(Urgency.shard, guards, [{ put: ROLLOUT_STATE_KEY, value }]);
     if (result.kind !== 'ok') return;
-    mirror.apply({ key: ROLLOUT_STATE, value, removed: false, version: result.revision });
+    mirror.apply({ key: ROLLOUT_STATE_KEY, value, removed: false, version: result.revision });
     this.deps.log.info(changed, 'a feature of the rollout is switched');
   }
 
@@ -143,7 +143,7 @@
       .map(([name]) => name);
     const text = missing.join(' ');
     if (text !== this.loggedMissing && text !== '')
-      this.deps.log.warn({ features: missing, release: RELEASE }, 'features are on that this release lacks');
+      this.deps.log.warn({ features: missing, release: RELEASE_NUMBER }, 'features are on that this release lacks');
     this.loggedMissing = text;
   }
 
@@ -151,35 +151,37 @@
    * Returns whether only the leader's write is missing before a feature is on: it is off, every controller supports it
    * and no operator's request or automatic revert keeps it off.
    */
-  wouldGoOn(feature: string): boolean {
+  isReadyToSwitchOn(feature: string): boolean {
     const { mirror } = this.deps;
-    const state = decodeRolloutState(mirror.get(ROLLOUT_STATE)?.value)?.features.get(feature);
-    const wishes = decodeWishes(mirror.get(ROLLOUT_WISHES)?.value);
+    const state = decodeRolloutState(mirror.get(ROLLOUT_STATE_KEY)?.value)?.features.get(feature);
+    const wishes = decodeWishes(mirror.get(ROLLOUT_WISHES_KEY)?.value);
     if (!wishes || wishes.paused || wishes.features.get(feature)?.wish !== undefined) return false;
     if ((state?.state ?? 'off') !== 'off' || state?.stopped === true) return false;
     return this.nodes.every(({ announced }) => announced?.features.includes(feature) === true);
   }
 
   /** Returns how many records of a feature would have to be reverted; negative when they can no longer be reverted. */
-  leftOf(feature: string): number {
-    return feature === GROUPED_PROGRESS ? [...this.deps.mirror.under(PROGRESS)].length : this.deps.leftOf(feature);
+  recordsToRevert(feature: string): number {
+    return feature === GROUPED_PROGRESS
+      ? [...this.deps.mirror.under(PROGRESS_PREFIX)].length
+      : this.deps.recordsToRevert(feature);
   }
 
   /** Applies a change to the operators' requests and stores them. Any controller may do so. */
-  async wish(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult> {
+  async updateWishes(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult> {
     const { state, mirror } = this.deps;
     for (let attempt = 0; attempt < 4; attempt++) {
-      const read = await state.get(ROLLOUT_WISHES);
+      const read = await state.get(ROLLOUT_WISHES_KEY);
       if (read.kind === 'unavailable') break;
       const before = read.kind === 'found' ? decodeWishes(read.entry.value) : NO_WISHES;
       if (!before) return { kind: 'foreign' };
       const next = change(before);
       const value = encodeWishes(next);
       const version = read.kind === 'found' ? read.entry.version : 0;
-      const guards = [{ key: ROLLOUT_WISHES, version: version as number }];
-      const result = await state.txn(Urgency.accept, guards, [{ put: ROLLOUT_WISHES, value }]);
+      const guards = [{ key: ROLLOUT_WISHES_KEY, version: version as number }];
+      const result = await state.txn(Urgency.accept, guards, [{ put: ROLLOUT_WISHES_KEY, value }]);
       if (result.kind === 'ok') {
-        mirror.apply({ key: ROLLOUT_WISHES, value, removed: false, version: result.revision });
+        mirror.apply({ key: ROLLOUT_WISHES_KEY, value, removed: false, version: result.revision });
         return { kind: 'ok', wishes: next };
       }
       if (result.kind === 'refused') break;
--- a/src/rollout/readiness.ts
+++ b/src/rollout/readiness.ts
@@ -21,7 +21,7 @@
   readonly shards: readonly RolloutShard[];
   /** Controllers that are giving up their shards before they stop. */
   readonly leaving: readonly NodeName[];
-  readonly watched: NodeObservations;
+  readonly observations: NodeObservations;
 }
 
 /**
@@ -29,7 +29,13 @@
  * the answer, since a controller may stop at any time. It indicates the cost of a rolling restart: while one controller
  * is away, the loss of a second one leaves less capacity to the remaining ones.
  */
-export function whyNotNext({ now, nodes, shards, leaving, watched }: ReplacementSnapshot): string | null {
+export function replacementBlocker({
+  now,
+  nodes,
+  shards,
+  leaving,
+  observations: watched,
+}: ReplacementSnapshot): string | null {
   const unregistered = nodes.filter(({ announced }) => announced === null).map(({ node }) => node);
   if (unregistered.length > 0) return `not registered: ${unregistered.join(', ')}`;
   if (leaving.length > 0) return `leaving: ${leaving.join(', ')}`;
--- a/src/rollout/record.ts
+++ b/src/rollout/record.ts
@@ -1,5 +1,5 @@
-import { asList, asString, isObject, wallMillis, type WallMillis } from '../kernel/index.js';
-import { isForeign, unknownFields, type Fields } from '../state/index.js';
+import { asArray, asString, isObject, wallMillis, type WallMillis } from '../kernel/index.js';
+import { isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
 
 /** The newest format version of the two rollout records (state and wishes) that this program reads. */
 export const ROLLOUT_FORMAT = 1;
@@ -29,14 +29,14 @@
    * The stored fields as they were read, until this program changes the feature. They are written back unchanged,
    * because a later release may have stored fields that this program does not know.
    */
-  readonly stored?: Fields | undefined;
+  readonly stored?: RecordFields | undefined;
 }
 
 /** The state of each feature. Only the leader writes it. */
 export interface RolloutState {
   readonly features: ReadonlyMap<string, StoredFeature>;
   /** Fields of the record that this program does not know; written back unchanged. */
-  readonly rest: Fields;
+  readonly rest: RecordFields;
 }
 
 /**
@@ -62,7 +62,7 @@
   /** Features to be made permanent once they are on: they can then no longer be reverted. */
   readonly finish: readonly string[];
   /** Fields of the record that this program does not know; written back unchanged. */
-  readonly rest: Fields;
+  readonly rest: RecordFields;
 }
 
 /** The rollout state when no record is stored. */
@@ -73,8 +73,8 @@
 const KNOWN_STATE_FIELDS: ReadonlySet<string> = new Set(['features']);
 const KNOWN_WISH_FIELDS: ReadonlySet<string> = new Set(['paused', 'features', 'finish']);
 
-const objectEntries = (value: unknown): [string, Fields][] =>
-  isObject(value) ? Object.entries(value).filter((entry): entry is [string, Fields] => isObject(entry[1])) : [];
+const objectEntries = (value: unknown): [string, RecordFields][] =>
+  isObject(value) ? Object.entries(value).filter((entry): entry is [string, RecordFields] => isObject(entry[1])) : [];
 const wallTimeOrZero = (value: unknown): WallMillis => wallMillis(typeof value === 'number' ? value : 0);
 
 /**
@@ -82,7 +82,7 @@
  */
 export function decodeRolloutState(value: unknown): RolloutState | null {
   if (value === undefined || value === null) return EMPTY_ROLLOUT_STATE;
-  if (!isObject(value) || isForeign(value, ROLLOUT_FORMAT)) return null;
+  if (!isObject(value) || isNewerFormat(value, ROLLOUT_FORMAT)) return null;
   const features = new Map<string, StoredFeature>();
   for (const [name, stored] of objectEntries(value['features'])) {
     features.set(name, {
@@ -99,7 +99,7 @@
 }
 
 /** Encodes the rollout state. Features that this program has not changed keep their stored fields. */
-export const encodeRolloutState = (state: RolloutState): Fields => ({
+export const encodeRolloutState = (state: RolloutState): RecordFields => ({
   ...state.rest,
   features: Object.fromEntries([...state.features].map(([name, feature]) => [name, feature.stored ?? feature])),
 });
@@ -107,7 +107,7 @@
 /** Decodes the operators' requests; null when their format version is newer than this program reads. */
 export function decodeWishes(value: unknown): RolloutWishes | null {
   if (value === undefined || value === null) return NO_WISHES;
-  if (!isObject(value) || isForeign(value, ROLLOUT_FORMAT)) return null;
+  if (!isObject(value) || isNewerFormat(value, ROLLOUT_FORMAT)) return null;
   const features = new Map<string, StoredWish>();
   for (const [name, stored] of objectEntries(value['features'])) {
     const wish = FEATURE_WISHES.find((known) => known === stored['wish']);
@@ -116,13 +116,13 @@
   return {
     paused: value['paused'] === true,
     features,
-    finish: asList(value['finish']).filter((name) => typeof name === 'string'),
+    finish: asArray(value['finish']).filter((name) => typeof name === 'string'),
     rest: unknownFields(value, KNOWN_WISH_FIELDS),
   };
 }
 
 /** Encodes the operators' requests. */
-export const encodeWishes = (wishes: RolloutWishes): Fields => ({
+export const encodeWishes = (wishes: RolloutWishes): RecordFields => ({
   ...wishes.rest,
   paused: wishes.paused,
   features: Object.fromEntries(wishes.features),
--- a/src/rollout/release.ts
+++ b/src/rollout/release.ts
@@ -1,11 +1,11 @@
-import { asList, asString, isObject, type Incarnation } from '../kernel/index.js';
-import type { Fields } from '../state/index.js';
+import { asArray, asString, isObject, type Incarnation } from '../kernel/index.js';
+import type { RecordFields } from '../state/index.js';
 
 /**
  * The number of this release, announced to controllers of other releases. It increases by one with every change to what
  * controllers send to one another or store. 1 stands for all releases from before there were announcements.
  */
-export const RELEASE = 5;
+export const RELEASE_NUMBER = 5;
 
 /** New behaviour that is switched on only once every configured controller supports it. */
 export interface Feature {
@@ -76,7 +76,7 @@
  * Encodes the fields of a controller's key other than the incarnation. The first release writes and reads only the
  * incarnation.
  */
-export const encodeAnnouncement = (announcement: Omit<Announcement, 'incarnation'>): Fields => ({
+export const encodeAnnouncement = (announcement: Omit<Announcement, 'incarnation'>): RecordFields => ({
   release: {
     number: announcement.release,
     features: announcement.features,
@@ -101,7 +101,7 @@
   return {
     incarnation,
     release: positiveIntegerOr(announced['number'], FIRST_RELEASE.release),
-    features: asList(announced['features']).filter((name) => typeof name === 'string'),
+    features: asArray(announced['features']).filter((name) => typeof name === 'string'),
     frames: positiveIntegerOr(announced['frames'], FIRST_RELEASE.frames),
     records: Object.fromEntries(records.map(([kind, version]) => [kind, positiveIntegerOr(version, 1)])),
   };
--- a/src/rollout/switches.ts
+++ b/src/rollout/switches.ts
@@ -1,4 +1,4 @@
-import { ROLLOUT_STATE, type Mirror } from '../state/index.js';
+import { ROLLOUT_STATE_KEY, type Mirror } from '../state/index.js';
 import { decodeRolloutState, type RolloutState, EMPTY_ROLLOUT_STATE } from './record.js';
 
 /**
@@ -6,7 +6,7 @@
  * shows it. Other controllers may have seen it earlier and some may not have seen it yet, so every feature has to
  * tolerate controllers that disagree for a moment.
  */
-export class Switches {
+export class FeatureGates {
   private decoded: { readonly value: unknown; readonly state: RolloutState } = {
     value: undefined,
     state: EMPTY_ROLLOUT_STATE,
@@ -19,7 +19,7 @@
 
   /** The current rollout state. It is read in every round, so each stored value is decoded only once. */
   get state(): RolloutState {
-    const value = this.mirror.get(ROLLOUT_STATE)?.value;
+    const value = this.mirror.get(ROLLOUT_STATE_KEY)?.value;
     if (value !== this.decoded.value) {
       // A record that cannot be decoded changes nothing: the last known state stays in effect.
       this.decoded = { value, state: decodeRolloutState(value) ?? this.decoded.state };
@@ -28,7 +28,7 @@
   }
 
   /** Returns whether the feature is on and supported by this program. */
-  on(feature: string): boolean {
+  isOn(feature: string): boolean {
     return this.supported.has(feature) && this.state.features.get(feature)?.state === 'on';
   }
 }
--- a/src/service/forms.ts
+++ b/src/service/forms.ts
@@ -1,23 +1,23 @@
-import { awaitsOf } from '../jobs/index.js';
-import { blockLimit, foldGuards, type ShardDirectory } from '../membership/index.js';
+import { dependenciesOf } from '../jobs/index.js';
+import { maxBlockMachines, moveToRecordGuards, type ShardDirectory } from '../membership/index.js';
 import {
   CARRIED_CANCELLATIONS,
   PAGED_BLOCKS,
   PIPELINES,
   QUOTA_SHARES,
-  type Conductor,
-  type Switches,
+  type RolloutReconciler,
+  type FeatureGates,
 } from '../rollout/index.js';
 import type { QuotaMode } from '../quota/index.js';
-import { JOBS, QUOTAS, type Mirror, type StateClient } from '../state/index.js';
+import { JOBS_PREFIX, QUOTAS_PREFIX, type Mirror, type StateClient } from '../state/index.js';
 
 /** What `StorageFormats` needs from the rest of the node. */
 export interface StorageFormatsDeps {
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly directory: ShardDirectory;
-  readonly switches: Switches;
-  readonly conductor: Conductor;
+  readonly switches: FeatureGates;
+  readonly conductor: RolloutReconciler;
 }
 
 /** Selects, from the rollout state of the features, the format in which this node writes data that has two formats. */
@@ -30,7 +30,7 @@
    * switches it on is under way.
    */
   get pipelines(): boolean {
-    return this.deps.switches.on(PIPELINES) || this.deps.conductor.wouldGoOn(PIPELINES);
+    return this.deps.switches.isOn(PIPELINES) || this.deps.conductor.isReadyToSwitchOn(PIPELINES);
   }
 
   /** Format in which the machine lists of shards are written; `any` leaves each list in its present format. */
@@ -58,7 +58,7 @@
     const { mirror } = this.deps;
     if (!mirror.loaded) return null;
     if (this.quotaMode === 'shared') return true;
-    return this.quotaMode === 'returning' && [...mirror.under(QUOTAS)].length === 0 ? false : null;
+    return this.quotaMode === 'returning' && [...mirror.under(QUOTAS_PREFIX)].length === 0 ? false : null;
   }
 
   /** Number of records that still have to be converted back for a feature; negative if that is no longer possible. */
@@ -68,19 +68,19 @@
     // The feature stores no record in a different format.
     if (feature === CARRIED_CANCELLATIONS) return remaining;
     if (feature === PIPELINES) {
-      for (const { value } of mirror.under(JOBS)) if (awaitsOf(value).length > 0) remaining += 1;
+      for (const { value } of mirror.under(JOBS_PREFIX)) if (dependenciesOf(value).length > 0) remaining += 1;
       return remaining;
     }
     if (feature === QUOTA_SHARES) {
       for (const { value } of directory.all.values()) if (value.sealed === true) remaining += 1;
-      return remaining + [...mirror.under(QUOTAS)].length;
+      return remaining + [...mirror.under(QUOTAS_PREFIX)].length;
     }
     const { limits } = state;
     for (const [shard, known] of directory.all) {
       const { value } = known;
       if (value.epoch === null) continue;
-      const fitsInRecord = value.machines.length <= blockLimit(limits.presentValueKb);
-      if (!fitsInRecord || foldGuards(shard, known).length > limits.conditions) return -1;
+      const fitsInRecord = value.machines.length <= maxBlockMachines(limits.currentMaxValueKb);
+      if (!fitsInRecord || moveToRecordGuards(shard, known).length > limits.maxGuards) return -1;
       remaining += 1;
     }
     return remaining;
--- a/src/service/http.ts
+++ b/src/service/http.ts
@@ -8,12 +8,12 @@
 } from 'express';
 import {
   isObject,
-  Lane,
+  FastPathConnection,
   type Address,
   type Connection,
-  type LaneAnswer,
-  type LaneHandler,
-  type Listening,
+  type FastPathResponse,
+  type FastPathHandler,
+  type TcpListener,
   type Logger,
   type RequestHead,
   type Runtime,
@@ -36,9 +36,9 @@
 const NEVER_EVICTED_PATHS = /^\/(?:healthz|v1\/report)$/;
 
 /** The operations behind the HTTP interface. */
-export interface Handlers {
+export interface RequestHandlers {
   /** Whether the load balancer should send users here. */
-  healthy(): boolean;
+  isHealthy(): boolean;
   /** Serves a request of a user. */
   serve(request: UserRequest): Promise<UserResponse>;
   /** Handles a report of a worker. */
@@ -57,7 +57,7 @@
 }
 
 /** Creates the Express app with the HTTP interface for users, workers and operators. */
-export function createApp(handlers: Handlers, admin: Router, log: Logger): Express {
+export function createApp(handlers: RequestHandlers, admin: Router, log: Logger): Express {
   const respond = (res: Response, next: NextFunction, request: UserRequest): void => {
     handlers.serve(request).then((response) => sendResponse(res, response), next);
   };
@@ -65,7 +65,7 @@
   app.disable('x-powered-by');
   app.disable('etag');
   app.get('/healthz', (_req, res) => {
-    if (handlers.healthy()) res.status(200).json({ ok: true });
+    if (handlers.isHealthy()) res.status(200).json({ ok: true });
     else res.status(503).set('Retry-After', '1').json({ ok: false });
   });
   app.use(express.json({ limit: BODY_LIMIT_BYTES, strict: false, type: () => true }));
@@ -103,7 +103,7 @@
  * Handles a submission. A malformed one whose job exists already is answered with that job, because an earlier release
  * accepted some submissions that this release finds malformed.
  */
-async function submit(handlers: Handlers, body: unknown): Promise<UserResponse> {
+async function submit(handlers: RequestHandlers, body: unknown): Promise<UserResponse> {
   const submission = parseSubmission(body);
   if (submission.ok) return handlers.serve({ op: 'submit', spec: submission.spec, awaits: submission.awaits });
   const id = parseJobId(isObject(body) && typeof body['ref'] === 'string' ? body['ref'] : '');
@@ -120,14 +120,14 @@
   }
 }
 
-function handleReport(handlers: Handlers, log: Logger, body: unknown): ReportReply {
+function handleReport(handlers: RequestHandlers, log: Logger, body: unknown): ReportReply {
   const message = decodeMessage(body);
   if (message) return handlers.report(message);
   log.warn('malformed worker report refused');
   return { status: 400, body: { error: 'not a report' } };
 }
 
-const toFastPathResponse = (response: UserResponse): LaneAnswer => ({
+const toFastPathResponse = (response: UserResponse): FastPathResponse => ({
   status: response.status,
   text: JSON.stringify(response.body),
   ...(response.retryAfterS === undefined ? {} : { retryAfterS: response.retryAfterS }),
@@ -142,11 +142,14 @@
  * Returns the handlers of the requests that bypass Express: reports, polls, health checks, submissions and
  * cancellations. Their responses equal those of the app of `createApp`.
  */
-export function laneRoutes(handlers: Handlers, log: Logger): (head: RequestHead) => LaneHandler | undefined {
+export function fastPathRoutes(
+  handlers: RequestHandlers,
+  log: Logger,
+): (head: RequestHead) => FastPathHandler | undefined {
   const withErrorResponse =
-    (serve: (head: RequestHead, body: Buffer) => UserResponse | Promise<UserResponse>): LaneHandler =>
+    (serve: (head: RequestHead, body: Buffer) => UserResponse | Promise<UserResponse>): FastPathHandler =>
     (head, body) => {
-      const onFailure = (error: unknown): LaneAnswer => {
+      const onFailure = (error: unknown): FastPathResponse => {
         log.error({ err: error }, 'HTTP request failed');
         return toFastPathResponse(UNAVAILABLE);
       };
@@ -168,7 +171,7 @@
     handlers.serve({ op: 'cancel', id: CANCEL_PATH.exec(head.path)?.[1] ?? '' }),
   );
   const health = withErrorResponse(() =>
-    handlers.healthy() ? { status: 200, body: { ok: true } } : { status: 503, body: { ok: false }, retryAfterS: 1 },
+    handlers.isHealthy() ? { status: 200, body: { ok: true } } : { status: 503, body: { ok: false }, retryAfterS: 1 },
   );
   return ({ method, path }) => {
     if (method === 'POST') {
@@ -187,7 +190,7 @@
   /** The port that it listens on, once it does. */
   readonly ready: Promise<number>;
   /** Stops listening and destroys every connection. */
-  shut(): void;
+  close(): void;
 }
 
 /**
@@ -196,7 +199,7 @@
  */
 export function listen(
   app: Express,
-  findHandler: (head: RequestHead) => LaneHandler | undefined,
+  findHandler: (head: RequestHead) => FastPathHandler | undefined,
   address: Address,
   maxConnections: number,
   runtime: Runtime,
@@ -213,21 +216,21 @@
   });
   const connections = new Set<Connection>();
   /** Connections whose last request came from a user, least recently used first. */
-  const userConnections = new Map<Connection, Lane>();
+  const userConnections = new Map<Connection, FastPathConnection>();
   // Only user connections are evicted: a user reconnects, but a worker that is refused a connection loses its lease and
   // all its running tasks.
   const evictIdleUserConnection = (): void => {
     let examined = 0;
     for (const [socket, fastPath] of userConnections) {
       examined += 1;
-      if (fastPath.resting) socket.end();
-      if (fastPath.resting || examined >= MAX_EVICTION_CANDIDATES) {
+      if (fastPath.isIdle) socket.end();
+      if (fastPath.isIdle || examined >= MAX_EVICTION_CANDIDATES) {
         userConnections.delete(socket);
         return;
       }
     }
   };
-  const listening: Listening = runtime.listen({
+  const listening: TcpListener = runtime.listen({
     ...address,
     maxConnections,
     allowHalfOpen: true,
@@ -238,12 +241,12 @@
         userConnections.delete(socket);
       });
       if (connections.size > maxConnections * EVICTION_LOAD_FRACTION) evictIdleUserConnection();
-      const fastPath = Lane.serve(socket, trackAndFindHandler, BODY_LIMIT_BYTES, (connection, unread) => {
+      const fastPath = FastPathConnection.serve(socket, trackAndFindHandler, BODY_LIMIT_BYTES, (connection, unread) => {
         userConnections.delete(connection);
         connection.unshift(unread);
         appServer.emit('connection', connection);
       });
-      function trackAndFindHandler(head: RequestHead): LaneHandler | undefined {
+      function trackAndFindHandler(head: RequestHead): FastPathHandler | undefined {
         userConnections.delete(socket);
         if (!NEVER_EVICTED_PATHS.test(head.path)) userConnections.set(socket, fastPath);
         return findHandler(head);
@@ -253,7 +256,7 @@
   });
   return {
     ready: listening.ready,
-    shut: () => {
+    close: () => {
       listening.close();
       for (const socket of connections) socket.destroy();
     },
--- a/src/service/index.ts
+++ b/src/service/index.ts
@@ -1,3 +1,3 @@
 export * from './service.js';
-export { createApp, laneRoutes, listen, type Handlers } from './http.js';
+export { createApp, fastPathRoutes, listen, type RequestHandlers } from './http.js';
 export { HealthCheck, type HealthInputs } from './health.js';
--- a/src/service/overview.ts
+++ b/src/service/overview.ts
@@ -1,8 +1,15 @@
-import type { RolloutDesk } from '../admin/index.js';
+import type { RolloutControl } from '../admin/index.js';
 import type { Clock, NodeName, ShardName } from '../kernel/index.js';
 import type { ShardDirectory } from '../membership/index.js';
-import type { PeerLink } from '../peers/index.js';
-import { FEATURES, RELEASE, whyNotNext, type Conductor, type RolloutShard, type Switches } from '../rollout/index.js';
+import type { PeerTransport } from '../peers/index.js';
+import {
+  FEATURES,
+  RELEASE_NUMBER,
+  replacementBlocker,
+  type RolloutReconciler,
+  type RolloutShard,
+  type FeatureGates,
+} from '../rollout/index.js';
 import type { ShardOwnership } from './ownership.js';
 
 /** What the rollout overview needs from the rest of the node. */
@@ -10,9 +17,9 @@
   readonly self: NodeName;
   readonly clock: Clock;
   readonly directory: ShardDirectory;
-  readonly peers: PeerLink;
-  readonly conductor: Conductor;
-  readonly switches: Switches;
+  readonly peers: PeerTransport;
+  readonly conductor: RolloutReconciler;
+  readonly switches: FeatureGates;
   readonly ownership: ShardOwnership;
   /** All shards. */
   shards(): readonly ShardName[];
@@ -32,14 +39,14 @@
  */
 export function rolloutOverview(deps: RolloutOverviewDeps): unknown {
   const { self, peers, conductor, switches, ownership } = deps;
-  const peerViews = new Map(peers.views().map((view) => [view.node, view]));
+  const peerViews = new Map(peers.recentPeers().map((view) => [view.node, view]));
   const shards = rolloutShards(deps);
   const leaving = [...peerViews.values()].filter((view) => view.leaving).map(({ node }) => node);
   if (ownership.leaving) leaving.push(self);
-  const { nodes, watching: watched, now } = conductor;
-  const why = whyNotNext({ now, nodes, shards, leaving, watched });
+  const { nodes, observations: watched, now } = conductor;
+  const why = replacementBlocker({ now, nodes, shards, leaving, observations: watched });
   return {
-    release: RELEASE,
+    release: RELEASE_NUMBER,
     nodes: nodes.map(({ node, announced }) => ({
       node,
       registered: announced !== null,
@@ -57,7 +64,7 @@
         ...{ name, needs, state: stored?.state ?? 'off', why: stored?.why ?? '' },
         since: stored ? new Date(stored.since).toISOString() : null,
         // False once an operator has closed the way back, or once stored data no longer fits into the earlier format.
-        wayBack: stored?.finished !== true && conductor.leftOf(name) >= 0,
+        wayBack: stored?.finished !== true && conductor.recordsToRevert(name) >= 0,
         waitsFor: conductor.waits.get(name) ?? null,
       };
     }),
@@ -71,7 +78,7 @@
 }
 
 /** The rollout operations behind the admin API. */
-export function rolloutOperations(deps: RolloutOverviewDeps): RolloutDesk {
+export function rolloutOperations(deps: RolloutOverviewDeps): RolloutControl {
   const { conductor, ownership, switches } = deps;
   return {
     clock: deps.clock,
@@ -83,10 +90,10 @@
         }),
       ),
     overview: () => rolloutOverview(deps),
-    wish: (how) => conductor.wish(how),
-    leave: () => ownership.leave(),
-    stay: () => ownership.stay('an operator cancelled the shutdown'),
-    leaving: () => {
+    updateWishes: (how) => conductor.updateWishes(how),
+    startLeaving: () => ownership.leave(),
+    cancelLeaving: () => ownership.stay('an operator cancelled the shutdown'),
+    leaveStatus: () => {
       const { leaving, left, staysInMs } = ownership;
       return { leaving, left, staysInS: staysInMs === null ? null : Math.ceil(staysInMs / 1000) };
     },
--- a/src/service/ownership.ts
+++ b/src/service/ownership.ts
@@ -1,4 +1,4 @@
-import type { BlockSource, ShardHolder } from '../holder/index.js';
+import type { ChangeSource, ShardHolder } from '../holder/index.js';
 import {
   millis,
   shardName,
@@ -12,14 +12,14 @@
 } from '../kernel/index.js';
 import {
   parsePageKey,
-  Seals,
+  ShardSealer,
   type KnownShard,
   type Membership,
   type ShardDirectory,
   type ShardValue,
 } from '../membership/index.js';
-import type { PeerLink } from '../peers/index.js';
-import { reread, shardKey, SHARDS, type Change, type Mirror, type StateClient } from '../state/index.js';
+import type { PeerTransport } from '../peers/index.js';
+import { reread, shardKey, SHARDS_PREFIX, type Change, type Mirror, type StateClient } from '../state/index.js';
 import type { Trail } from '../trail/index.js';
 
 /** Longest wait for the watch to reach the revision of a claim before the shard is evaluated again. */
@@ -39,7 +39,7 @@
   readonly ownShard: ShardName;
   readonly state: StateClient;
   readonly mirror: Mirror;
-  readonly peers: PeerLink;
+  readonly peers: PeerTransport;
   readonly directory: ShardDirectory;
   readonly runtime: Runtime;
   readonly log: Logger;
@@ -74,15 +74,15 @@
   private readonly ownNodeBackSince = new Map<ShardName, Millis>();
   private leavingSince: Millis | null = null;
 
-  private readonly sealer: Seals;
+  private readonly sealer: ShardSealer;
 
   constructor(private readonly deps: OwnershipDeps) {
-    this.sealer = new Seals(deps);
+    this.sealer = new ShardSealer(deps);
   }
 
   /** Handles a change of a shard's record or head. */
   onShard(change: Change): void {
-    this.updateHolder(shardName(change.key.slice(SHARDS.length)), { key: change.key, revision: change.version });
+    this.updateHolder(shardName(change.key.slice(SHARDS_PREFIX.length)), { key: change.key, revision: change.version });
   }
 
   /** Handles a change of a page of a shard's machine list. */
@@ -91,7 +91,7 @@
   }
 
   /** Creates, updates or drops the holder of a shard according to the shard's record. */
-  private updateHolder(shard: ShardName, source: BlockSource): void {
+  private updateHolder(shard: ShardName, source: ChangeSource): void {
     const known = this.deps.directory.all.get(shard);
     const value = known?.value ?? null;
     const isOurs =
@@ -112,7 +112,7 @@
       // the state service became unavailable before the watch delivered the end of the job.
       void this.deps.mirror.reach(known.version, WATCH_CATCH_UP_MS).then(() => this.updateHolder(shard, source));
     } else {
-      this.deps.trail?.note({ kind: 'claimed', shard });
+      this.deps.trail?.record({ kind: 'claimed', shard });
       this.holders.set(shard, this.deps.createHolder(shard, known.version, value));
     }
   }
@@ -123,7 +123,7 @@
     holder.drop();
     this.holders.delete(shard);
     this.deps.onShardDropped(shard);
-    this.deps.trail?.note({ kind: 'dropped', shard });
+    this.deps.trail?.record({ kind: 'dropped', shard });
   }
 
   /**
@@ -169,7 +169,7 @@
 
   /** Whether this node may claim shards or lead. It may not while it is leaving and a peer can take shards. */
   get mayTakeShards(): boolean {
-    return !this.leaving || !this.deps.peers.names.some((peer) => this.canTakeShards(peer));
+    return !this.leaving || !this.deps.peers.peerNames.some((peer) => this.canTakeShards(peer));
   }
 
   /** The peer that holds the fewest shards among those that can take shards, or null. */
@@ -179,7 +179,7 @@
       for (const { value } of this.deps.directory.all.values()) if (value.holder === node && !value.released) held += 1;
       return held;
     };
-    const candidates = this.deps.peers.names.filter((peer) => this.canTakeShards(peer));
+    const candidates = this.deps.peers.peerNames.filter((peer) => this.canTakeShards(peer));
     return candidates.sort((a, b) => heldShards(a) - heldShards(b) || (a < b ? -1 : 1))[0] ?? null;
   }
 
@@ -193,10 +193,10 @@
     if (this.leavingSince !== null && now - this.leavingSince > LEAVING_TIMEOUT_MS)
       this.stay('this node was not shut down in time');
     for (const [shard, holder] of this.holders) {
-      for (const { node, incarnation: earlierIncarnation } of holder.doubtful) {
-        const currentIncarnation = peers.statusOf(node)?.incarnation ?? this.deps.membership().alive(node);
+      for (const { node, incarnation: earlierIncarnation } of holder.unconfirmedHolders) {
+        const currentIncarnation = peers.statusOf(node)?.incarnation ?? this.deps.membership().liveIncarnationOf(node);
         // A later incarnation of that node proves that the earlier one has ended.
-        if (currentIncarnation !== null && currentIncarnation !== earlierIncarnation) holder.proven(node);
+        if (currentIncarnation !== null && currentIncarnation !== earlierIncarnation) holder.confirmStopped(node);
         else peers.send(node, { kind: 'standdown', shard, version: holder.claimedAt });
       }
       const reason = this.leaving
@@ -206,7 +206,7 @@
           : CUT_OFF_REASON;
       const successor = reason === null ? null : this.leastLoadedPeer();
       if (reason !== null && successor !== null) {
-        await holder.giveUp(reason, successor);
+        await holder.releaseShard(reason, successor);
         continue;
       }
       await this.reconcileBlockFormat(shard);
@@ -222,8 +222,8 @@
     if (!known) return;
     await this.reconcileSeal(shard, known);
     if (blockFormat === 'any') return;
-    if (blockFormat === 'pages' && known.value.epoch === null) await paging.flip(shard, known);
-    else if (blockFormat === 'record' && known.value.epoch !== null && !(await paging.fold(shard, known)))
+    if (blockFormat === 'pages' && known.value.epoch === null) await paging.moveToPages(shard, known);
+    else if (blockFormat === 'record' && known.value.epoch !== null && !(await paging.moveToRecord(shard, known)))
       this.deps.log.debug({ shard }, 'machine list of the shard could not be moved back into its record');
   }
 
@@ -234,7 +234,7 @@
     // Unsealing now would let work start here without being counted in the account of another shard that has to cover
     // it.
     if (!sealed && this.deps.hasForeignWork(shard)) return;
-    await this.sealer.set(shard, known, sealed);
+    await this.sealer.setSealed(shard, known, sealed);
   }
 
   /**
@@ -242,13 +242,17 @@
    */
   private async handBack(shard: ShardName, holder: ShardHolder, now: Millis): Promise<void> {
     const ownNode = shard as unknown as NodeName;
-    if (this.deps.membership().alive(ownNode) === null || !this.canTakeShards(ownNode)) {
+    if (this.deps.membership().liveIncarnationOf(ownNode) === null || !this.canTakeShards(ownNode)) {
       this.ownNodeBackSince.delete(shard);
       return;
     }
     const since = this.ownNodeBackSince.get(shard) ?? now;
     this.ownNodeBackSince.set(shard, since);
-    if (now - since > HAND_BACK_DELAY_MS && holder.quiet && (await holder.giveUp('its own node is available again')))
+    if (
+      now - since > HAND_BACK_DELAY_MS &&
+      holder.quiet &&
+      (await holder.releaseShard('its own node is available again'))
+    )
       this.ownNodeBackSince.delete(shard);
   }
 
@@ -260,8 +264,8 @@
   /** The shards in which teams with a limit start nothing, with the number of tasks of unknown jobs that cause this. */
   get heldBack(): { readonly shard: ShardName; readonly tasksOfUnknownJobs: number }[] {
     return [...this.holders.values()]
-      .filter(({ heldBackBy }) => heldBackBy > 0)
-      .map(({ shard, heldBackBy }) => ({ shard, tasksOfUnknownJobs: heldBackBy }));
+      .filter(({ blockingUnknownTasks: heldBackBy }) => heldBackBy > 0)
+      .map(({ shard, blockingUnknownTasks: heldBackBy }) => ({ shard, tasksOfUnknownJobs: heldBackBy }));
   }
 
   // ---- leaving
@@ -273,7 +277,7 @@
 
   /** Whether all shards and the leadership are handed over: no lease has to expire if this node is shut down now. */
   get left(): boolean {
-    return this.leaving && this.holders.size === 0 && this.deps.membership().leading === null;
+    return this.leaving && this.holders.size === 0 && this.deps.membership().leaderTerm === null;
   }
 
   /** Prepares a planned shutdown: hands the shards over to peers, claims nothing new and gives up leadership. */
@@ -285,7 +289,7 @@
         'preparing for a shutdown by an operator: handing over shards',
       );
       this.leavingSince = this.deps.runtime.now();
-      this.deps.peers.greet();
+      this.deps.peers.broadcastHello();
     }
     return { ok: true };
   }
@@ -295,7 +299,7 @@
     if (!this.leaving) return;
     this.leavingSince = null;
     this.deps.log.info({ why: reason }, 'shutdown cancelled: this node may claim shards and lead again');
-    this.deps.peers.greet();
+    this.deps.peers.broadcastHello();
   }
 
   /** Milliseconds until `leave` is cancelled automatically; null if this node is not leaving. */
--- a/src/service/peers.ts
+++ b/src/service/peers.ts
@@ -1,6 +1,6 @@
-import type { Carrier } from '../carry/index.js';
+import type { CancellationPropagator } from '../carry/index.js';
 import type { JobRegistry } from '../jobs/index.js';
-import type { PeerLink, Received } from '../peers/index.js';
+import type { PeerTransport, ReceivedMessage } from '../peers/index.js';
 import type { QuotaShares } from '../quota/index.js';
 import type { StateClient } from '../state/index.js';
 import { decodeDemand } from './quota.js';
@@ -11,11 +11,11 @@
 /** The parts of this node that handle messages of peers. */
 export interface PeerMessageDeps {
   readonly state: StateClient;
-  readonly peers: PeerLink;
+  readonly peers: PeerTransport;
   readonly router: ShardRouter;
   readonly registry: JobRegistry;
   readonly ownership: ShardOwnership;
-  readonly cancellationPropagator: Carrier;
+  readonly cancellationPropagator: CancellationPropagator;
   readonly userRequests: UserRequestHandler;
   readonly quotas: QuotaShares;
   /** Requests a reconcile round of the shares of team limits. */
@@ -23,7 +23,7 @@
 }
 
 /** Dispatches a message of a peer to the part of this node that handles it. */
-export function handlePeerMessage(deps: PeerMessageDeps, { from, message }: Received): void {
+export function handlePeerMessage(deps: PeerMessageDeps, { from, message }: ReceivedMessage): void {
   const { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas } = deps;
   switch (message.kind) {
     case 'hello':
@@ -33,19 +33,19 @@
       router.recordSummary(message.summary);
       break;
     case 'cancelled':
-      registry.heardOver(message.job);
-      for (const holder of ownership.holders.values()) holder.onOver(message.job);
+      registry.recordReportedCancellation(message.job);
+      for (const holder of ownership.holders.values()) holder.onJobEnded(message.job);
       break;
     case 'withdrawn':
     case 'heard':
     case 'word':
-      cancellationPropagator.onPeer(from, message);
+      cancellationPropagator.onPeerMessage(from, message);
       break;
     case 'transfer':
       for (const holder of ownership.holders.values()) holder.transfer(message.machine, message.to);
       break;
     case 'quota':
-      quotas.hear(decodeDemand(message));
+      quotas.recordDemand(decodeDemand(message));
       deps.requestQuotaRound();
       break;
     case 'ask':
@@ -58,7 +58,7 @@
       break;
     case 'stooddown': {
       const holder = ownership.holders.get(message.shard);
-      if (holder?.claimedAt === message.version) holder.proven(from);
+      if (holder?.claimedAt === message.version) holder.confirmStopped(from);
       break;
     }
     case 'welcome':
--- a/src/service/quota.ts
+++ b/src/service/quota.ts
@@ -1,8 +1,8 @@
-import type { TeamFacts } from '../config/index.js';
+import type { TeamQuota } from '../config/index.js';
 import type { ShardHolder } from '../holder/index.js';
 import type { Logger, NodeName, Runtime, ShardName } from '../kernel/index.js';
-import { settleShard, type ShardDirectory } from '../membership/index.js';
-import type { PeerLink, PeerMessage, QuotaNeed } from '../peers/index.js';
+import { fencePendingShardWrites, type ShardDirectory } from '../membership/index.js';
+import type { PeerTransport, PeerMessage, TeamQuotaDemand } from '../peers/index.js';
 import { QuotaShares, type QuotaMode, type ShardDemand, type TeamNeed } from '../quota/index.js';
 import { QUOTA_SHARES } from '../rollout/index.js';
 import type { Mirror, StateClient } from '../state/index.js';
@@ -10,7 +10,10 @@
 type QuotaMessage = Extract<PeerMessage, { kind: 'quota' }>;
 
 /** Encodes the demand of one team. */
-const encodeNeed = ([team, { use, waiting, unit, priority, waitedMs }]: readonly [string, TeamNeed]): QuotaNeed => ({
+const encodeNeed = ([team, { use, waiting, unit, priority, waitedMs }]: readonly [
+  string,
+  TeamNeed,
+]): TeamQuotaDemand => ({
   ...{ team, useCpus: use.cpus, useGpus: use.gpus, waitingCpus: waiting.cpus, waitingGpus: waiting.gpus },
   ...{ unitCpus: unit.cpus, unitGpus: unit.gpus, priority, waitedMs },
 });
@@ -38,19 +41,19 @@
 });
 
 /** Sends a shard's demand to every peer whose release supports quota shares. */
-export function sendDemandToPeers(peers: PeerLink, demand: ShardDemand): void {
+export function sendDemandToPeers(peers: PeerTransport, demand: ShardDemand): void {
   const message = encodeDemand(demand);
   const supportsShares = (peer: NodeName): boolean => peers.statusOf(peer)?.features.includes(QUOTA_SHARES) === true;
-  for (const peer of peers.names) if (supportsShares(peer)) peers.send(peer, message);
+  for (const peer of peers.peerNames) if (supportsShares(peer)) peers.send(peer, message);
 }
 
 /** What the quota shares need from the rest of the node. */
 export interface QuotaSharesDeps {
-  readonly teams: ReadonlyMap<string, TeamFacts>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly directory: ShardDirectory;
-  readonly peers: PeerLink;
+  readonly peers: PeerTransport;
   readonly runtime: Runtime;
   readonly log: Logger;
   /** The shards that this node holds. */
@@ -70,7 +73,8 @@
     shards: () => deps.shards(),
     sealed: () => directory.sealed,
     holders: () => holders.values(),
-    tell: (demand) => sendDemandToPeers(peers, demand),
-    settle: (shard) => settleShard(shard, state, mirror, runtime, () => holders.get(shard)?.dropped === false),
+    sendDemand: (demand) => sendDemandToPeers(peers, demand),
+    fencePendingWrites: (shard) =>
+      fencePendingShardWrites(shard, state, mirror, runtime, () => holders.get(shard)?.dropped === false),
   });
 }
--- a/src/service/reachability.ts
+++ b/src/service/reachability.ts
@@ -1,6 +1,6 @@
 import type { Logger, Runtime, ShardName } from '../kernel/index.js';
 import type { KnownShard } from '../membership/index.js';
-import { probeWorkers, PROBES, type WorkerReachability } from '../workers/index.js';
+import { probeWorkers, PROBES_PER_ROUND, type WorkerReachability } from '../workers/index.js';
 
 /** Delay before the next probe while this node is cut off from the workers. */
 const REPROBE_DELAY_MS = 800;
@@ -13,7 +13,7 @@
 ): string[] {
   const pool = [...blocks].flatMap(([shard, { value }]) => (held.size === 0 || held.has(shard) ? value.machines : []));
   const sampled = new Set<string>();
-  for (let i = 0; i < PROBES && pool.length > 0; i++)
+  for (let i = 0; i < PROBES_PER_ROUND && pool.length > 0; i++)
     sampled.add(pool[Math.floor(runtime.random() * pool.length)]?.address ?? '');
   sampled.delete('');
   return [...sampled];
@@ -42,10 +42,10 @@
   const held = deps.held();
   let machines = 0;
   for (const shard of held.values()) machines += shard.machines.size;
-  if (reachability.look(runtime.now(), machines, reportMs) === 'nothing') return;
+  if (reachability.check(runtime.now(), machines, reportMs) === 'nothing') return;
   const addresses = sampleAddresses(deps.blocks(), held, runtime);
   const answered = await probeWorkers(addresses, runtime);
-  if (reachability.probed(addresses.length, answered)) {
+  if (reachability.recordProbes(addresses.length, answered)) {
     log.info(
       { reachable: reachability.ok, asked: addresses.length, answered },
       reachability.ok ? 'this node reaches the workers again' : 'this node cannot reach the workers',
--- a/src/service/routes.ts
+++ b/src/service/routes.ts
@@ -1,9 +1,9 @@
 import type { MachineType } from '../cloud/index.js';
-import type { TeamFacts } from '../config/index.js';
+import type { TeamQuota } from '../config/index.js';
 import type { ShardHolder } from '../holder/index.js';
 import type { JobSpec } from '../jobs/index.js';
 import type { Clock, JobId, NodeName, ShardName } from '../kernel/index.js';
-import { betterShard, bookRoom, chooseShard } from '../leasing/index.js';
+import { chooseMoveTarget, reserveCapacity, chooseShard } from '../leasing/index.js';
 import type { ShardSummary } from '../peers/index.js';
 import { limitOf, type QuotaShares } from '../quota/index.js';
 
@@ -16,7 +16,7 @@
   readonly clock: Clock;
   /** Team limits: which shard keeps a team's account, and whether the limits are divided between all shards. */
   readonly quotas: Pick<QuotaShares, 'account' | 'returning' | 'routesFreely' | 'startableIn'>;
-  readonly teams: ReadonlyMap<string, TeamFacts>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   /** The shards that this node holds. */
   readonly holders: ReadonlyMap<ShardName, ShardHolder>;
   /** This node's own shard. */
@@ -82,13 +82,13 @@
       (s) => s.shard !== from && !(this.deps.holders.has(s.shard) && s.holder !== this.deps.self),
     );
     const fromSummary = summaries.find((s) => s.shard === from);
-    return this.reserve(betterShard(spec, count, fromSummary, candidates, this.deps.types()), spec);
+    return this.reserve(chooseMoveTarget(spec, count, fromSummary, candidates, this.deps.types()), spec);
   }
 
   /** Numbers of running and done tasks of a job, as far as this node knows. */
   progressOf(id: JobId): { running: number; done: number } {
     for (const holder of this.deps.holders.values()) {
-      const progress = holder.runningOf(id);
+      const progress = holder.progressOf(id);
       if (progress) return progress;
     }
     for (const { summary } of this.summaries.values()) {
@@ -108,7 +108,7 @@
    */
   private reserve(shard: ShardName | null, spec: JobSpec): ShardName | null {
     const entry = shard === null ? undefined : this.summaries.get(shard);
-    if (shard !== null && entry) this.summaries.set(shard, { ...entry, summary: bookRoom(spec, entry.summary) });
+    if (shard !== null && entry) this.summaries.set(shard, { ...entry, summary: reserveCapacity(spec, entry.summary) });
     return shard;
   }
 }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,5 +1,5 @@
 import { adminRouter, SettingsStore } from '../admin/index.js';
-import { Carrier, leftoverForMs, type BoundFacts } from '../carry/index.js';
+import { CancellationPropagator, leftoverAnswerMs, type HolderTimings } from '../carry/index.js';
 import { CloudClient } from '../cloud/index.js';
 import type { Settings } from '../config/index.js';
 import { ShardHolder, type HolderDeps, type ReportReply } from '../holder/index.js';
@@ -17,26 +17,33 @@
   type ShardName,
 } from '../kernel/index.js';
 import { Leader } from '../leasing/index.js';
-import { Steward } from '../pipelines/index.js';
-import { LEASE_MS, Membership, ShardDirectory, type ShardValue } from '../membership/index.js';
+import { DependencyTracker } from '../pipelines/index.js';
+import { NODE_LEASE_MS, Membership, ShardDirectory, type ShardValue } from '../membership/index.js';
 import type { QuotaShares } from '../quota/index.js';
-import { PeerLink, type PeerMessage, type Received } from '../peers/index.js';
-import { CARRIED_CANCELLATIONS, Conductor, FEATURES, GROUPED_PROGRESS, RELEASE, Switches } from '../rollout/index.js';
+import { PeerTransport, type PeerMessage, type ReceivedMessage } from '../peers/index.js';
 import {
-  JOBS,
-  LIVE,
+  CARRIED_CANCELLATIONS,
+  RolloutReconciler,
+  FEATURES,
+  GROUPED_PROGRESS,
+  RELEASE_NUMBER,
+  FeatureGates,
+} from '../rollout/index.js';
+import {
+  JOBS_PREFIX,
+  LIVE_PREFIX,
   Mirror,
-  PAGES,
-  PROGRESS,
-  QUOTAS,
-  SHARDS,
+  PAGES_PREFIX,
+  PROGRESS_PREFIX,
+  QUOTAS_PREFIX,
+  SHARDS_PREFIX,
   StateClient,
-  TYPES,
+  MACHINE_TYPES_KEY,
   type Change,
 } from '../state/index.js';
 import { encodeRedirect, WorkerReachability, type WorkerMessage } from '../workers/index.js';
 import { ANNOUNCEMENT, FEATURE_NAMES } from './announcement.js';
-import { createApp, laneRoutes, listen, type Handlers, type Listener } from './http.js';
+import { createApp, fastPathRoutes, listen, type RequestHandlers, type Listener } from './http.js';
 import { Trail } from '../trail/index.js';
 import { StorageFormats } from './forms.js';
 import { HealthCheck } from './health.js';
@@ -82,19 +89,19 @@
   private readonly state: StateClient;
   private readonly mirror: Mirror;
   private readonly cloud: CloudClient;
-  private readonly peers: PeerLink;
+  private readonly peers: PeerTransport;
   private readonly membership: Membership;
   private readonly registry: JobRegistry;
-  private readonly cancellationPropagator: Carrier;
-  private readonly holderTimings: BoundFacts;
+  private readonly cancellationPropagator: CancellationPropagator;
+  private readonly holderTimings: HolderTimings;
   private readonly settingsStore: SettingsStore;
   private readonly userRequests: UserRequestHandler;
   private readonly leader: Leader;
   private readonly directory: ShardDirectory;
   private readonly ownership: ShardOwnership;
-  private readonly steward: Steward;
-  private readonly conductor: Conductor;
-  private readonly switches: Switches;
+  private readonly steward: DependencyTracker;
+  private readonly conductor: RolloutReconciler;
+  private readonly switches: FeatureGates;
   private readonly router: ShardRouter;
   private readonly quotas: QuotaShares;
   private readonly quotaLoop: ReconcileLoop;
@@ -123,28 +130,28 @@
     this.ownShard = shardName(settings.node);
     this.state = new StateClient(settings.state, settings.stateLimits, log, runtime);
     this.state.writers = settings.seeds.length + 1;
-    this.mirror = new Mirror(this.state, LIVE, runtime, log);
+    this.mirror = new Mirror(this.state, LIVE_PREFIX, runtime, log);
     this.directory = new ShardDirectory(this.mirror);
     this.cloud = new CloudClient(settings.cloud, settings.cloudLimits.rps, log, runtime);
     this.machineTypes = new MachineTypeCache({
       ...{ state: this.state, mirror: this.mirror, cloud: this.cloud, clock: runtime },
-      isLeading: () => this.membership.leading !== null,
-      onTypesChanged: () => this.holderLoop.nudge(),
+      isLeading: () => this.membership.leaderTerm !== null,
+      onTypesChanged: () => this.holderLoop.trigger(),
     });
-    this.peers = new PeerLink(
+    this.peers = new PeerTransport(
       settings.node,
       this.incarnation,
       settings.peerOn,
       settings.seeds,
       () => ({
         ...{ stateOk: this.state.available && this.mirror.loaded, fit: this.reachability.ok },
-        ...{ leaving: this.ownership.leaving, release: RELEASE, features: FEATURE_NAMES },
+        ...{ leaving: this.ownership.leaving, release: RELEASE_NUMBER, features: FEATURE_NAMES },
         limitsFallen: this.state.limits.fallen,
       }),
       runtime,
       log,
     );
-    this.switches = new Switches(this.mirror, new Set(FEATURE_NAMES));
+    this.switches = new FeatureGates(this.mirror, new Set(FEATURE_NAMES));
     this.ownership = new ShardOwnership({
       ...{ self: settings.node, incarnation: this.incarnation, ownShard: this.ownShard, state: this.state },
       ...{ mirror: this.mirror, peers: this.peers, directory: this.directory, runtime, log, trail: this.trail },
@@ -168,9 +175,9 @@
         verify: () => this.ownership.verify(),
         mayClaim: () =>
           this.ownership.mayTakeShards &&
-          (this.reachability.ok || !this.peers.names.some((peer) => this.ownership.canTakeShards(peer))),
+          (this.reachability.ok || !this.peers.peerNames.some((peer) => this.ownership.canTakeShards(peer))),
         mayLead: () => this.ownership.mayTakeShards,
-        paged: () => this.storageFormats.blockFormat === 'pages',
+        usesPages: () => this.storageFormats.blockFormat === 'pages',
         announcement: () => ANNOUNCEMENT,
       },
       runtime,
@@ -196,51 +203,52 @@
       this.mirror,
       settings.teams,
       {
-        types: () => this.machineTypes.list,
+        machineTypes: () => this.machineTypes.list,
         chooseShard: (spec, waits) => this.router.chooseShardFor(spec, waits),
-        pipelines: () => this.storageFormats.pipelines,
-        awaits: (id) => this.steward.awaits(id),
-        running: (id) => this.router.progressOf(id),
-        carried: (id, final, version) => this.cancellationPropagator.carried(id, final, version),
-        ended: (id, final) => {
+        supportsDependencies: () => this.storageFormats.pipelines,
+        unfinishedDependencies: (id) => this.steward.awaits(id),
+        progressOf: (id) => this.router.progressOf(id),
+        awaitAcknowledgement: (id, final, version) =>
+          this.cancellationPropagator.awaitAcknowledgement(id, final, version),
+        onJobEnded: (id, final) => {
           const { phase, done } = final;
-          this.trail?.note({ kind: 'ended', job: id, phase, done });
-          this.steward.over(id, final);
+          this.trail?.record({ kind: 'ended', job: id, phase, done });
+          this.steward.onJobFinal(id, final);
         },
       },
       runtime,
       log,
     );
     const { cancelMs, leaseMs } = settings.workers;
-    this.holderTimings = { cancelMs, leaseMs, nodeLeaseMs: LEASE_MS };
-    this.cancellationPropagator = new Carrier({
+    this.holderTimings = { cancelMs, leaseMs, nodeLeaseMs: NODE_LEASE_MS };
+    this.cancellationPropagator = new CancellationPropagator({
       ...{ self: settings.node, incarnation: this.incarnation, facts: this.holderTimings, runtime, log },
       ...{ state: this.state, mirror: this.mirror, directory: this.directory, peers: this.peers },
       others: settings.seeds.map((seed) => seed.node),
-      on: () => this.switches.on(CARRIED_CANCELLATIONS),
-      renewedAt: () => this.membership.heldUntilAtLeast,
+      enabled: () => this.switches.isOn(CARRIED_CANCELLATIONS),
+      leaseRenewedAt: () => this.membership.ownershipProvenAt,
       held: () => [...this.ownership.holders].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
-      ousted: (shard, version) => this.ownership.supersede(shard, version),
-      over: (id, final, version) => this.registry.remember(id, final, version),
+      onShardLost: (shard, version) => this.ownership.supersede(shard, version),
+      onJobEnded: (id, final, version) => this.registry.recordFinal(id, final, version),
     });
-    this.steward = new Steward({
+    this.steward = new DependencyTracker({
       ...{ registry: this.registry, mirror: this.mirror, runtime, log },
       holds: (shard) => this.ownership.holders.has(shard),
       ready: (id) => {
-        for (const holder of this.ownership.holders.values()) holder.onReady(id);
+        for (const holder of this.ownership.holders.values()) holder.onDependenciesDone(id);
       },
       objectives: settings.objectives,
-      begun: (id) => {
+      hasStarted: (id) => {
         const { running, done } = this.router.progressOf(id);
         return running + done > 0;
       },
       fetchS: (spec) => this.machineTypes.imageFetchS(spec),
     });
-    this.conductor = new Conductor({
+    this.conductor = new RolloutReconciler({
       ...{ features: FEATURES, state: this.state, mirror: this.mirror, runtime, log },
       nodes: [settings.node, ...settings.seeds.map((seed) => seed.node)].sort(),
-      leading: () => this.membership.leading,
-      leftOf: (feature) => this.storageFormats.remainingRecords(feature),
+      leaderTerm: () => this.membership.leaderTerm,
+      recordsToRevert: (feature) => this.storageFormats.remainingRecords(feature),
     });
     this.storageFormats = new StorageFormats({
       ...{ state: this.state, mirror: this.mirror, directory: this.directory },
@@ -263,12 +271,12 @@
       trail: this.trail,
       listLagMs: settings.cloudLimits.listLagMs,
       shards: this.directory,
-      leading: () => this.membership.leading,
+      leaderTerm: () => this.membership.leaderTerm,
       summaries: () => this.router.currentSummaries,
-      coming: () => this.steward.coming(),
+      upcomingJobs: () => this.steward.upcomingJobs(),
       types: () => this.machineTypes.all,
-      tell: (node, message) => this.sendToPeer(node, message),
-      nudge: () => this.leaderLoop.nudge(),
+      sendToPeer: (node, message) => this.sendToPeer(node, message),
+      requestRound: () => this.leaderLoop.trigger(),
     });
     this.leaderLoop = new ReconcileLoop('leader', 1000, runtime, log, () => this.leader.round(), 700);
     this.quotaLoop = new ReconcileLoop(
@@ -276,7 +284,7 @@
       QUOTA_INTERVAL_MS,
       runtime,
       log,
-      () => this.quotas.round(),
+      () => this.quotas.reconcile(),
       QUOTA_THROTTLE_MS,
     );
     this.holderLoop = new ReconcileLoop(
@@ -285,7 +293,7 @@
       runtime,
       log,
       () => {
-        for (const holder of this.ownership.holders.values()) holder.round();
+        for (const holder of this.ownership.holders.values()) holder.reconcile();
       },
       100,
       // Rounds pause in favour of reports: delaying a report by a plan is worse than delaying a plan by a report.
@@ -336,19 +344,19 @@
           operatorSettings: () => this.settingsStore.current,
         }),
     );
-    this.trail?.note({ kind: 'up' });
-    const handlers: Handlers = {
-      healthy: () => this.isHealthy(),
+    this.trail?.record({ kind: 'up' });
+    const handlers: RequestHandlers = {
+      isHealthy: () => this.isHealthy(),
       serve: (request) => this.userRequests.serve(request),
       report: (message) => this.onReport(message),
     };
     const app = createApp(handlers, admin, log);
     const incomingLimit = incomingConnectionLimit(settings.maxConnections);
     const { host, port } = settings.serveOn;
-    this.listener = listen(app, laneRoutes(handlers, log), { host, port }, incomingLimit, runtime, log);
+    this.listener = listen(app, fastPathRoutes(handlers, log), { host, port }, incomingLimit, runtime, log);
     void this.mirror.run();
     const sessionLoop = new ReconcileLoop('session', this.membership.renewEveryMs, runtime, log, () =>
-      this.membership.keep(),
+      this.membership.maintainLease(),
     );
     const claimLoop = new ReconcileLoop('claims', 200, runtime, log, () => this.reconcileClaims());
     const summaryLoop = new ReconcileLoop('summaries', SUMMARY_INTERVAL_MS, runtime, log, () =>
@@ -362,7 +370,7 @@
       ...{ reachability: this.reachability, runtime, log, reportMs: settings.workers.reportMs },
       blocks: () => this.directory.all,
       held: () => this.ownership.holders,
-      onVerdictChanged: () => this.peers.greet(),
+      onVerdictChanged: () => this.peers.broadcastHello(),
     };
     const reachabilityLoop = new ReconcileLoop('reachability', 200, runtime, log, () =>
       checkReachability(reachabilityDeps),
@@ -379,7 +387,7 @@
       this.holderLoop,
     );
     for (const loop of this.loops) loop.start();
-    sessionLoop.nudge();
+    sessionLoop.trigger();
     log.info({ serve: settings.serveOn, incarnation: this.incarnation }, 'wooddrift is up');
   }
 
@@ -389,7 +397,7 @@
     for (const holder of this.ownership.holders.values()) holder.drop();
     this.mirror.stop();
     this.peers.stop();
-    this.listener?.shut();
+    this.listener?.close();
     this.state.close();
   }
 
@@ -397,15 +405,15 @@
   private async reconcileClaims(): Promise<void> {
     if (!this.mirror.loaded) return;
     await this.membership.elect();
-    await this.membership.claim();
+    await this.membership.claimVacantShards();
     await this.ownership.reconcile();
-    await this.conductor.round();
+    await this.conductor.reconcile();
   }
 
   /** Whether the load balancer should send users to this node. */
   private isHealthy(): boolean {
     const ready = this.mirror.loaded && this.membership.registered;
-    const othersStateOk = this.peers.names.map((node) => this.peers.statusOf(node)?.stateOk ?? null);
+    const othersStateOk = this.peers.peerNames.map((node) => this.peers.statusOf(node)?.stateOk ?? null);
     const { mayTakeShards } = this.ownership;
     return this.healthCheck.check(
       { ready, mayTakeShards, stateOk: this.state.available, othersStateOk },
@@ -417,29 +425,29 @@
 
   /** Dispatches a change in the state service by its key. */
   private onChange(change: Change): void {
-    if (change.key.startsWith(JOBS)) {
-      this.steward.onJob(change);
+    if (change.key.startsWith(JOBS_PREFIX)) {
+      this.steward.onJobChange(change);
       for (const holder of this.ownership.holders.values()) holder.onJob(change);
-    } else if (change.key.startsWith(SHARDS)) this.ownership.onShard(change);
-    else if (change.key.startsWith(PAGES)) this.ownership.onPage(change);
-    else if (change.key.startsWith(PROGRESS))
-      this.ownership.holders.get(shardName(change.key.slice(PROGRESS.length)))?.onProgress(change);
-    else if (change.key.startsWith(QUOTAS)) this.onQuotaChange();
-    else if (change.key === TYPES) this.machineTypes.onChange(change);
+    } else if (change.key.startsWith(SHARDS_PREFIX)) this.ownership.onShard(change);
+    else if (change.key.startsWith(PAGES_PREFIX)) this.ownership.onPage(change);
+    else if (change.key.startsWith(PROGRESS_PREFIX))
+      this.ownership.holders.get(shardName(change.key.slice(PROGRESS_PREFIX.length)))?.onProgress(change);
+    else if (change.key.startsWith(QUOTAS_PREFIX)) this.onQuotaChange();
+    else if (change.key === MACHINE_TYPES_KEY) this.machineTypes.onChange(change);
   }
 
   /** Handles a change of quota shares: waiting tasks may be able to start, and shards may be able to give up shares. */
   private onQuotaChange(): void {
-    for (const holder of this.ownership.holders.values()) holder.soon();
-    this.quotaLoop.nudge();
+    for (const holder of this.ownership.holders.values()) holder.requestReplan();
+    this.quotaLoop.trigger();
   }
 
   /** Creates the holder of a shard that this node has claimed, with the faulty machines of the last summary. */
   private createHolder(shard: ShardName, version: Revision, value: ShardValue): ShardHolder {
-    const previous = this.membership.previousOf(shard);
+    const previous = this.membership.previousHoldersOf(shard);
     const lastMachines = this.router.lastSummary(shard)?.machines ?? [];
     const faulty = lastMachines.filter((machine) => machine.faulty).map((machine) => machine.id);
-    this.holderLoop.nudge();
+    this.holderLoop.trigger();
     return new ShardHolder(shard, version, value, previous, faulty, this.holderDeps());
   }
 
@@ -455,11 +463,11 @@
       registry: this.registry,
       pipelines: this.steward,
       quotas: {
-        capOf: (team, shard) => this.quotas.capOf(team, shard),
-        leftOf: (team) => this.quotas.leftOf(team),
+        shareLimitOf: (team, shard) => this.quotas.capOf(team, shard),
+        remainingOf: (team) => this.quotas.leftOf(team),
         account: (team) => this.quotas.account(team),
         isReturning: () => this.quotas.returning,
-        wanted: () => this.quotaLoop.nudge(),
+        reportWaitingWork: () => this.quotaLoop.trigger(),
       },
       runtime: this.runtime,
       sockets: this.sockets,
@@ -467,14 +475,14 @@
       trail: this.trail,
       types: () => this.machineTypes.all,
       operator: () => this.settingsStore.current,
-      heldUntil: () => this.membership.heldUntilAtLeast,
-      certain: () => this.membership.certain,
-      standing: () => this.cancellationPropagator.standing,
-      leftoverMs: leftoverForMs(this.holderTimings),
-      grouped: () => this.switches.on(GROUPED_PROGRESS),
-      nudge: () => this.holderLoop.nudge(),
+      exclusiveUntil: () => this.membership.ownershipProvenAt,
+      isExclusiveHolder: () => this.membership.leaseValid,
+      standing: () => this.cancellationPropagator.holderMode,
+      leftoverMs: leftoverAnswerMs(this.holderTimings),
+      grouped: () => this.switches.isOn(GROUPED_PROGRESS),
+      requestRound: () => this.holderLoop.trigger(),
       heard: () => this.reachability.heard(),
-      roomElsewhere: (from, spec, count) => this.router.findOtherShard(from, spec, count),
+      findShardWithCapacity: (from, spec, count) => this.router.findOtherShard(from, spec, count),
     };
   }
 
@@ -487,14 +495,14 @@
   private onReport(message: WorkerMessage): ReportReply {
     this.reachability.heard();
     for (const holder of this.ownership.holders.values()) {
-      if (holder.members.present(message.machine)) return holder.onReport(message);
+      if (holder.members.findPresent(message.machine)) return holder.onReport(message);
     }
     const shard = this.directory.shardOf(message.machine);
     const holderNode = shard === null ? undefined : this.directory.all.get(shard)?.value.holder;
     if (holderNode !== undefined)
       return { status: 421, body: encodeRedirect(holderNode === this.settings.node ? null : holderNode) };
-    if (this.membership.leading !== null) {
-      this.leader.noteUp(message);
+    if (this.membership.leaderTerm !== null) {
+      this.leader.recordUnleasedWorker(message);
       return { status: 421, body: encodeRedirect(null) };
     }
     const { leader } = this.membership;
@@ -504,9 +512,9 @@
   // ---- peers
 
   /** Dispatches a message of a peer. */
-  private onPeer(received: Received): void {
+  private onPeer(received: ReceivedMessage): void {
     const { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas } = this;
-    const requestQuotaRound = (): void => this.quotaLoop.nudge();
+    const requestQuotaRound = (): void => this.quotaLoop.trigger();
     handlePeerMessage(
       { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas, requestQuotaRound },
       received,
@@ -521,7 +529,7 @@
 
   /** Sends the summaries of the held shards to all peers. */
   private publishSummaries(): void {
-    this.state.writers = Math.max(1, this.membership.aliveCount);
+    this.state.writers = Math.max(1, this.membership.liveControllerCount);
     for (const holder of this.ownership.holders.values()) {
       const summary = holder.summary();
       this.router.recordSummary(summary);
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -1,9 +1,9 @@
 import type { SettingsStore } from '../admin/index.js';
-import type { Carrier } from '../carry/index.js';
+import type { CancellationPropagator } from '../carry/index.js';
 import type { Incarnation, NodeName } from '../kernel/index.js';
 import type { Membership } from '../membership/index.js';
-import type { PeerLink } from '../peers/index.js';
-import type { Steward } from '../pipelines/index.js';
+import type { PeerTransport } from '../peers/index.js';
+import type { DependencyTracker } from '../pipelines/index.js';
 import type { Mirror, StateClient } from '../state/index.js';
 import type { ShardOwnership } from './ownership.js';
 
@@ -15,17 +15,23 @@
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly settingsStore: SettingsStore;
-  readonly steward: Steward;
-  readonly cancellationPropagator: Carrier;
+  readonly steward: DependencyTracker;
+  readonly cancellationPropagator: CancellationPropagator;
   readonly ownership: ShardOwnership;
-  readonly peers: PeerLink;
+  readonly peers: PeerTransport;
 }
 
 /** The status of a node as shown by `admin status`. */
 export function nodeStatus({ node, incarnation, membership, state, settingsStore, ...deps }: StatusDeps): unknown {
   const { mirror, steward, cancellationPropagator, ownership, peers } = deps;
   return {
-    ...{ node, incarnation, leader: membership.leader, leading: membership.leading, stateAvailable: state.available },
+    ...{
+      node,
+      incarnation,
+      leader: membership.leader,
+      leading: membership.leaderTerm,
+      stateAvailable: state.available,
+    },
     ...{ watch: mirror.lag, held: ownership.held },
     settingsRevision: settingsStore.revision,
     stateLimits: { fallen: state.limits.fallen, writeRps: state.limits.writeRps },
--- a/src/service/types.ts
+++ b/src/service/types.ts
@@ -1,7 +1,14 @@
 import type { CloudClient, MachineType } from '../cloud/index.js';
 import type { JobSpec } from '../jobs/index.js';
 import type { Clock } from '../kernel/index.js';
-import { TYPES, Urgency, valueBytes, type Change, type Mirror, type StateClient } from '../state/index.js';
+import {
+  MACHINE_TYPES_KEY,
+  Urgency,
+  storedSizeBytes,
+  type Change,
+  type Mirror,
+  type StateClient,
+} from '../state/index.js';
 
 /** Interval at which the leader asks the cloud for the machine types. */
 const REFRESH_INTERVAL_MS = 30_000;
@@ -60,14 +67,19 @@
     const { state, mirror, cloud, clock } = this.deps;
     const now = clock.now();
     if (this.types.size > 0 && (!this.deps.isLeading() || now - this.lastFetchedAt < REFRESH_INTERVAL_MS)) return;
-    if (!mirror.loaded || (this.types.size > 0 && !cloud.mayCall())) return;
+    if (!mirror.loaded || (this.types.size > 0 && !cloud.canCall())) return;
     const types = await cloud.types();
     if (!types) return;
     this.lastFetchedAt = now;
     this.setTypes(types);
-    const stored = mirror.get(TYPES);
+    const stored = mirror.get(MACHINE_TYPES_KEY);
     // A list that is too large for one value is not stored; the other nodes then ask the cloud themselves.
-    if (JSON.stringify(stored?.value) === JSON.stringify(types) || valueBytes(types) > state.limits.valueBytes) return;
-    await state.txn(Urgency.progress, [{ key: TYPES, version: stored?.version ?? 0 }], [{ put: TYPES, value: types }]);
+    if (JSON.stringify(stored?.value) === JSON.stringify(types) || storedSizeBytes(types) > state.limits.maxValueBytes)
+      return;
+    await state.txn(
+      Urgency.progress,
+      [{ key: MACHINE_TYPES_KEY, version: stored?.version ?? 0 }],
+      [{ put: MACHINE_TYPES_KEY, value: types }],
+    );
   }
 }
--- a/src/service/users.ts
+++ b/src/service/users.ts
@@ -1,7 +1,7 @@
 import { PIPELINES } from '../rollout/index.js';
-import { encodeView, parseJobId, type JobRegistry, type JobSpec, type Outcome } from '../jobs/index.js';
+import { encodeJobView, parseJobId, type JobRegistry, type JobSpec, type JobRequestOutcome } from '../jobs/index.js';
 import { isObject, type JobId, type NodeName } from '../kernel/index.js';
-import type { AskOp, PeerLink } from '../peers/index.js';
+import type { ForwardedOperation, PeerTransport } from '../peers/index.js';
 
 /** A request of a user. */
 export type UserRequest =
@@ -19,12 +19,12 @@
 /** Longest wait for the response of a peer to a forwarded request. */
 const FORWARD_TIMEOUT_MS = 1200;
 
-const toUserResponse = (outcome: Outcome): UserResponse => {
+const toUserResponse = (outcome: JobRequestOutcome): UserResponse => {
   switch (outcome.kind) {
     case 'created':
-      return { status: 201, body: encodeView(outcome.view) };
+      return { status: 201, body: encodeJobView(outcome.view) };
     case 'known':
-      return { status: 200, body: encodeView(outcome.view) };
+      return { status: 200, body: encodeJobView(outcome.view) };
     case 'never':
       return { status: 422, body: { error: outcome.reason } };
     case 'malformed':
@@ -40,7 +40,7 @@
 export class UserRequestHandler {
   constructor(
     private readonly registry: JobRegistry,
-    private readonly peers: PeerLink,
+    private readonly peers: PeerTransport,
     private readonly ready: () => boolean,
     private readonly stateOk: () => boolean,
   ) {}
@@ -70,12 +70,12 @@
   private async forward(request: UserRequest): Promise<UserResponse | null> {
     // A release that does not know `awaits` would drop the dependencies and start the job too early.
     const hasDependencies = request.op === 'submit' && (request.awaits?.length ?? 0) > 0;
-    const peer = this.peers.names.find((node: NodeName) => {
+    const peer = this.peers.peerNames.find((node: NodeName) => {
       const status = this.peers.statusOf(node);
       return status?.stateOk === true && (!hasDependencies || status.features.includes(PIPELINES));
     });
     if (peer === undefined) return null;
-    const response = await this.peers.ask(peer, request.op, JSON.stringify(request), FORWARD_TIMEOUT_MS);
+    const response = await this.peers.forwardRequest(peer, request.op, JSON.stringify(request), FORWARD_TIMEOUT_MS);
     if (!response || response.status === 503) return null;
     try {
       return { status: response.status, body: JSON.parse(response.body) as unknown };
@@ -85,7 +85,7 @@
   }
 
   /** Serves a request that a peer has forwarded for its user. */
-  async onAsk(op: AskOp, body: string): Promise<{ status: number; body: string }> {
+  async onAsk(op: ForwardedOperation, body: string): Promise<{ status: number; body: string }> {
     let request: unknown;
     try {
       request = JSON.parse(body);
--- a/src/speculation/threshold.ts
+++ b/src/speculation/threshold.ts
@@ -55,7 +55,7 @@
  * Returns R, the larger excess of booked memory over omega and of booked cpus over phi. Resource use is taken to be the
  * booked share, averaged over the machines.
  */
-export function resourceR(
+export function resourceTerm(
   booked: readonly { readonly cpu: number; readonly memory: number }[],
   tunables: Pick<Tunables, 'omega' | 'phi'>,
 ): number {
@@ -109,7 +109,7 @@
 }
 
 /** A task that runs longer than the threshold allows. */
-export interface Flag {
+export interface StragglerFlag {
   readonly job: string;
   readonly index: number;
   readonly machine: string;
@@ -131,7 +131,7 @@
 }
 
 /** Returns the running tasks of one array whose estimated run time exceeds the threshold times the mean of all. */
-export function flagTasks(job: JobSnapshot, r: number, tunables: Tunables): Flag[] {
+export function flagStragglers(job: JobSnapshot, r: number, tunables: Tunables): StragglerFlag[] {
   if (job.running.length === 0) return [];
   const siblingMedianS = median(job.finishedRunsS);
   const runs = job.running.map((task) =>
@@ -150,7 +150,7 @@
     r,
     tunables,
   );
-  const flags: Flag[] = [];
+  const flags: StragglerFlag[] = [];
   job.running.forEach((task, i) => {
     const estimateS = runs[i] ?? 0;
     if (estimateS > thresholdRatio * meanRunS) {
@@ -174,18 +174,18 @@
  * a share of a job's running tasks is restarted.
  */
 export function chooseRestarts(
-  flags: readonly Flag[],
+  flags: readonly StragglerFlag[],
   runningPerJob: ReadonlyMap<string, number>,
   lateMachines: ReadonlySet<string>,
   tunables: Pick<Tunables, 'roundShare'>,
-): Flag[] {
+): StragglerFlag[] {
   const jobsPerMachine = new Map<string, Set<string>>();
   for (const flag of flags) {
     const jobs = jobsPerMachine.get(flag.machine) ?? new Set<string>();
     jobs.add(flag.job);
     jobsPerMachine.set(flag.machine, jobs);
   }
-  const chosen: Flag[] = [];
+  const chosen: StragglerFlag[] = [];
   const perJob = new Map<string, number>();
   for (const flag of [...flags].sort((a, b) => b.estimateS - a.estimateS)) {
     if (flag.restarted) continue;
--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -1,14 +1,14 @@
 import {
   HttpClient,
   type Address,
-  type Answer,
+  type HttpResult,
   type Logger,
   type Millis,
   type Revision,
   type Runtime,
 } from '../kernel/index.js';
-import { valueBytes } from './format.js';
-import { StateLimits, type StateFacts } from './limits.js';
+import { storedSizeBytes } from './format.js';
+import { EffectiveStateLimits, type StateServiceLimits } from './limits.js';
 import {
   decodeEntry,
   decodeLease,
@@ -94,17 +94,17 @@
   private readonly reads = new Map<string, Promise<ReadResult>>();
   /** Number of controllers that share the service's rate of changes. */
   writers = 1;
-  readonly limits: StateLimits;
+  readonly limits: EffectiveStateLimits;
 
   constructor(
     address: Address,
-    facts: StateFacts,
+    facts: StateServiceLimits,
     private readonly log: Logger,
     private readonly runtime: Runtime,
   ) {
     this.http = new HttpClient(address, 8, runtime);
     this.watchHttp = new HttpClient(address, 2, runtime);
-    this.limits = new StateLimits(facts);
+    this.limits = new EffectiveStateLimits(facts);
     this.allowance = facts.writeRps / 2;
     this.allowanceUpdatedAt = runtime.now();
     this.lastSuccessAt = runtime.now();
@@ -200,7 +200,7 @@
       method: 'GET',
       path: requestPaths.follow(prefix, after, waitMs),
       timeoutMs: waitMs + 4000,
-      maxBytes: 32 * 1024 * 1024,
+      maxResponseBytes: 32 * 1024 * 1024,
     });
     if (answer.kind !== 'answered') return null;
     if (answer.status === 410) return 'gone';
@@ -273,7 +273,9 @@
   /** Sends one write, and sends it again after a 429 until its deadline. */
   private async execute(queued: QueuedWrite): Promise<void> {
     const body = encodeTxn(queued.guards, queued.ops);
-    const oversized = queued.ops.find((op) => 'put' in op && valueBytes(op.value) > this.limits.presentValueKb * 1024);
+    const oversized = queued.ops.find(
+      (op) => 'put' in op && storedSizeBytes(op.value) > this.limits.currentMaxValueKb * 1024,
+    );
     if (oversized) {
       this.log.warn(
         { key: 'put' in oversized ? oversized.put : '' },
@@ -341,7 +343,7 @@
     path: string,
     body?: unknown,
     timeoutMs = REQUEST_TIMEOUT_MS,
-  ): Promise<Answer> {
+  ): Promise<HttpResult> {
     const answer = await this.http.call({ method, path, timeoutMs, ...(body === undefined ? {} : { body }) });
     if (answer.kind === 'failed' || answer.status === 503) this.failures += 1;
     else {
--- a/src/state/format.ts
+++ b/src/state/format.ts
@@ -11,20 +11,20 @@
 const VERSION_FIELD = 'v';
 
 /** Fields of a stored record, by name. */
-export type Fields = Readonly<Record<string, unknown>>;
-export const NO_FIELDS: Fields = {};
+export type RecordFields = Readonly<Record<string, unknown>>;
+export const NO_FIELDS: RecordFields = {};
 
 /** The format version of a stored record. */
-export function formatOf(value: unknown): number {
+export function formatVersionOf(value: unknown): number {
   const stored = isObject(value) ? value[VERSION_FIELD] : undefined;
   return typeof stored === 'number' && Number.isInteger(stored) && stored >= 1 ? stored : 1;
 }
 
 /** True when a later release wrote the record in a format that this program can't read. */
-export const isForeign = (value: unknown, newest: number): boolean => formatOf(value) > newest;
+export const isNewerFormat = (value: unknown, newest: number): boolean => formatVersionOf(value) > newest;
 
 /** The fields that this program doesn't know; it preserves them when it writes the record back. */
-export function unknownFields(value: Fields, known: ReadonlySet<string>): Fields {
+export function unknownFields(value: RecordFields, known: ReadonlySet<string>): RecordFields {
   let kept: Record<string, unknown> | undefined;
   for (const name of Object.keys(value)) {
     if (name !== VERSION_FIELD && !known.has(name)) (kept ??= {})[name] = value[name];
@@ -33,4 +33,4 @@
 }
 
 /** Size of a value in bytes, as the state service counts it. */
-export const valueBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
+export const storedSizeBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
--- a/src/state/freshness.ts
+++ b/src/state/freshness.ts
@@ -12,7 +12,7 @@
  * after the check began. Hundreds of polls thus cost a few requests per second instead of one each, from a rate limit
  * that all controllers share.
  */
-export class Freshness {
+export class FreshnessChecker {
   private next: Promise<boolean> | undefined;
   private sentAt: Millis;
 
@@ -25,7 +25,7 @@
   }
 
   /** True once the mirror is fresh. False when that is not known: the caller must read the key. */
-  ensure(): Promise<boolean> {
+  waitUntilFresh(): Promise<boolean> {
     if (!this.mirror.loaded) return Promise.resolve(false);
     this.next ??= this.ask();
     return this.next;
--- a/src/state/limits.ts
+++ b/src/state/limits.ts
@@ -1,7 +1,7 @@
 import type { Millis } from '../kernel/index.js';
 
 /** The state service's configured limits: requests and changes per second, KiB per value, changes per transaction. */
-export interface StateFacts {
+export interface StateServiceLimits {
   readonly rps: number;
   readonly writeRps: number;
   readonly valueKb?: number;
@@ -21,11 +21,11 @@
  * they don't depend on noticing the switch in time. Changes per second are scarce: the higher rate is used until the
  * service refuses changes within it, here or at a peer. Limits never rise again.
  */
-export class StateLimits {
+export class EffectiveStateLimits {
   private refusals: Millis[] = [];
   private lowered = false;
 
-  constructor(private readonly facts: StateFacts) {}
+  constructor(private readonly facts: StateServiceLimits) {}
 
   /** True once the lower limits are known to be in force. */
   get fallen(): boolean {
@@ -44,12 +44,12 @@
   }
 
   /** Largest value in bytes that is valid under the current and the lower limits. */
-  get valueBytes(): number {
-    return 1024 * Math.min(this.presentValueKb, this.facts.next?.valueKb ?? Infinity);
+  get maxValueBytes(): number {
+    return 1024 * Math.min(this.currentMaxValueKb, this.facts.next?.valueKb ?? Infinity);
   }
 
   /** Largest value in KiB under the current limits, for records that older releases must read. */
-  get presentValueKb(): number {
+  get currentMaxValueKb(): number {
     const { valueKb = Infinity, next } = this.facts;
     return this.lowered && next ? Math.min(valueKb, next.valueKb) : valueKb;
   }
@@ -60,7 +60,7 @@
   }
 
   /** Guards per transaction that are valid under the current and the lower limits. */
-  get conditions(): number {
+  get maxGuards(): number {
     return MAX_GUARDS_PER_CHANGE * this.txnOps;
   }
 
--- a/src/state/wire.ts
+++ b/src/state/wire.ts
@@ -1,4 +1,4 @@
-import { asCount, asList, asString, isObject, revision, type Revision } from '../kernel/index.js';
+import { asNonNegativeInteger, asArray, asString, isObject, revision, type Revision } from '../kernel/index.js';
 
 /**
  * Wire format of the state service. Its names differ from ours: `path` is a key, `stamp` the version of a key, `epoch`
@@ -48,14 +48,14 @@
 export function decodeEntry(body: unknown): Entry | null {
   if (!isObject(body)) return null;
   const key = asString(body['path']);
-  const stamp = asCount(body['stamp']);
+  const stamp = asNonNegativeInteger(body['stamp']);
   if (key === undefined || stamp === undefined) return null;
   return { key, value: body['value'], version: revision(stamp) };
 }
 
 /** The service's revision from an answer; null when it is malformed. */
 export function decodeRevision(body: unknown): Revision | null {
-  const epoch = isObject(body) ? asCount(body['epoch']) : undefined;
+  const epoch = isObject(body) ? asNonNegativeInteger(body['epoch']) : undefined;
   return epoch === undefined ? null : revision(epoch);
 }
 
@@ -64,7 +64,7 @@
   const at = decodeRevision(body);
   if (at === null || !isObject(body)) return null;
   const entries: Entry[] = [];
-  for (const item of asList(body['entries'])) {
+  for (const item of asArray(body['entries'])) {
     const entry = decodeEntry(item);
     if (entry === null) return null;
     entries.push(entry);
@@ -77,9 +77,9 @@
   const at = decodeRevision(body);
   if (at === null || !isObject(body)) return null;
   const changes: Change[] = [];
-  for (const item of asList(body['log'])) {
+  for (const item of asArray(body['log'])) {
     if (!isObject(item)) return null;
-    const stamp = asCount(item['stamp']);
+    const stamp = asNonNegativeInteger(item['stamp']);
     const put = asString(item['write']);
     const removed = asString(item['remove']);
     if (stamp === undefined || (put === undefined && removed === undefined)) return null;
@@ -98,7 +98,7 @@
 
 /** The id of a granted lease; null when the answer is malformed. */
 export function decodeLease(body: unknown): number | null {
-  const id = isObject(body) ? asCount(body['mooring']) : undefined;
+  const id = isObject(body) ? asNonNegativeInteger(body['mooring']) : undefined;
   return id ?? null;
 }
 
--- a/src/trail/trail.ts
+++ b/src/trail/trail.ts
@@ -24,7 +24,7 @@
   ) {}
 
   /** Appends an event with its number and time; overwrites the oldest event when the buffer is full. */
-  note(event: TrailEvent): void {
+  record(event: TrailEvent): void {
     const numbered = { n: this.next, at: this.clock.wall(), ...event };
     this.ringBuffer[(this.next - 1) % this.capacity] = numbered;
     this.next += 1;
--- a/src/workers/belief.ts
+++ b/src/workers/belief.ts
@@ -2,8 +2,8 @@
   millis,
   sequence,
   session,
-  token,
-  withDrift,
+  fencingToken,
+  withClockDriftMargin,
   type Attempt,
   type MachineId,
   type Millis,
@@ -11,9 +11,9 @@
   type Sequence,
   type Session,
   type TaskKey,
-  type Token,
+  type FencingToken,
 } from '../kernel/index.js';
-import type { Mentions } from './task-index.js';
+import type { TaskIndexListener } from './task-index.js';
 import type { ListedTask, WorkerMessage } from './wire.js';
 
 /** True when a message is newer than a position: of a later session, or later in the same session. */
@@ -26,24 +26,25 @@
 export const TOKENS_PER_REVISION = 2 ** 20;
 
 /** The fencing token of a machine's holder. Revisions only grow, so a later holder always has the higher token. */
-export const tokenOf = (base: Revision, increment: number): Token => token(base * TOKENS_PER_REVISION + increment);
+export const fencingTokenOf = (base: Revision, increment: number): FencingToken =>
+  fencingToken(base * TOKENS_PER_REVISION + increment);
 
 /** A start that was sent, or is about to be, and whose outcome is not known yet. */
 interface PendingStart {
   readonly attempt: Attempt;
-  readonly token: Token;
+  readonly token: FencingToken;
   readonly session: Session;
 }
 
 /** What became of a message: applied, ignored as old, or evidence that another holder has a higher token. */
-export type Verdict = 'taken' | 'stale' | 'superseded';
+export type MessageOutcome = 'taken' | 'stale' | 'superseded';
 
 /** The newest message that was known of a worker at some moment. */
 export interface MessagePosition {
   readonly session: Session;
   readonly sequence: Sequence;
   /** The highest token that the worker has acknowledged. */
-  readonly token: Token;
+  readonly token: FencingToken;
 }
 
 /**
@@ -57,14 +58,14 @@
  * message, an acknowledged higher token, a new session or the end of the lease settles it. Pure: it uses neither clock
  * nor network. A test compares it with a reference model under random interleavings.
  */
-export class MachineBelief {
+export class WorkerTracker {
   /** How often the token has been raised since `base`. */
   private increment = 0;
   /** The tasks that the worker's newest message lists. */
   private listedTasks = new Map<TaskKey, ListedTask>();
   private readonly starts = new Map<TaskKey, PendingStart>();
   /** The highest token that the worker has acknowledged in its present life. */
-  private ackedToken = token(0);
+  private ackedToken = fencingToken(0);
   /** Session and sequence of the newest message. */
   private at: { session: Session; sequence: Sequence } = { session: session(0), sequence: sequence(0) };
   /** The newest session whose lease is over, 0 when there is none; messages up to it are ignored. */
@@ -72,7 +73,7 @@
   /** The latest time at which the worker's lease can have begun or been renewed, by any controller. */
   lastAnswerAt: Millis;
   /** When a report or an answer was last applied. */
-  lastHeardAt: Millis;
+  lastMessageAt: Millis;
   /** When a report was last applied. Answers to commands don't show whether the worker can renew its lease. */
   lastReportAt: Millis;
   /** Number of changes to what may be on the machine. */
@@ -80,17 +81,17 @@
   /** Stale messages since the last newer one. */
   private staleMessages = 0;
   /** Reports with a lower token are ignored: they are copies from before the worker restarted. */
-  private floor = token(0);
+  private floor = fencingToken(0);
 
   constructor(
     /** The revision of the shard key from which the token is derived. */
     private base: Revision,
     now: Millis,
     /** Kept up to date with every task that is listed or pending here. */
-    private readonly index: { readonly mentions: Mentions; readonly machine: MachineId } | null = null,
+    private readonly index: { readonly listener: TaskIndexListener; readonly machine: MachineId } | null = null,
   ) {
     this.lastAnswerAt = now;
-    this.lastHeardAt = millis(now);
+    this.lastMessageAt = millis(now);
     this.lastReportAt = millis(now);
   }
 
@@ -101,12 +102,12 @@
 
   /** Removes a task from the index unless it is still listed or pending. */
   private drop(key: TaskKey): void {
-    if (!this.names(key)) this.index?.mentions.leave(key, this.index.machine);
+    if (!this.names(key)) this.index?.listener.leave(key, this.index.machine);
   }
 
   /** Adds a task to the index. */
   private addToIndex(key: TaskKey): void {
-    this.index?.mentions.enter(key, this.index.machine);
+    this.index?.listener.enter(key, this.index.machine);
   }
 
   /** True when the task is listed, exited tasks included, or a start of it is pending. */
@@ -115,8 +116,8 @@
   }
 
   /** The holder's present fencing token for this machine. */
-  get token(): Token {
-    return tokenOf(this.base, this.increment);
+  get token(): FencingToken {
+    return fencingTokenOf(this.base, this.increment);
   }
 
   /** The worker's newest known session; 0 when none is known. */
@@ -145,7 +146,7 @@
   }
 
   /** True when this task may be on the machine. An exited task is not. */
-  possibly(key: TaskKey): boolean {
+  mayHaveTask(key: TaskKey): boolean {
     if (this.starts.has(key)) return true;
     const listed = this.listedTasks.get(key);
     return listed !== undefined && listed.state !== 'exited';
@@ -164,12 +165,12 @@
   }
 
   /** True when only stale messages have come for a while. A probe then shows whether the worker has restarted. */
-  get doubted(): boolean {
+  get needsProbe(): boolean {
     return this.staleMessages >= STALE_MESSAGES_TO_PROBE;
   }
 
   /** Records a start. Must be called before the command is sent. */
-  noteStart(key: TaskKey, attempt: Attempt): void {
+  recordStart(key: TaskKey, attempt: Attempt): void {
     this.changes += 1;
     if (!this.names(key)) this.addToIndex(key);
     this.starts.set(key, { attempt, token: this.token, session: this.at.session });
@@ -193,7 +194,7 @@
    * The machine has returned to the shard by a change of this revision. The new token is higher than any that other
    * holders have used for it in between.
    */
-  rebase(base: Revision): void {
+  rebaseToken(base: Revision): void {
     if (base > this.base) [this.base, this.increment] = [base, 0];
     else this.raiseToken();
     this.changes += 1;
@@ -204,17 +205,17 @@
    * restarted answers with a newer message and no lower token. Otherwise it has restarted and counts sessions and
    * sequence numbers from the start again: its earlier tasks and connections are gone.
    */
-  takeAnswer(message: WorkerMessage, sent: MessagePosition, now: Millis): Verdict {
+  applyAnswer(message: WorkerMessage, sent: MessagePosition, now: Millis): MessageOutcome {
     if (message.token <= this.token && (!isAfter(message, sent) || message.token < sent.token)) this.handleRestart(now);
     return this.applyIfNewer(message, now);
   }
 
   /** Discards what is known of the worker's earlier life. */
   private handleRestart(now: Millis): void {
-    this.expire();
+    this.expireLease();
     this.expiredSession = session(0);
     this.at = { session: session(0), sequence: sequence(0) };
-    this.ackedToken = token(0);
+    this.ackedToken = fencingToken(0);
     // Delayed copies of messages from before the restart have lower tokens than any report that is valid from now on.
     this.raiseToken();
     this.floor = this.token;
@@ -222,7 +223,7 @@
   }
 
   /** Applies a report, or another message that may be a delayed copy. */
-  take(message: WorkerMessage, now: Millis): Verdict {
+  applyReport(message: WorkerMessage, now: Millis): MessageOutcome {
     if (message.token >= this.floor && !this.omitsLiveTask(message)) {
       const outcome = this.applyIfNewer(message, now);
       if (outcome === 'taken') this.lastReportAt = now;
@@ -249,7 +250,7 @@
   }
 
   /** Applies a message if it is newer than the newest known one. */
-  private applyIfNewer(message: WorkerMessage, now: Millis): Verdict {
+  private applyIfNewer(message: WorkerMessage, now: Millis): MessageOutcome {
     if (message.token > this.token) return 'superseded';
     // A worker's token never falls until it restarts: such a message is from another life, whatever its session is.
     const tokenFell = message.token < this.ackedToken;
@@ -263,7 +264,7 @@
     if (message.session > this.at.session) this.answered(now);
     this.at = { session: message.session, sequence: message.sequence };
     this.ackedToken = message.token;
-    this.lastHeardAt = now;
+    this.lastMessageAt = now;
     if (this.starts.size === 0 && this.listsSameTasks(message.tasks)) return 'taken';
     const before = this.listedTasks;
     this.listedTasks = new Map(message.tasks.map((task) => [task.key, task]));
@@ -296,12 +297,12 @@
   }
 
   /** The time by which the worker has killed all its tasks, provided that no other controller renewed its lease. */
-  expiresAt(leaseMs: number): Millis {
-    return millis(this.lastAnswerAt + withDrift(leaseMs) + 250);
+  leaseExpiresAt(leaseMs: number): Millis {
+    return millis(this.lastAnswerAt + withClockDriftMargin(leaseMs) + 250);
   }
 
   /** The worker's lease is over: its tasks are gone, and it ignores commands for its old session. */
-  expire(): void {
+  expireLease(): void {
     const before = new Set([...this.listedTasks.keys(), ...this.starts.keys()]);
     this.listedTasks.clear();
     this.starts.clear();
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -7,7 +7,7 @@
   type Runtime,
   type SocketBudget,
 } from '../kernel/index.js';
-import type { MachineBelief } from './belief.js';
+import type { WorkerTracker } from './belief.js';
 import { decodeMessage, encodeCommands, type Order, type WorkerMessage } from './wire.js';
 
 const COMMAND_TIMEOUT_MS = 2500;
@@ -36,7 +36,7 @@
 
   constructor(
     readonly machine: MachineId,
-    private readonly tracker: MachineBelief,
+    private readonly tracker: WorkerTracker,
     private readonly runtime: Runtime,
     private readonly log: Logger,
     private readonly hooks: CommandSenderHooks,
@@ -60,7 +60,7 @@
 
   /** True when no command is in flight, a connection can be used, and the backoff after a failure is over. */
   ready(): boolean {
-    if (this.busy || !this.client || !(this.client.connected || this.sockets.room)) return false;
+    if (this.busy || !this.client || !(this.client.connected || this.sockets.hasRoom)) return false;
     if (this.failedAt === undefined) return true;
     return this.runtime.now() - this.failedAt > Math.min(2000, 200 * 2 ** Math.min(4, this.failures));
   }
@@ -121,7 +121,7 @@
         if (starts.length > 0) this.tracker.raiseToken();
         return;
       }
-      const outcome = this.tracker.takeAnswer(message, sent, this.runtime.now());
+      const outcome = this.tracker.applyAnswer(message, sent, this.runtime.now());
       // An answered command was executed as a whole (200) or not at all (409), which settles its starts. A stale answer
       // doesn't settle them: the message that overtook it may be a copy from before a restart, which doesn't list them.
       if (outcome !== 'stale') this.tracker.settleStarts(starts);
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -6,7 +6,7 @@
 /** Most that the time between two checks adds to a silence: a process that was suspended has not listened either. */
 const MAX_COUNTED_GAP_MS = 400;
 /** Machines that are probed per round, to find out whether this node is cut off. */
-export const PROBES = 5;
+export const PROBES_PER_ROUND = 5;
 /** Successful rounds of probes in a row before this node is no longer considered cut off. */
 const ROUNDS_TO_RECOVER = 2;
 
@@ -40,7 +40,7 @@
   }
 
   /** Called periodically; says whether some workers should be probed now. */
-  look(now: Millis, machines: number, reportMs: number): ProbeNeed {
+  check(now: Millis, machines: number, reportMs: number): ProbeNeed {
     this.silenceMs += Math.min(MAX_COUNTED_GAP_MS, now - this.lastCheckAt);
     this.lastCheckAt = millis(now);
     if (this.cutOff) return 'probe';
@@ -55,7 +55,7 @@
   }
 
   /** Evaluates a round of probes. Returns true when `ok` has changed. */
-  probed(asked: number, answered: number): boolean {
+  recordProbes(asked: number, answered: number): boolean {
     if (asked === 0) return false;
     if (!this.cutOff) {
       if (answered * 5 > asked) {
--- a/src/workers/task-index.ts
+++ b/src/workers/task-index.ts
@@ -1,7 +1,7 @@
 import { parseTaskKey, type JobId, type MachineId, type TaskKey } from '../kernel/index.js';
 
 /** Receives from each machine's tracker which tasks are listed or pending there. */
-export interface Mentions {
+export interface TaskIndexListener {
   /** The machine lists the task, or a start of it is pending there. */
   enter(key: TaskKey, machine: MachineId): void;
   /** The task is neither listed nor pending on the machine any more. */
@@ -14,7 +14,7 @@
  * Index from tasks to the machines of a block that list them or have a start of them pending. Exited tasks are
  * included. It is queried for every start and for every job that ends, so a query must not iterate over the block.
  */
-export class TaskIndex implements Mentions {
+export class TaskIndex implements TaskIndexListener {
   private readonly jobs = new Map<JobId, Map<TaskKey, Set<MachineId>>>();
 
   enter(key: TaskKey, machine: MachineId): void {
@@ -37,7 +37,7 @@
   }
 
   /** The machines that list a task or have a start of it pending. */
-  machinesOf(key: TaskKey): ReadonlySet<MachineId> {
+  machinesOfTask(key: TaskKey): ReadonlySet<MachineId> {
     const job = parseTaskKey(key)?.job;
     return (job === undefined ? undefined : this.jobs.get(job)?.get(key)) ?? NO_MACHINES;
   }
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -1,6 +1,6 @@
 import {
-  asCount,
-  asList,
+  asNonNegativeInteger,
+  asArray,
   asNumber,
   asString,
   attempt,
@@ -9,7 +9,7 @@
   parseTaskKey,
   sequence,
   session,
-  token,
+  fencingToken,
   type Attempt,
   type JobId,
   type MachineId,
@@ -17,7 +17,7 @@
   type Sequence,
   type Session,
   type TaskKey,
-  type Token,
+  type FencingToken,
 } from '../kernel/index.js';
 
 /**
@@ -73,7 +73,7 @@
   readonly session: Session;
   readonly sequence: Sequence;
   /** The highest fencing token that the worker has received. */
-  readonly token: Token;
+  readonly token: FencingToken;
   /** Seconds until the cloud reclaims the machine; null without a notice. */
   readonly noticeS: number | null;
   readonly tasks: readonly ListedTask[];
@@ -89,17 +89,17 @@
 export function decodeMessage(body: unknown): WorkerMessage | null {
   if (!isObject(body)) return null;
   const machine = asString(body['drifter']);
-  const tide = asCount(body['tide']);
-  const tally = asCount(body['tally']);
-  const helm = asCount(body['helm']);
+  const tide = asNonNegativeInteger(body['tide']);
+  const tally = asNonNegativeInteger(body['tally']);
+  const helm = asNonNegativeInteger(body['helm']);
   if (machine === undefined || machine === '' || tide === undefined || tally === undefined || helm === undefined)
     return null;
   const tasks: ListedTask[] = [];
-  for (const item of asList(body['pieces'])) {
+  for (const item of asArray(body['pieces'])) {
     if (!isObject(item)) return null;
     const key = asString(item['piece']) ?? '';
     const named = parseTaskKey(key);
-    const launch = asCount(item['launch']);
+    const launch = asNonNegativeInteger(item['launch']);
     const state = TASK_STATES[asString(item['phase']) ?? ''];
     if (!named || launch === undefined || state === undefined) return null;
     tasks.push({
@@ -119,7 +119,7 @@
     spot: body['flotsam'] === true,
     session: session(tide),
     sequence: sequence(tally),
-    token: token(helm),
+    token: fencingToken(helm),
     noticeS: asNumber(body['recall_s']) ?? null,
     tasks,
   };
@@ -132,13 +132,13 @@
 }
 
 /** Body of the answer to a report, which renews the worker's lease. */
-export const encodeReply = (helm: Token, orders: readonly Order[]): unknown => ({
+export const encodeReply = (helm: FencingToken, orders: readonly Order[]): unknown => ({
   helm,
   orders: orders.map(encodeOrder),
 });
 
 /** Body of a command, which the worker executes only in this session and under no higher token. */
-export const encodeCommands = (helm: Token, tide: Session, orders: readonly Order[]): unknown => ({
+export const encodeCommands = (helm: FencingToken, tide: Session, orders: readonly Order[]): unknown => ({
   helm,
   tide,
   orders: orders.map(encodeOrder),
--- a/test/belief.test.ts
+++ b/test/belief.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { attempt, jobId, millis, revision, taskKey, type TaskKey, type Token } from '../src/kernel/index.js';
-import { MachineBelief, type Order, type MessagePosition, type WorkerMessage } from '../src/workers/index.js';
+import { attempt, jobId, millis, revision, taskKey, type TaskKey, type FencingToken } from '../src/kernel/index.js';
+import { WorkerTracker, type Order, type MessagePosition, type WorkerMessage } from '../src/workers/index.js';
 import { StandInWorker } from './standins/worker.js';
 
 const LEASE_MS = 10_000;
@@ -11,7 +11,7 @@
 
 interface Packet {
   readonly machine: number;
-  readonly helm: Token;
+  readonly helm: FencingToken;
   readonly tide: number;
   readonly orders: readonly Order[];
   readonly sent: MessagePosition;
@@ -26,7 +26,7 @@
  */
 class Simulation {
   readonly workers = [new StandInWorker('m0'), new StandInWorker('m1')];
-  trackers: MachineBelief[] = [];
+  trackers: WorkerTracker[] = [];
   /** Machines that the present holder has not fenced yet. */
   unfenced = new Set<number>();
   packets: Packet[] = [];
@@ -55,7 +55,7 @@
     this.revision += 1;
     for (const packet of this.packets) packet.abandoned = true;
     this.lost.clear();
-    this.trackers = this.workers.map(() => new MachineBelief(revision(this.revision), millis(this.now)));
+    this.trackers = this.workers.map(() => new WorkerTracker(revision(this.revision), millis(this.now)));
     this.unfenced = new Set([0, 1]);
   }
 
@@ -71,7 +71,7 @@
     this.revision += 1;
     const { tasks } = worker.report();
     const stops = tasks.map(({ key, attempt: number }) => ({ op: 'stop' as const, key, attempt: number, graceS: 0 }));
-    worker.onReply(new MachineBelief(revision(this.revision), millis(this.now)).token, stops);
+    worker.onReply(new WorkerTracker(revision(this.revision), millis(this.now)).token, stops);
     this.answeredAt[machine] = this.now;
   }
 
@@ -79,14 +79,14 @@
   back(machine: number): void {
     if (!this.missing.delete(machine)) return;
     this.revision += 1;
-    this.trackers[machine]?.rebase(revision(this.revision));
+    this.trackers[machine]?.rebaseToken(revision(this.revision));
   }
 
   take(machine: number, message: WorkerMessage): void {
     const tracker = this.trackers[machine];
     assert.ok(tracker);
     if (this.missing.has(machine)) return;
-    if (tracker.take(message, millis(this.now)) === 'taken') this.lost.delete(machine);
+    if (tracker.applyReport(message, millis(this.now)) === 'taken') this.lost.delete(machine);
     if (tracker.fenced) this.unfenced.delete(machine);
   }
 
@@ -100,10 +100,10 @@
       this.packets.some((p) => p.machine === machine && !p.abandoned)
     )
       return;
-    if (this.trackers.some((b) => b.possibly(key) || b.tasks.get(key)?.why === 'done')) return;
+    if (this.trackers.some((b) => b.mayHaveTask(key) || b.tasks.get(key)?.why === 'done')) return;
     this.attempts += 1;
     const number = attempt(this.revision * 2 ** 20 + this.attempts);
-    tracker.noteStart(key, number);
+    tracker.recordStart(key, number);
     this.send(machine, [{ op: 'start', key, attempt: number }]);
   }
 
@@ -133,7 +133,7 @@
     assert.ok(tracker);
     const starts = packet.orders.filter((o) => o.op === 'start').map((o) => o.key);
     // As in CommandSender.send.
-    const verdict = tracker.takeAnswer(answer.message, packet.sent, millis(this.now));
+    const verdict = tracker.applyAnswer(answer.message, packet.sent, millis(this.now));
     if (verdict === 'taken') this.lost.delete(packet.machine);
     if (verdict !== 'stale') tracker.settleStarts(starts);
     else if (starts.length > 0) tracker.raiseToken();
@@ -184,8 +184,8 @@
     }
     const tracker = this.trackers[machine];
     const marginMs = this.missing.has(machine) ? 2 * REPORT_MS : 0;
-    if (tracker && this.now >= tracker.expiresAt(LEASE_MS) + marginMs) {
-      tracker.expire();
+    if (tracker && this.now >= tracker.leaseExpiresAt(LEASE_MS) + marginMs) {
+      tracker.expireLease();
       this.lost.add(machine);
       this.unfenced.delete(machine);
     }
@@ -198,7 +198,7 @@
       assert.ok(on <= 1, `${key} is on ${on} machines`);
       this.workers.forEach((worker, index) => {
         if (!worker.isOn(key) || this.unfenced.has(index)) return;
-        assert.ok(this.trackers[index]?.possibly(key), `${key} is on m${index}, but its tracker rules that out`);
+        assert.ok(this.trackers[index]?.mayHaveTask(key), `${key} is on m${index}, but its tracker rules that out`);
       });
     }
   }
@@ -263,25 +263,25 @@
 
 test('a task whose start timed out may be on the machine until a higher token is acknowledged', () => {
   const worker = new StandInWorker('m0');
-  const tracker = new MachineBelief(revision(5), millis(0));
+  const tracker = new WorkerTracker(revision(5), millis(0));
   const key = KEYS[0] as TaskKey;
   worker.onReply(tracker.token, []);
-  tracker.take(worker.report(), millis(1));
+  tracker.applyReport(worker.report(), millis(1));
   assert.ok(tracker.fenced);
-  tracker.noteStart(key, attempt(1));
+  tracker.recordStart(key, attempt(1));
   tracker.raiseToken();
-  tracker.take(worker.report(), millis(2));
-  assert.ok(tracker.possibly(key), 'a report under the old token settles nothing: the command may still arrive');
+  tracker.applyReport(worker.report(), millis(2));
+  assert.ok(tracker.mayHaveTask(key), 'a report under the old token settles nothing: the command may still arrive');
   worker.onReply(tracker.token, []);
-  tracker.take(worker.report(), millis(3));
-  assert.ok(!tracker.possibly(key));
+  tracker.applyReport(worker.report(), millis(3));
+  assert.ok(!tracker.mayHaveTask(key));
 });
 
 test('the lease of a session known only from the answer to a command lasts from that answer on', () => {
   const worker = new StandInWorker('m0');
-  const tracker = new MachineBelief(revision(5), millis(0));
+  const tracker = new WorkerTracker(revision(5), millis(0));
   worker.onReply(tracker.token, []);
-  tracker.take(worker.report(), millis(1));
+  tracker.applyReport(worker.report(), millis(1));
   tracker.answered(millis(1));
   // Cut off for three leases: the worker's sessions expire and begin without the holder's knowledge. Then a command
   // reaches the worker.
@@ -289,25 +289,25 @@
   worker.expire();
   worker.expire();
   const now = 3 * LEASE_MS;
-  tracker.take(worker.onCommands(tracker.token, 0, []).message, millis(now));
+  tracker.applyReport(worker.onCommands(tracker.token, 0, []).message, millis(now));
   const key = KEYS[0] as TaskKey;
-  tracker.noteStart(key, attempt(1));
-  tracker.take(
+  tracker.recordStart(key, attempt(1));
+  tracker.applyReport(
     worker.onCommands(tracker.token, tracker.session, [{ op: 'start', key, attempt: attempt(1) }]).message,
     millis(now),
   );
   assert.ok(worker.isOn(key));
-  assert.ok(tracker.expiresAt(LEASE_MS) >= now + LEASE_MS, 'the lease is not over while the task may run');
+  assert.ok(tracker.leaseExpiresAt(LEASE_MS) >= now + LEASE_MS, 'the lease is not over while the task may run');
 });
 
 test('an older message never replaces a newer one, and a higher token shows that another holder has taken over', () => {
   const worker = new StandInWorker('m0');
-  const tracker = new MachineBelief(revision(5), millis(0));
+  const tracker = new WorkerTracker(revision(5), millis(0));
   const first = worker.report();
   worker.onReply(tracker.token, [{ op: 'start', key: KEYS[0] as TaskKey, attempt: attempt(1) }]);
-  assert.equal(tracker.take(worker.report(), millis(1)), 'taken');
-  assert.equal(tracker.take(first, millis(2)), 'stale');
-  assert.ok(tracker.possibly(KEYS[0] as TaskKey));
-  worker.onReply(new MachineBelief(revision(6), millis(0)).token, []);
-  assert.equal(tracker.take(worker.report(), millis(3)), 'superseded');
+  assert.equal(tracker.applyReport(worker.report(), millis(1)), 'taken');
+  assert.equal(tracker.applyReport(first, millis(2)), 'stale');
+  assert.ok(tracker.mayHaveTask(KEYS[0] as TaskKey));
+  worker.onReply(new WorkerTracker(revision(6), millis(0)).token, []);
+  assert.equal(tracker.applyReport(worker.report(), millis(3)), 'superseded');
 });
--- a/test/carry.test.ts
+++ b/test/carry.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {
   answerGraceMs,
-  leftoverForMs,
+  leftoverAnswerMs,
   unacknowledgedHolders,
   ownershipConfirmedAt,
   holderModeAt,
@@ -138,7 +138,7 @@
   // The earliest time at which another node can have told a user, and the workers' lease after the last answer.
   const earliestToldMs = TIMINGS.nodeLeaseMs / 1.002;
   assert.ok(answerGraceMs(TIMINGS) + TIMINGS.leaseMs < earliestToldMs + TIMINGS.cancelMs);
-  assert.ok(leftoverForMs(TIMINGS) + TIMINGS.leaseMs < TIMINGS.cancelMs);
+  assert.ok(leftoverAnswerMs(TIMINGS) + TIMINGS.leaseMs < TIMINGS.cancelMs);
   const tight = { cancelMs: 10_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
   assert.ok(
     answerGraceMs(tight) > 0,
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -15,16 +15,16 @@
   type TaskKey,
 } from '../src/kernel/index.js';
 import {
-  blockLimit,
+  maxBlockMachines,
   decodeShard,
-  earlierHolders,
+  previousHolders,
   encodeShard,
   ShardDirectory,
   type ShardValue,
 } from '../src/membership/index.js';
-import { Freshness, LIVE, Mirror, shardKey, StateClient } from '../src/state/index.js';
-import { MachineBelief, TaskIndex } from '../src/workers/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { FreshnessChecker, LIVE_PREFIX, Mirror, shardKey, StateClient } from '../src/state/index.js';
+import { WorkerTracker, TaskIndex } from '../src/workers/index.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 import { StandInWorker } from './standins/worker.js';
 
 const shard = (over: Partial<ShardValue>): ShardValue => ({
@@ -50,7 +50,7 @@
         const ids = [0, 1, 2].map((i) => machineId(`m${i}`));
         const workers = ids.map((id) => new StandInWorker(id));
         const trackers = ids.map(
-          (machine) => new MachineBelief(revision(5), millis(0), { mentions: taskIndex, machine }),
+          (machine) => new WorkerTracker(revision(5), millis(0), { listener: taskIndex, machine }),
         );
         let lastAttempt = 0;
         for (const [machineIndex, event, keyIndex] of steps) {
@@ -58,19 +58,19 @@
           assert.ok(worker && tracker && key);
           if (event === 'start') {
             lastAttempt += 1;
-            tracker.noteStart(key, attempt(lastAttempt));
+            tracker.recordStart(key, attempt(lastAttempt));
             if (keyIndex % 2 === 0)
               worker.onCommands(tracker.token, tracker.session, [{ op: 'start', key, attempt: attempt(lastAttempt) }]);
           } else if (event === 'report') {
             worker.onReply(tracker.token, []);
-            tracker.take(worker.report(), millis(1));
+            tracker.applyReport(worker.report(), millis(1));
           } else if (event === 'bump') tracker.raiseToken();
           else if (event === 'settle') tracker.settleStarts([key]);
-          else tracker.expire();
+          else tracker.expireLease();
         }
         for (const key of KEYS) {
           const scanned = ids.filter((_, i) => trackers[i]?.tasks.has(key) || trackers[i]?.pendingStarts.has(key));
-          assert.deepEqual([...taskIndex.machinesOf(key)].sort(), scanned);
+          assert.deepEqual([...taskIndex.machinesOfTask(key)].sort(), scanned);
         }
         for (const job of ['j-0', 'j-1', 'j-2'].map(jobId)) {
           const ofJob = (key: TaskKey): boolean => key.startsWith(`${job}/`);
@@ -88,21 +88,21 @@
 
 test('a report without news does not change the generation that plans depend on', () => {
   const worker = new StandInWorker('m0');
-  const tracker = new MachineBelief(revision(5), millis(0));
+  const tracker = new WorkerTracker(revision(5), millis(0));
   worker.onReply(tracker.token, []);
-  tracker.take(worker.report(), millis(1));
+  tracker.applyReport(worker.report(), millis(1));
   worker.onCommands(tracker.token, tracker.session, [
     { op: 'start', key: taskKey(jobId('j-1'), 0), attempt: attempt(1) },
   ]);
-  tracker.take(worker.report(), millis(2));
+  tracker.applyReport(worker.report(), millis(2));
   const before = tracker.generation;
-  tracker.take(worker.report(), millis(3));
+  tracker.applyReport(worker.report(), millis(3));
   assert.equal(tracker.generation, before);
-  assert.equal(tracker.lastHeardAt, 3, 'the report still counts as the last message');
+  assert.equal(tracker.lastMessageAt, 3, 'the report still counts as the last message');
 });
 
 test('a block of the maximum size fits into a value of the state service', () => {
-  const machines = Array.from({ length: blockLimit(32) }, (_, i) => ({
+  const machines = Array.from({ length: maxBlockMachines(32) }, (_, i) => ({
     id: machineId(`host-${String(i).padStart(6, '0')}`),
     type: i % 2 ? 'dispensary' : 'theatre',
     zone: 'msasani',
@@ -125,41 +125,43 @@
   const claimed = shard({
     holder: second,
     incarnation: incarnation('s'),
-    earlier: earlierHolders(firstRecord, second),
+    earlier: previousHolders(firstRecord, second),
   });
   assert.deepEqual(
-    earlierHolders(claimed, third).map((h) => h.node),
+    previousHolders(claimed, third).map((h) => h.node),
     [staleHolder, second],
   );
   // A restart of the second holder proves that its own earlier incarnation has ended, not that of the first.
   assert.deepEqual(
-    earlierHolders(claimed, second).map((h) => h.node),
+    previousHolders(claimed, second).map((h) => h.node),
     [staleHolder],
   );
-  assert.deepEqual(earlierHolders(shard({ released: true }), second), []);
+  assert.deepEqual(previousHolders(shard({ released: true }), second), []);
   assert.deepEqual(decodeShard(JSON.parse(JSON.stringify(encodeShard(claimed))))?.earlier, claimed.earlier);
 });
 
 test('concurrent freshness checks share a request, and none accepts an outdated mirror', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
   const { model: state, at } = lab.state();
   const client = new StateClient(at, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
-  const mirror = new Mirror(client, LIVE, runtime, lab.log);
+  const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   state.put('live/jobs/j-1', { at: 0 });
   void mirror.run();
-  const freshness = new Freshness(client, mirror, runtime);
-  await lab.pass(500);
+  const freshness = new FreshnessChecker(client, mirror, runtime);
+  await lab.advance(500);
   assert.ok(mirror.loaded);
   for (let i = 1; i <= 10; i++) {
     state.put('live/jobs/j-1', { at: i });
-    const fresh = await lab.settle(Promise.all([freshness.ensure(), freshness.ensure(), freshness.ensure()]));
+    const fresh = await lab.runUntilSettled(
+      Promise.all([freshness.waitUntilFresh(), freshness.waitUntilFresh(), freshness.waitUntilFresh()]),
+    );
     assert.deepEqual(fresh, [true, true, true]);
     assert.deepEqual(mirror.get('live/jobs/j-1')?.value, { at: i });
   }
-  state.outage(true);
+  state.setOutage(true);
   assert.equal(
-    await lab.settle(freshness.ensure()),
+    await lab.runUntilSettled(freshness.waitUntilFresh()),
     false,
     'without the state service, the mirror is not known to be fresh',
   );
@@ -167,10 +169,10 @@
 });
 
 test('the directory knows the shard of each machine after every change of a block', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
   const client = new StateClient(lab.state().at, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
-  const mirror = new Mirror(client, LIVE, runtime, lab.log);
+  const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const directory = new ShardDirectory(mirror);
   const put = (name: string, machines: string[], version: number): void => {
     const value = shard({
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { decodeSettings, encodeSettings, mark, SettingsStore } from '../src/admin/index.js';
+import { decodeSettings, encodeSettings, markMachine, SettingsStore } from '../src/admin/index.js';
 import { JobRun, planGroupedProgress } from '../src/holder/index.js';
 import {
-  decodeFinal,
-  decodeRecord,
-  encodeGrouped,
-  encodeRecord,
-  groupedOf,
-  writerOf,
+  decodeJobFinal,
+  decodeJobRecord,
+  encodeGroupedProgress,
+  encodeJobRecord,
+  groupedProgressOf,
+  groupedProgressWriter,
   type JobRecord,
 } from '../src/jobs/index.js';
-import { Bits, incarnation, jobId, millis, nodeName, revision, shardName, wallMillis } from '../src/kernel/index.js';
+import { BitSet, incarnation, jobId, millis, nodeName, revision, shardName, wallMillis } from '../src/kernel/index.js';
 import { decodeShard, encodeShard, type ShardValue } from '../src/membership/index.js';
-import { formatOf, LIVE, Mirror, SETTINGS, StateClient } from '../src/state/index.js';
+import { formatVersionOf, LIVE_PREFIX, Mirror, SETTINGS_KEY, StateClient } from '../src/state/index.js';
 import { spec } from './standins/jobs.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
 const asStored = (value: unknown): Record<string, unknown> =>
   JSON.parse(JSON.stringify(value)) as Record<string, unknown>;
@@ -30,7 +30,7 @@
     spec: spec({ id: jobId(id), tasks }),
     shard: shardName('n-0'),
     submittedAt: wallMillis(5),
-    done: Bits.empty(tasks),
+    done: BitSet.empty(tasks),
   },
 });
 const runOf = (tasks: number, id = 'j-1'): JobRun => new JobRun(record(tasks, id), revision(1), revision(1), millis(0));
@@ -47,10 +47,10 @@
     fc.property(added, (later) => {
       const kinds: [unknown, (value: unknown) => unknown][] = [
         [encodeShard(shard), (value) => encodeShard(decodeShard(value) ?? shard)],
-        [encodeRecord(record(9)), (value) => encodeRecord(decodeRecord(value) ?? record(9))],
+        [encodeJobRecord(record(9)), (value) => encodeJobRecord(decodeJobRecord(value) ?? record(9))],
         [
           encodeSettings(decodeSettings(null)),
-          (value) => encodeSettings(mark(decodeSettings(value), 'm-1', 'uncordon')),
+          (value) => encodeSettings(markMachine(decodeSettings(value), 'm-1', 'uncordon')),
         ],
       ];
       for (const [stored, rewrite] of kinds) {
@@ -63,14 +63,17 @@
 });
 
 test('a record of a later format version is not decoded; a record without a version has the first', () => {
-  assert.deepEqual([undefined, {}, { v: 'x' }, { v: 0 }, { v: 1.5 }, { v: 3 }].map(formatOf), [1, 1, 1, 1, 1, 3]);
+  assert.deepEqual(
+    [undefined, {}, { v: 'x' }, { v: 0 }, { v: 1.5 }, { v: 3 }].map(formatVersionOf),
+    [1, 1, 1, 1, 1, 3],
+  );
   assert.equal(decodeShard({ ...asStored(encodeShard(shard)), v: 3 }), null);
   assert.ok(decodeShard({ ...asStored(encodeShard(shard)), v: 1 }));
-  assert.equal(decodeRecord({ ...asStored(encodeRecord(record(3))), v: 3 }), null);
-  assert.equal(writerOf({ v: 2, by: 'a', jobs: {} }), null);
-  assert.equal(groupedOf({ v: 2, by: 'a', jobs: { 'j-1': '/w==' } }, jobId('j-1'), 8), null);
+  assert.equal(decodeJobRecord({ ...asStored(encodeJobRecord(record(3))), v: 3 }), null);
+  assert.equal(groupedProgressWriter({ v: 2, by: 'a', jobs: {} }), null);
+  assert.equal(groupedProgressOf({ v: 2, by: 'a', jobs: { 'j-1': '/w==' } }, jobId('j-1'), 8), null);
   // Final records are kept forever, so every release decodes them whatever their version.
-  assert.deepEqual(decodeFinal({ v: 9, phase: 'done', done: 3, more: 1 }), { phase: 'done', done: 3, at: null });
+  assert.deepEqual(decodeJobFinal({ v: 9, phase: 'done', done: 3, more: 1 }), { phase: 'done', done: 3, at: null });
 });
 
 test('an unknown tunable of a later release is kept, and the known ones are still decoded', () => {
@@ -80,28 +83,28 @@
 });
 
 test('settings of a later release are not overwritten, and the last known settings stay in force', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const { model, at } = lab.state();
   const runtime = lab.process('10.0.0.1');
   const client = new StateClient(at, { rps: 100, writeRps: 100 }, lab.log, runtime);
-  const mirror = new Mirror(client, LIVE, runtime, lab.log);
+  const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const store = new SettingsStore(client, mirror, runtime);
-  const changed = await lab.settle(store.change((s) => mark(s, 'm-1', 'cordon')));
+  const changed = await lab.runUntilSettled(store.change((s) => markMachine(s, 'm-1', 'cordon')));
   assert.equal(changed.kind, 'stored');
   assert.ok(store.current.cordoned.has('m-1'));
   const later = { v: 2, marks: [['m-1', 'cordon']] };
-  model.put(SETTINGS, later);
-  mirror.apply({ key: SETTINGS, value: later, removed: false, version: revision(model.revision) });
+  model.put(SETTINGS_KEY, later);
+  mirror.apply({ key: SETTINGS_KEY, value: later, removed: false, version: revision(model.revision) });
   assert.ok(store.current.cordoned.has('m-1'));
-  assert.equal((await lab.settle(store.change((s) => mark(s, 'm-1', 'uncordon')))).kind, 'foreign');
-  assert.equal((await lab.settle(store.read())).kind, 'foreign');
-  assert.deepEqual(model.get(SETTINGS), later);
+  assert.equal((await lab.runUntilSettled(store.change((s) => markMachine(s, 'm-1', 'uncordon')))).kind, 'foreign');
+  assert.equal((await lab.runUntilSettled(store.read())).kind, 'foreign');
+  assert.deepEqual(model.get(SETTINGS_KEY), later);
 });
 
 test('bit sets of task numbers have the same members and unions as plain sets', () => {
   const numbers = fc.array(fc.integer({ min: 0, max: 69 }));
-  const bitsOf = (list: readonly number[]): Bits => {
-    const bits = Bits.empty(70);
+  const bitsOf = (list: readonly number[]): BitSet => {
+    const bits = BitSet.empty(70);
     for (const n of list) bits.add(n);
     return bits;
   };
@@ -134,13 +137,13 @@
         return run;
       });
       const { jobs: grouped, own } = planGroupedProgress(runs, room);
-      const stored = asStored(encodeGrouped({ by: incarnation('a'), jobs: grouped }));
+      const stored = asStored(encodeGroupedProgress({ by: incarnation('a'), jobs: grouped }));
       assert.ok(Buffer.byteLength(JSON.stringify(stored['jobs'])) <= room + 2);
       for (const run of runs) {
         const wanted = !run.ended && run.done.count > 0 && run.done.count < run.spec.tasks;
         assert.equal(grouped.has(run.id) || own.has(run), wanted);
         assert.ok(!(grouped.has(run.id) && own.has(run)));
-        const read = groupedOf(stored, run.id, run.spec.tasks);
+        const read = groupedProgressOf(stored, run.id, run.spec.tasks);
         assert.deepEqual(read && [...read.members()], grouped.has(run.id) ? [...run.done.members()] : null);
       }
     }),
--- a/test/input.test.ts
+++ b/test/input.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { parseSettings, SettingsError } from '../src/config/index.js';
-import { parseJobId, parseSubmission, whyNever } from '../src/jobs/index.js';
+import { parseJobId, parseSubmission, unschedulableReason } from '../src/jobs/index.js';
 import { decodeMessage } from '../src/workers/index.js';
 import { decodeSettings, parseTunables } from '../src/admin/index.js';
 
@@ -136,7 +136,7 @@
   const rejectionOf = (overrides: object): string | null => {
     const parsed = parseSubmission({ ...submission, ...overrides });
     assert.ok(parsed.ok);
-    return whyNever(parsed.spec, teams, types);
+    return unschedulableReason(parsed.spec, teams, types);
   };
   assert.equal(rejectionOf({}), null);
   assert.match(rejectionOf({ owner: 'u' }) ?? '', /unknown team/);
--- a/test/lane.test.ts
+++ b/test/lane.test.ts
@@ -4,13 +4,13 @@
 import { test } from 'node:test';
 import { Router } from 'express';
 import { createLogger, HttpClient, decodeChunkedBody, systemRuntime } from '../src/kernel/index.js';
-import { createApp, laneRoutes, listen, type Handlers } from '../src/service/index.js';
+import { createApp, fastPathRoutes, listen, type RequestHandlers } from '../src/service/index.js';
 
 const log = createLogger('silent', 'test');
 const HOST = '127.0.0.1';
 
-const handlers: Handlers = {
-  healthy: () => true,
+const handlers: RequestHandlers = {
+  isHealthy: () => true,
   serve: async (request) => {
     await Promise.resolve();
     if (request.op === 'submit') return { status: 201, body: { ref: request.spec.id } };
@@ -148,7 +148,7 @@
   const app = createApp(handlers, Router(), log);
   const expressServer = createWebServer(app);
   await new Promise<void>((resolve) => expressServer.listen(0, HOST, resolve));
-  const fastPath = listen(app, laneRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
+  const fastPath = listen(app, fastPathRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
   const without = Object.fromEntries(Object.entries(job).filter(([name]) => name !== 'same_place'));
   const asked = ['j-none', 'j-1', 'j-later'].map((ref) => post('/v1/jobs', { ...without, ref }));
   try {
@@ -165,7 +165,7 @@
     }
   } finally {
     expressServer.close();
-    fastPath.shut();
+    fastPath.close();
   }
 });
 
@@ -173,7 +173,7 @@
   const app = createApp(handlers, Router(), log);
   const expressServer = createWebServer(app);
   await new Promise<void>((resolve) => expressServer.listen(0, HOST, resolve));
-  const fastPath = listen(app, laneRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
+  const fastPath = listen(app, fastPathRoutes(handlers, log), { host: HOST, port: 0 }, 50, systemRuntime, log);
   const fastPathPort = await fastPath.ready;
   const expressPort = (expressServer.address() as AddressInfo).port;
   try {
@@ -202,7 +202,7 @@
       ['{"query":"j-1"}', '{"helm":7,"of":"m1"}'],
     );
   } finally {
-    fastPath.shut();
+    fastPath.close();
     expressServer.closeAllConnections();
     expressServer.close();
   }
@@ -253,7 +253,7 @@
     };
     await withServer(serve, async (port) => {
       const client = new HttpClient({ host: HOST, port }, 1);
-      const answer = await client.call({ method: 'GET', path: '/', timeoutMs: 20_000, maxBytes: 500 });
+      const answer = await client.call({ method: 'GET', path: '/', timeoutMs: 20_000, maxResponseBytes: 500 });
       assert.deepEqual(answer.kind === 'answered' ? answer.body : answer.reason, wanted, text);
       client.close();
     });
--- a/test/leasing.test.ts
+++ b/test/leasing.test.ts
@@ -6,15 +6,15 @@
 import { jobId, machineId, nodeName, shardName } from '../src/kernel/index.js';
 import {
   gangTasksBeyondTurnover,
-  betterShard,
-  bookRoom,
+  chooseMoveTarget,
+  reserveCapacity,
   chooseShard,
-  inCalls,
+  splitIntoCalls,
   missingCpus,
   planLeases,
   type LeaseInput,
-  type LooseMachine,
-  type RentWish,
+  type UnleasedMachine,
+  type PlannedRent,
 } from '../src/leasing/index.js';
 import type { DemandSummary, MachineSummary, ShardSummary } from '../src/peers/index.js';
 import { spec } from './standins/jobs.js';
@@ -74,14 +74,14 @@
 function input(specs: JobSpec[], shards: ShardSummary[], over: Partial<LeaseInput> = {}): LeaseInput {
   return {
     shards,
-    loose: [],
+    unleased: [],
     types: new Map([['small', type('small', 1, 0.2)]]),
     specOf: (id) => specs.find((s) => s.id === id) ?? null,
     refused: new Set(),
     headroom: [],
     idleReturnS: 20,
     backlogTimeShare: 0.75,
-    ageOf: () => 100,
+    machineAgeS: () => 100,
     ...over,
   };
 }
@@ -129,9 +129,9 @@
 });
 
 test('a machine that has come up is leased once, to the shard with waiting tasks', () => {
-  const loose: LooseMachine = { id: machineId('m-9'), type: 'small', zone: 'a', spot: false, up: true, ageS: 20 };
+  const loose: UnleasedMachine = { id: machineId('m-9'), type: 'small', zone: 'a', spot: false, up: true, ageS: 20 };
   const shards = [shard('n-0', []), shard('n-1', [], [demand('j-1', 4)])];
-  const plan = planLeases(input([spec({ id: 'j-1', tasks: 4 })], shards, { loose: [loose] }));
+  const plan = planLeases(input([spec({ id: 'j-1', tasks: 4 })], shards, { unleased: [loose] }));
   assert.deepEqual(plan.grants, [{ machine: 'm-9', to: 'n-1' }]);
   assert.deepEqual(plan.rents, []);
 });
@@ -216,7 +216,7 @@
   const low = { ...demand('j-2', 30), priority: Priority.low };
   assert.equal(chooseShard(job, [shard('n-0', [free], [low]), shortQueue], types, null), 'n-0');
   const moveTarget = (here: number, there: number): string | null =>
-    betterShard(
+    chooseMoveTarget(
       job,
       8,
       shard('n-0', [full], [demand('j-2', here)]),
@@ -227,10 +227,10 @@
   assert.equal(moveTarget(6, 5), null);
   const gang = spec({ id: 'j-g', kind: 'gang', tasks: 2 });
   const two = shard('n-1', [full, { ...full, id: machineId('m-3') }]);
-  assert.equal(betterShard(gang, 2, shard('n-0', [full]), [two], types), 'n-1');
-  assert.equal(betterShard(gang, 2, two, [shard('n-0', [full])], types), null);
+  assert.equal(chooseMoveTarget(gang, 2, shard('n-0', [full]), [two], types), 'n-1');
+  assert.equal(chooseMoveTarget(gang, 2, two, [shard('n-0', [full])], types), null);
   // Until the next summary, a job that was routed to the shard counts as demand there.
-  const booked = bookRoom(job, shortQueue);
+  const booked = reserveCapacity(job, shortQueue);
   assert.equal(booked.demand.at(-1)?.missing, 8);
 });
 
@@ -254,9 +254,9 @@
 });
 
 test('a rent above the limit of one call is split into several calls, with the kinds taking turns', () => {
-  const wish = (type: string, count: number): RentWish => ({ type, zone: 'a', spot: false, count });
+  const wish = (type: string, count: number): PlannedRent => ({ type, zone: 'a', spot: false, count });
   assert.deepEqual(
-    inCalls([wish('small', 120), wish('big', 3)]).map((w) => [w.type, w.count]),
+    splitIntoCalls([wish('small', 120), wish('big', 3)]).map((w) => [w.type, w.count]),
     [
       ['small', 50],
       ['big', 3],
@@ -264,7 +264,7 @@
       ['small', 20],
     ],
   );
-  assert.deepEqual(inCalls([]), []);
+  assert.deepEqual(splitIntoCalls([]), []);
 });
 
 test('small arrays stay with the accepting node if it has room; larger ones go to the shard with the most room', () => {
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { incarnation, nodeName, type Incarnation } from '../src/kernel/index.js';
 import { Membership, ShardDirectory } from '../src/membership/index.js';
-import { LEADER, LIVE, Mirror, nodeKey, StateClient, Urgency } from '../src/state/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { LEADER_KEY, LIVE_PREFIX, Mirror, nodeKey, StateClient, Urgency } from '../src/state/index.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
-const lab = new Lab();
+const lab = new SimulationHarness();
 const { model: state, at: address } = lab.state();
 const key = nodeKey(nodeName('n-0'));
 let processes = 0;
@@ -14,10 +14,10 @@
 function startMembership(name: Incarnation): Membership {
   const runtime = lab.process(`10.0.1.${++processes}`);
   const client = new StateClient(address, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
-  const mirror = new Mirror(client, LIVE, runtime, lab.log);
+  const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const hooks = {
     ...{ held: () => [], verify: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
-    ...{ paged: () => false, announcement: () => ({}) },
+    ...{ usesPages: () => false, announcement: () => ({}) },
   };
   const directory = new ShardDirectory(mirror);
   return new Membership(nodeName('n-0'), [], name, client, mirror, directory, hooks, runtime, lab.log);
@@ -29,51 +29,55 @@
   const [earlier, later] = [incarnation('earlier'), incarnation('later')];
   // The first registration is lost in transit, while its lease is still valid for a moment.
   const lost: unknown[] = [];
-  state.spoils = ({ path, body }) => {
+  state.injectFault = ({ path, body }) => {
     if (path !== '/txn') return null;
     lost.push(body);
     return 'lost-request';
   };
   const first = startMembership(earlier);
-  await lab.settle(first.keep());
+  await lab.runUntilSettled(first.maintainLease());
   assert.equal(first.registered, false);
-  state.spoils = () => null;
+  state.injectFault = () => null;
   const next = startMembership(later);
-  await lab.settle(next.keep());
+  await lab.runUntilSettled(next.maintainLease());
   assert.ok(next.registered && registeredIncarnation() === later);
   const path = '/txn';
-  const answer = await lab.ask(lab.process('10.0.1.99'), address, { method: 'POST', path, body: lost[0] as object });
+  const answer = await lab.request(lab.process('10.0.1.99'), address, {
+    method: 'POST',
+    path,
+    body: lost[0] as object,
+  });
   assert.ok(answer.kind === 'answered' && answer.status === 409);
   assert.equal(registeredIncarnation(), later);
 });
 
 test('an incarnation whose registration was applied without an answer registers on the next attempt', async () => {
-  state.spoils = ({ path }) => {
+  state.injectFault = ({ path }) => {
     if (path !== '/txn') return null;
-    state.spoils = () => null;
+    state.injectFault = () => null;
     return 'lost-answer';
   };
   const own = incarnation('third');
   const third = startMembership(own);
-  await lab.settle(third.keep());
+  await lab.runUntilSettled(third.maintainLease());
   assert.equal(third.registered, false, 'the outcome is unknown');
-  await lab.settle(third.keep());
+  await lab.runUntilSettled(third.maintainLease());
   assert.ok(third.registered && registeredIncarnation() === own);
 });
 
 test('a node is elected during a burst of submissions beyond its share of writes', async () => {
   const runtime = lab.process('10.0.1.50');
   const client = new StateClient(address, { rps: 1000, writeRps: 6 }, lab.log, runtime);
-  const mirror = new Mirror(client, LIVE, runtime, lab.log);
+  const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const hooks = {
     ...{ held: () => [], verify: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
-    ...{ paged: () => false, announcement: () => ({}) },
+    ...{ usesPages: () => false, announcement: () => ({}) },
   };
   const self = nodeName('n-rush');
   const own = incarnation('rush');
   const directory = new ShardDirectory(mirror);
   const node = new Membership(self, [], own, client, mirror, directory, hooks, runtime, lab.log);
-  await lab.settle(node.keep());
+  await lab.runUntilSettled(node.maintainLease());
   assert.ok(node.registered);
   // Twenty writes per second with a limit of six, each with the urgency of a submission.
   let refused = 0;
@@ -83,14 +87,14 @@
       if (kind === 'refused') refused += 1;
     });
   });
-  const leaseRenewal = runtime.every(1000, () => void node.keep());
-  await lab.pass(5000);
+  const leaseRenewal = runtime.every(1000, () => void node.maintainLease());
+  await lab.advance(5000);
   assert.ok(refused > 20, `${refused} submissions were refused`);
   const since = runtime.now();
-  for (let i = 0; i < 3 && !state.get(LEADER); i++) await lab.settle(node.elect());
+  for (let i = 0; i < 3 && !state.get(LEADER_KEY); i++) await lab.runUntilSettled(node.elect());
   const waitedMs = runtime.now() - since;
   submissions.cancel();
   leaseRenewal.cancel();
-  assert.deepEqual(state.get(LEADER), { node: self, incarnation: own });
+  assert.deepEqual(state.get(LEADER_KEY), { node: self, incarnation: own });
   assert.ok(waitedMs < 1000, `${waitedMs} ms`);
 });
--- a/test/mirror.test.ts
+++ b/test/mirror.test.ts
@@ -3,16 +3,16 @@
 import fc from 'fast-check';
 import { millis, revision, type Logger, type Revision } from '../src/kernel/index.js';
 import { Mirror, WatchLag, type Change } from '../src/state/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
 const KEYS = ['live/jobs/a', 'live/jobs/b'];
 const WATCH_REOPEN_WAIT_MS = 150;
 
 /** Waits until pending work has finished and the mirror has reopened its watch. */
-async function followed(lab: Lab): Promise<void> {
-  await lab.settle(Promise.resolve());
-  await lab.pass(WATCH_REOPEN_WAIT_MS);
-  await lab.settle(Promise.resolve());
+async function followed(lab: SimulationHarness): Promise<void> {
+  await lab.runUntilSettled(Promise.resolve());
+  await lab.advance(WATCH_REOPEN_WAIT_MS);
+  await lab.runUntilSettled(Promise.resolve());
 }
 
 /** A stand-in for the state service: keeps all changes in order and lets the test decide when the watch shows them. */
@@ -75,7 +75,7 @@
 test('late answers to reads and own writes never make the mirror show a state older than the revision of its watch', async () => {
   await fc.assert(
     fc.asyncProperty(fc.array(event, { minLength: 30, maxLength: 40, size: 'max' }), async (events) => {
-      const lab = new Lab();
+      const lab = new SimulationHarness();
       const store = new Store();
       const mirror = new Mirror(store, 'live/', lab.process('10.0.0.1'), lab.log);
       void mirror.run();
@@ -105,7 +105,7 @@
 });
 
 test('a late answer to the write that accepted a job does not restore the job after the watch has shown its removal', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const store = new Store();
   const mirror = new Mirror(store, 'live/', lab.process('10.0.0.1'), lab.log);
   void mirror.run();
