--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -7,19 +7,27 @@
   decodeShard,
   encodePage,
   encodeShard,
-  enter,
+  addMachines,
   moveToPagesGuards,
-  foldGuards,
+  moveToRecordGuards,
   layOutPages,
-  leave,
+  removeMachines,
   ShardDirectory,
   stageChanges,
   type BlockMachine,
   type KnownShard,
 } from '../src/membership/index.js';
-import { LEADER, LIVE, Mirror, PAGES, shardKey, StateClient, valueBytes } from '../src/state/index.js';
+import {
+  LEADER_KEY,
+  LIVE_PREFIX,
+  Mirror,
+  PAGES_PREFIX,
+  shardKey,
+  StateClient,
+  storedSizeBytes,
+} from '../src/state/index.js';
 import type { Guard, Op } from '../src/state/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
 const SHARDS = ['n-0', 'n-1'].map(shardName);
 const MACHINES = Array.from({ length: 6 }, (_, i) => `m-${i}`);
@@ -63,7 +71,7 @@
     for (const shard of SHARDS) {
       const value = decodeShard(this.keys.get(shardKey(shard))?.value);
       assert.ok(value);
-      const pages = [...this.keys.values()].filter(({ key }) => key.startsWith(`${PAGES}${shard}.`));
+      const pages = [...this.keys.values()].filter(({ key }) => key.startsWith(`${PAGES_PREFIX}${shard}.`));
       const paged = pages.map((page) => decodePage(page.value)).filter((page) => page?.epoch === value.epoch);
       const machines = value.epoch === null ? value.machines : paged.flatMap((page) => page?.machines ?? []);
       blocks.set(
@@ -167,7 +175,7 @@
   pageBytes,
 });
 
-const lab = new Lab();
+const lab = new SimulationHarness();
 const { at } = lab.state();
 const client = new StateClient(at, { rps: 1000, writeRps: 1000 }, lab.log, lab.process('10.0.0.1'));
 
@@ -188,7 +196,7 @@
     readonly pageBytes: number,
     private readonly store: Store,
   ) {
-    this.mirror = new Mirror(client, LIVE, lab.process(`10.0.1.${node.slice(2)}`), lab.log);
+    this.mirror = new Mirror(client, LIVE_PREFIX, lab.process(`10.0.1.${node.slice(2)}`), lab.log);
     this.directory = new ShardDirectory(this.mirror);
   }
 
@@ -228,7 +236,8 @@
     for (const id of [...before.values()].flat()) assert.ok(all.includes(id) || released.has(id), `${id} is lost`);
   };
   const isEnforced = (key: string, purpose: WritePurpose): boolean => {
-    if (key.startsWith(PAGES)) return safeguards.pageGuards && (purpose !== 'moveToPages' || safeguards.moveGuards);
+    if (key.startsWith(PAGES_PREFIX))
+      return safeguards.pageGuards && (purpose !== 'moveToPages' || safeguards.moveGuards);
     if (!key.startsWith(SHARD_KEYS)) return true;
     return safeguards.recordGuards && (purpose !== 'stage' || safeguards.stageGuards);
   };
@@ -278,7 +287,7 @@
     const machines = MACHINES.slice(2 * i, 2 * i + 2).map(machine);
     store.txn([], [{ put: shardKey(shard), value: encodeShard({ ...record, machines, epoch: null }) }]);
   }
-  store.txn([], [{ put: LEADER, value: { node: 'n-0' } }]);
+  store.txn([], [{ put: LEADER_KEY, value: { node: 'n-0' } }]);
 
   for (const { kind, by, pick, late } of actions) {
     const process = processes[by % processes.length] as SimulatedProcess;
@@ -298,7 +307,7 @@
     } else if (kind === 'dropPending') {
       pending.splice(pick % Math.max(1, pending.length), 1);
     } else if (kind === 'elect') {
-      store.txn([], [{ put: LEADER, value: { node: process.node } }]);
+      store.txn([], [{ put: LEADER_KEY, value: { node: process.node } }]);
       // Pending writes of the previous leader are void, because they are guarded by its key.
       for (const each of processes) each.unfencedKeys = [];
     } else if (!known) continue;
@@ -309,33 +318,34 @@
       write(process, { guards, ops: [{ put: shardKey(shard), value }] }, late);
     } else if (kind === 'release') {
       const first = known.value.machines[0];
-      const [removal] = first ? leave(shard, known, new Set([first.id])) : [];
+      const [removal] = first ? removeMachines(shard, known, new Set([first.id])) : [];
       if (!first || !removal) continue;
       released.add(first.id);
       write(process, removal.change, late);
     } else if (kind === 'move') {
       const target = process.directory.all.get(other);
       const first = known.value.machines[pick % Math.max(1, known.value.machines.length)];
-      const [removal] = first ? leave(shard, known, new Set([first.id])) : [];
+      const [removal] = first ? removeMachines(shard, known, new Set([first.id])) : [];
       if (!target || !first || !removal) continue;
-      const insertion = enter(other, target, [first], limitsOf(process));
+      const insertion = addMachines(other, target, [first], limitsOf(process));
       if (insertion.taken.length === 0) continue;
       const head = { key: shardKey(shard), version: known.version };
       const guards = [head, ...removal.change.guards, ...insertion.change.guards];
       write(process, { guards, ops: [...removal.change.ops, ...insertion.change.ops] }, late);
     } else if (kind === 'grant') {
-      const leader = store.keys.get(LEADER) as Written;
-      const term = process.mirror.get(LEADER)?.version;
+      const leader = store.keys.get(LEADER_KEY) as Written;
+      const term = process.mirror.get(LEADER_KEY)?.version;
       if (term !== leader.version || (leader.value as { node: string }).node !== process.node) continue;
       if (safeguards.fencesPendingWrites)
         for (const key of process.unfencedKeys.splice(0)) fencePendingWrite(store, key, process);
-      if (safeguards.caughtUp && (process.directory.newest > process.seenUpTo || process.seenUpTo < term)) continue;
+      if (safeguards.caughtUp && (process.directory.newestRevision > process.seenUpTo || process.seenUpTo < term))
+        continue;
       const free = MACHINES.find((id) => process.directory.shardOf(machineId(id)) === null);
       const current = process.directory.all.get(shard);
       if (free === undefined || !current) continue;
-      const { taken, change } = enter(shard, current, [machine(free)], limitsOf(process));
+      const { taken, change } = addMachines(shard, current, [machine(free)], limitsOf(process));
       if (taken.length === 0) continue;
-      const guards = [...change.guards, { key: LEADER, version: term }];
+      const guards = [...change.guards, { key: LEADER_KEY, version: term }];
       for (const [name, { version }] of process.directory.all) {
         if (!guards.some(({ key }) => key === shardKey(name))) guards.push({ key: shardKey(name), version });
       }
@@ -348,7 +358,7 @@
       const newIncarnation = kind === 'claimPaged' ? `b-${incarnations}` : known.value.incarnation;
       moveToPages(process, shard, known, newIncarnation, pick, late);
     } else if (kind === 'moveToRecord' && known.value.epoch !== null) {
-      const guards = foldGuards(shard, known);
+      const guards = moveToRecordGuards(shard, known);
       const value = encodeShard({ ...known.value, epoch: null });
       write(process, { guards, ops: [{ put: shardKey(shard), value }] }, late);
     }
@@ -397,7 +407,7 @@
   }));
   const pages = layOutPages(7, machines, 2048);
   assert.deepEqual(layOutPages(7, [...machines].reverse(), 2048), pages);
-  for (const page of pages) assert.ok(valueBytes(encodePage(7, page)) <= 2048);
+  for (const page of pages) assert.ok(storedSizeBytes(encodePage(7, page)) <= 2048);
   assert.equal(pages.flat().length, 1077);
   assert.ok(pages.length < 32, String(pages.length));
 });
--- a/test/paging.test.ts
+++ b/test/paging.test.ts
@@ -3,16 +3,16 @@
 import { incarnation, machineId, nodeName, shardName } from '../src/kernel/index.js';
 import {
   encodeShard,
-  enter,
-  leave,
+  addMachines,
+  removeMachines,
   Paging,
   ShardDirectory,
   type BlockMachine,
   type KnownShard,
 } from '../src/membership/index.js';
-import { LIVE, Mirror, pageKey, shardKey, StateClient, Urgency, type Op } from '../src/state/index.js';
+import { LIVE_PREFIX, Mirror, pageKey, shardKey, StateClient, Urgency, type Op } from '../src/state/index.js';
 import type { StateModel } from '../packages/region/src/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
 const SHARD = shardName('n-0');
 const LATE_ADDRESS = '10.0.0.2';
@@ -31,20 +31,20 @@
   readonly paging: Paging;
 
   constructor(
-    private readonly lab: Lab,
+    private readonly lab: SimulationHarness,
     ip: string,
     at: { readonly host: string; readonly port: number },
     next = STATE_LIMITS,
   ) {
     const process = lab.process(ip);
     this.state = new StateClient(at, { rps: 1000, writeRps: 1000, next }, lab.log, process);
-    this.mirror = new Mirror(this.state, LIVE, process, lab.log);
+    this.mirror = new Mirror(this.state, LIVE_PREFIX, process, lab.log);
     this.directory = new ShardDirectory(this.mirror);
     this.paging = new Paging({ state: this.state, mirror: this.mirror, directory: this.directory, log: lab.log });
   }
 
   load(): Promise<boolean> {
-    return this.lab.settle(this.mirror.load());
+    return this.lab.runUntilSettled(this.mirror.load());
   }
 
   get known(): KnownShard {
@@ -54,26 +54,26 @@
   }
 
   moveToPages(): Promise<void> {
-    return this.lab.settle(this.paging.flip(SHARD, this.known));
+    return this.lab.runUntilSettled(this.paging.moveToPages(SHARD, this.known));
   }
 
   async change(change: { readonly guards: readonly { key: string; version: number }[]; readonly ops: readonly Op[] }) {
-    const result = await this.lab.settle(this.state.txn(Urgency.shard, change.guards, change.ops));
+    const result = await this.lab.runUntilSettled(this.state.txn(Urgency.shard, change.guards, change.ops));
     assert.equal(result.kind, 'ok');
     if (result.kind === 'ok') this.mirror.wrote(change.ops, result.revision);
   }
 
   addMachines(machines: readonly BlockMachine[]): Promise<void> {
-    return this.change(enter(SHARD, this.known, machines, BLOCK_LIMITS).change);
+    return this.change(addMachines(SHARD, this.known, machines, BLOCK_LIMITS).change);
   }
 
   async removeMachine(id: string): Promise<void> {
-    for (const { change } of leave(SHARD, this.known, new Set([machineId(id)]))) await this.change(change);
+    for (const { change } of removeMachines(SHARD, this.known, new Set([machineId(id)]))) await this.change(change);
   }
 }
 
 interface Processes {
-  readonly lab: Lab;
+  readonly lab: SimulationHarness;
   readonly holder: ProcessWithoutWatch;
   readonly late: ProcessWithoutWatch;
   readonly model: StateModel;
@@ -83,7 +83,7 @@
 
 /** Starts a holder, and a process that has loaded the shard's record before the holder changes it. */
 async function startProcesses(machines: readonly BlockMachine[], lateLimits = STATE_LIMITS): Promise<Processes> {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const { model, at } = lab.state();
   const record = { holder: nodeName('n-0'), incarnation: incarnation('a'), released: false, next: null, earlier: [] };
   model.put(shardKey(SHARD), encodeShard({ ...record, machines, epoch: null }));
@@ -102,7 +102,8 @@
 
 /** Stages pages in several rounds, as a process does that still takes the shard for vacant. */
 async function stageRepeatedly({ lab, late }: Processes, staleShard: KnownShard): Promise<void> {
-  for (let round = 0; round < 4; round++) await lab.settle(late.paging.stage(SHARD, staleShard, Urgency.session));
+  for (let round = 0; round < 4; round++)
+    await lab.runUntilSettled(late.paging.stage(SHARD, staleShard, Urgency.session));
 }
 
 test('staging pages for an older record by a late process removes no machine from the block', async () => {
@@ -129,11 +130,12 @@
   const machines = Array.from({ length: 100 }, (_, i) => machine(i + 1));
   const processes = await startProcesses(machines, { ...STATE_LIMITS, valueKb: 0.25 });
   const { lab, holder, late, model } = processes;
-  assert.ok(await lab.settle(holder.paging.stage(SHARD, holder.known, Urgency.shard)));
+  assert.ok(await lab.runUntilSettled(holder.paging.stage(SHARD, holder.known, Urgency.shard)));
   // The late process stages its first pages under its own limit and stops halfway.
-  model.spoils = ({ from, body }) =>
+  model.injectFault = ({ from, body }) =>
     from === LATE_ADDRESS && JSON.stringify(body ?? null).includes(pageKey(SHARD, 5)) ? 'lost-request' : null;
-  for (let round = 0; round < 2; round++) await lab.settle(late.paging.stage(SHARD, late.known, Urgency.shard));
+  for (let round = 0; round < 2; round++)
+    await lab.runUntilSettled(late.paging.stage(SHARD, late.known, Urgency.shard));
   await holder.moveToPages();
   assert.equal((await processes.storedIds()).length, machines.length);
   for (let round = 0; round < 4; round++) await holder.moveToPages();
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -3,13 +3,13 @@
 import fc from 'fast-check';
 import { spec } from './standins/jobs.js';
 import { jobId, machineId, type MachineId } from '../src/kernel/index.js';
-import { Priority, zoneLimit, type JobKind, type JobSpec } from '../src/jobs/index.js';
+import { Priority, maxTasksPerZone, type JobKind, type JobSpec } from '../src/jobs/index.js';
 import {
   planPlacement,
   type MachineView,
   type PendingJob,
   type PlanInput,
-  type Stoppable,
+  type PreemptableTask,
 } from '../src/placement/index.js';
 
 function machine(id: string, over: Partial<MachineView> = {}): MachineView {
@@ -109,7 +109,7 @@
     if (m.spot && !s.spot) problems.push(`${name} spot`);
     if (s.oneZone && [...use].some(([z, n]) => n > 0 && z !== m.zone)) problems.push(`${name} one zone`);
     use.set(m.zone, (use.get(m.zone) ?? 0) + 1);
-    if (s.spread && (use.get(m.zone) ?? 0) > zoneLimit(s)) problems.push(`${name} spread`);
+    if (s.spread && (use.get(m.zone) ?? 0) > maxTasksPerZone(s)) problems.push(`${name} spread`);
     left.cpus -= s.cpus;
     left.gpus -= s.gpus;
     left.memory -= s.memoryGb;
@@ -143,7 +143,7 @@
       if (!left || !m.usable || m.freeGpus > 0 || (m.spot && !s.spot)) continue;
       if ((s.types && !s.types.includes(m.type)) || (s.zone && s.zone !== m.zone)) continue;
       if (s.oneZone && [...use].some(([z, n]) => n > 0 && z !== m.zone)) continue;
-      if (s.spread && (use.get(m.zone) ?? 0) >= zoneLimit(s)) continue;
+      if (s.spread && (use.get(m.zone) ?? 0) >= maxTasksPerZone(s)) continue;
       if (s.cpus <= left.cpus && s.gpus <= left.gpus && s.memoryGb <= left.memory)
         problems.push(`${s.id} waits beside room on ${m.id}`);
     }
@@ -205,7 +205,7 @@
       fc.constantFrom(0, 0, 6),
       fc.array(fc.constantFrom(0, 0, 61, 151), { minLength: 4, maxLength: 4 }),
       (machines, specs, limit, waits) => {
-        const victim = (i: number): Stoppable => ({
+        const victim = (i: number): PreemptableTask => ({
           job: jobId(`j-low${i}`),
           index: 0,
           priority: i % 2 === 0 ? Priority.low : Priority.production,
@@ -234,7 +234,7 @@
 });
 
 test('preemption for a service stops low-priority tasks at once, and for a gang leaves them time to save', () => {
-  const low: Stoppable = {
+  const low: PreemptableTask = {
     job: jobId('j-low'),
     index: 0,
     priority: Priority.low,
@@ -267,7 +267,7 @@
 });
 
 test('an array preempts nothing, and a replica stays off GPU machines even if the other machines are full', () => {
-  const low: Stoppable = {
+  const low: PreemptableTask = {
     ...{ job: jobId('j-low'), index: 0, priority: Priority.low },
     ...{ cpus: 4, gpus: 0, memoryGb: 4, lossS: 1, stopping: false },
   };
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -9,13 +9,13 @@
   encodeQuota,
   initialShares,
   heldBackBy,
-  isNothing,
-  less,
+  isZero,
+  subtract,
   nextShares,
   NO_NEED,
   QuotaShares,
   type QuotaDeps,
-  plus,
+  add,
   shareOf,
   STARVED_AFTER_MS,
   sum,
@@ -27,10 +27,10 @@
   type TeamNeed,
 } from '../src/quota/index.js';
 import { planPlacement } from '../src/placement/index.js';
-import { decodeMessage, encodeMessage, isKindOf } from '../src/peers/index.js';
+import { decodeMessage, encodeMessage, frameVersionHasKind } from '../src/peers/index.js';
 import { revision } from '../src/kernel/index.js';
-import { ROLLOUT_STATE, shardKey, type Entry } from '../src/state/index.js';
-import { Luck } from '../packages/region/src/index.js';
+import { ROLLOUT_STATE_KEY, shardKey, type Entry } from '../src/state/index.js';
+import { RandomStream } from '../packages/region/src/index.js';
 import { QuotaSimulation, type OmittedSafeguard } from './standins/quotas.js';
 import { spec } from './standins/jobs.js';
 
@@ -62,7 +62,7 @@
         const target = targets.get(name);
         assert.ok(target && within(use, target), name);
         // No shard gets more than it uses, waits for, and needs at once.
-        assert.ok(within(target, plus(plus(use, waiting), unit)));
+        assert.ok(within(target, add(add(use, waiting), unit)));
       }
       if (within(used, LIMIT)) assert.ok(within(sum(targets.values()), LIMIT));
     }),
@@ -120,8 +120,8 @@
       assert.ok(within(use, shareOf(next, who)), 'share is below the use in its shard');
       for (const name of NAMES) if (name !== who) assert.ok(within(shareOf(record, name), shareOf(next, name)), name);
       // Only tasks that already run may raise the sum beyond the limit.
-      const declared = less(use, shareOf(record, who));
-      assert.ok(within(after, plus(isNothing(less(before, LIMIT)) ? LIMIT : before, declared)));
+      const declared = subtract(use, shareOf(record, who));
+      assert.ok(within(after, add(isZero(subtract(before, LIMIT)) ? LIMIT : before, declared)));
       const caps = sum(NAMES.map((name) => capOf(LIMIT, next, name)));
       assert.ok(within(caps, LIMIT), 'the sum of the caps exceeds the limit');
     }),
@@ -220,7 +220,7 @@
 
 /** Simulates controllers that share a limit, with a random order of events and optionally without one safeguard. */
 async function runInterleaved(seed: number, omitted: OmittedSafeguard, steps = 500): Promise<Run> {
-  const luck = new Luck(seed, 'quotas');
+  const luck = new RandomStream(seed, 'quotas');
   const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, omitted);
   const ran = new Set<ShardName>();
   let most = 0;
@@ -256,7 +256,7 @@
 
 test('model: after a limit is lowered below the current use, nothing starts until the use fits', async () => {
   for (let seed = 1; seed <= 10; seed++) {
-    const luck = new Luck(seed, 'lowered');
+    const luck = new RandomStream(seed, 'lowered');
     const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
     for (let i = 0; i < 250; i++) await world.tick();
     const lower = 5;
@@ -273,7 +273,7 @@
 
 test('model: tasks that ran in several shards before limits were divided are counted before any share is given away', async () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const luck = new Luck(seed, 'accounts');
+    const luck = new RandomStream(seed, 'accounts');
     const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
     world.startWithUse([5, 6, 1]);
     for (let i = 0; i < 400; i++) {
@@ -292,7 +292,7 @@
   );
   const waits = { ...NO_NEED, waiting: { cpus: 4, gpus: 0 }, unit: { cpus: 1, gpus: 0 }, priority: 1, waitedMs: 500 };
   const stored = new Map<string, Entry>([mine, other].map((name) => [shardKey(name), entryOf(shardKey(name), {})]));
-  stored.set(ROLLOUT_STATE, entryOf(ROLLOUT_STATE, {}));
+  stored.set(ROLLOUT_STATE_KEY, entryOf(ROLLOUT_STATE_KEY, {}));
   const transactions: { readonly at: number; readonly ops: number }[] = [];
   let now = 0;
   const shares: QuotaShares = new QuotaShares({
@@ -326,11 +326,11 @@
         teamNeeds: () =>
           new Map([...teams.keys()].map((team) => [team, shares.account(team) === shard ? NO_NEED : waits])),
       })),
-    tell: () => undefined,
-    settle: () => Promise.resolve(),
+    sendDemand: () => undefined,
+    fencePendingWrites: () => Promise.resolve(),
   });
   for (; now < 30_000; now += 400) {
-    shares.round();
+    shares.reconcile();
     await new Promise((resolve) => setImmediate(resolve));
   }
   const changes = transactions.reduce((total, { ops }) => total + ops, 0);
@@ -385,7 +385,7 @@
   const message = { kind: 'quota', shard: shardName('a'), claimedAt: revision(7), teams } as const;
   const frame = encodeMessage(message, 3);
   assert.deepEqual(decodeMessage(frame.subarray(4)), message);
-  assert.equal(isKindOf('quota', 2), false);
+  assert.equal(frameVersionHasKind('quota', 2), false);
 });
 
 test('a plan tells tasks that lack a share from tasks that lack room', () => {
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -2,24 +2,32 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Bits, jobId, shardName, type JobId } from '../src/kernel/index.js';
+import { BitSet, jobId, shardName, type JobId } from '../src/kernel/index.js';
 import { JobRegistry } from '../src/jobs/index.js';
-import { finalKey, jobKey, LIVE, Mirror, StateClient, Urgency, type StateFacts } from '../src/state/index.js';
+import {
+  finalKey,
+  jobKey,
+  LIVE_PREFIX,
+  Mirror,
+  StateClient,
+  Urgency,
+  type StateServiceLimits,
+} from '../src/state/index.js';
 import type { MachineType } from '../src/cloud/index.js';
 import { spec } from './standins/jobs.js';
-import type { Spoiled } from '../packages/region/src/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import type { InjectedFault } from '../packages/region/src/index.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
-const lab = new Lab();
+const lab = new SimulationHarness();
 const { log } = lab;
 const { model: state, at: address } = lab.state();
 let nodeCount = 0;
 
 /** Makes the next transaction fail in the given way. */
-function failNextTransaction(fault: Spoiled): void {
-  state.spoils = ({ path }) => {
+function failNextTransaction(fault: InjectedFault): void {
+  state.injectFault = ({ path }) => {
     if (path !== '/txn') return null;
-    state.spoils = () => null;
+    state.injectFault = () => null;
     return fault;
   };
 }
@@ -49,7 +57,7 @@
 }
 
 /** Creates one controller's registry with its own client and mirror. */
-function startNode(limits: Partial<StateFacts> = {}): RegistryNode {
+function startNode(limits: Partial<StateServiceLimits> = {}): RegistryNode {
   const runtime = lab.process(`10.0.0.${++nodeCount}`);
   const client = new StateClient(address, { rps: 1000, writeRps: 1000, ...limits }, log, runtime);
   const cancelled: JobId[] = [];
@@ -59,16 +67,16 @@
     types: [small],
     registry: new JobRegistry(
       client,
-      new Mirror(client, LIVE, runtime, log),
+      new Mirror(client, LIVE_PREFIX, runtime, log),
       new Map([['t', { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }]]),
       {
-        types: () => node.types,
+        machineTypes: () => node.types,
         chooseShard: () => shardName('n-0'),
-        running: () => ({ running: 0, done: 0 }),
-        pipelines: () => true,
-        awaits: () => [],
-        ended: () => undefined,
-        carried: (id) => {
+        progressOf: () => ({ running: 0, done: 0 }),
+        supportsDependencies: () => true,
+        unfinishedDependencies: () => [],
+        onJobEnded: () => undefined,
+        awaitAcknowledgement: (id) => {
           cancelled.push(id);
           return Promise.resolve(node.holdersConfirm);
         },
@@ -83,54 +91,57 @@
 test('a job is accepted once, and every node knows it', async () => {
   const [a, b] = [startNode(), startNode()];
   const job = spec({ id: 'j-1' });
-  assert.equal((await lab.settle(a.registry.submit(job))).kind, 'created');
-  assert.equal((await lab.settle(a.registry.submit(job))).kind, 'known');
-  assert.equal((await lab.settle(b.registry.submit(job))).kind, 'known');
-  assert.equal((await lab.settle(b.registry.query(jobId('j-1')))).kind, 'known');
-  assert.equal((await lab.settle(b.registry.query(jobId('j-none')))).kind, 'absent');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(job))).kind, 'created');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(job))).kind, 'known');
+  assert.equal((await lab.runUntilSettled(b.registry.submit(job))).kind, 'known');
+  assert.equal((await lab.runUntilSettled(b.registry.query(jobId('j-1')))).kind, 'known');
+  assert.equal((await lab.runUntilSettled(b.registry.query(jobId('j-none')))).kind, 'absent');
 });
 
 test('the outcome of a write without an answer is read back, not assumed', async () => {
   const a = startNode();
   failNextTransaction('lost-answer');
   assert.equal(
-    (await lab.settle(a.registry.submit(spec({ id: 'j-2' })))).kind,
+    (await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-2' })))).kind,
     'known',
     'the write was executed and is read back',
   );
   failNextTransaction('lost-request');
   assert.equal(
-    (await lab.settle(a.registry.submit(spec({ id: 'j-3' })))).kind,
+    (await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-3' })))).kind,
     'later',
     'the write may still be applied, so nothing is promised',
   );
   assert.equal(state.get(jobKey(jobId('j-3'))) !== undefined, false);
-  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-3' })))).kind, 'created');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-3' })))).kind, 'created');
 });
 
 test('without the state service users are told at once to retry later', async () => {
   const a = startNode();
-  state.outage(true);
+  state.setOutage(true);
   for (const outcome of [
-    await lab.settle(a.registry.submit(spec({ id: 'j-4' }))),
-    await lab.settle(a.registry.query(jobId('j-1'))),
-    await lab.settle(a.registry.cancel(jobId('j-1'))),
+    await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-4' }))),
+    await lab.runUntilSettled(a.registry.query(jobId('j-1'))),
+    await lab.runUntilSettled(a.registry.cancel(jobId('j-1'))),
   ]) {
     assert.equal(outcome.kind, 'later');
   }
-  state.outage(false);
+  state.setOutage(false);
 });
 
 test('an ended job stays ended on every node, and a cancellation never overrides a completion', async () => {
   const [a, b] = [startNode(), startNode()];
   const id = jobId('j-5');
-  await lab.settle(a.registry.submit(spec({ id })));
-  const looked = await lab.settle(b.registry.look(id));
+  await lab.runUntilSettled(a.registry.submit(spec({ id })));
+  const looked = await lab.runUntilSettled(b.registry.readState(id));
   assert.ok(looked.kind === 'open');
-  assert.equal(await lab.settle(b.registry.end(id, looked.version, { phase: 'done', at: null, done: 1 }, 1000)), 'ok');
-  const answer = await lab.settle(a.registry.cancel(id));
+  assert.equal(
+    await lab.runUntilSettled(b.registry.storeFinal(id, looked.version, { phase: 'done', at: null, done: 1 }, 1000)),
+    'ok',
+  );
+  const answer = await lab.runUntilSettled(a.registry.cancel(id));
   assert.ok(answer.kind === 'known' && answer.view.phase === 'done');
-  const again = await lab.settle(a.registry.submit(spec({ id })));
+  const again = await lab.runUntilSettled(a.registry.submit(spec({ id })));
   assert.ok(again.kind === 'known' && again.view.phase === 'done');
   assert.equal(state.get(jobKey(id)) !== undefined, false);
   assert.equal(state.get(finalKey(id)) !== undefined, true);
@@ -140,15 +151,15 @@
 test('a cancellation succeeds although another node has just written progress', async () => {
   const a = startNode();
   const id = jobId('j-6');
-  await lab.settle(a.registry.submit(spec({ id, tasks: 4 })));
-  const stale = await lab.settle(a.registry.look(id));
+  await lab.runUntilSettled(a.registry.submit(spec({ id, tasks: 4 })));
+  const stale = await lab.runUntilSettled(a.registry.readState(id));
   assert.ok(stale.kind === 'open');
   state.put(jobKey(id), state.get(jobKey(id)));
   assert.equal(
-    await lab.settle(a.registry.end(id, stale.version, { phase: 'done', at: null, done: 4 }, 1000)),
+    await lab.runUntilSettled(a.registry.storeFinal(id, stale.version, { phase: 'done', at: null, done: 4 }, 1000)),
     'conflict',
   );
-  const answer = await lab.settle(a.registry.cancel(id));
+  const answer = await lab.runUntilSettled(a.registry.cancel(id));
   assert.ok(answer.kind === 'known' && answer.view.phase === 'cancelled');
   assert.deepEqual(a.cancelled, [id]);
 });
@@ -157,7 +168,7 @@
   const [a, b] = [startNode(), startNode()];
   const id = jobId('j-61');
   const job = spec({ id });
-  await lab.settle(a.registry.submit(job));
+  await lab.runUntilSettled(a.registry.submit(job));
   for (const node of [a, b]) node.holdersConfirm = false;
   const requests = [
     () => a.registry.cancel(id),
@@ -167,12 +178,12 @@
     () => b.registry.cancel(id),
     () => b.registry.submit(job),
   ];
-  for (const request of requests) assert.equal((await lab.settle(request())).kind, 'later');
+  for (const request of requests) assert.equal((await lab.runUntilSettled(request())).kind, 'later');
   assert.equal(state.get(jobKey(id)), undefined, 'the cancellation is stored all the same, and holders are told');
   assert.deepEqual([...a.cancelled, ...b.cancelled], Array<JobId>(6).fill(id));
   for (const node of [a, b]) node.holdersConfirm = true;
   for (const request of requests) {
-    const answer = await lab.settle(request());
+    const answer = await lab.runUntilSettled(request());
     assert.ok(answer.kind === 'known' && answer.view.phase === 'cancelled');
   }
 });
@@ -180,19 +191,19 @@
 test('an accepted job stays known after settings and machine types have changed', async () => {
   const a = startNode();
   const job = spec({ id: 'j-7', cpus: 4 });
-  await lab.settle(a.registry.submit(job));
+  await lab.runUntilSettled(a.registry.submit(job));
   a.types = [{ ...small, cpus: 1 }];
-  assert.equal((await lab.settle(a.registry.submit(job))).kind, 'known');
-  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-8', cpus: 4 })))).kind, 'never');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(job))).kind, 'known');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-8', cpus: 4 })))).kind, 'never');
   a.types = null;
-  assert.equal((await lab.settle(a.registry.submit(job))).kind, 'known');
-  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-9' })))).kind, 'later');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(job))).kind, 'known');
+  assert.equal((await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-9' })))).kind, 'later');
 });
 
 test('a bit set behaves like a plain set of task numbers, also after encoding and decoding', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 70 }), fc.array(fc.integer({ min: -2, max: 72 })), (size, numbers) => {
-      const bits = Bits.empty(size);
+      const bits = BitSet.empty(size);
       const plain = new Set<number>();
       for (const n of numbers) {
         const fits = n >= 0 && n < size && !plain.has(n);
@@ -202,12 +213,12 @@
       const copy = bits.copy();
       for (let n = 0; n < size; n++) copy.add(n);
       assert.equal(copy.count, size);
-      for (const read of [bits, Bits.decode(size, bits.encode())]) {
+      for (const read of [bits, BitSet.decode(size, bits.encode())]) {
         assert.equal(read.count, plain.size);
         for (let n = -1; n <= size + 8; n++) assert.equal(read.has(n), plain.has(n));
       }
       // Stored bits beyond the number of tasks are dropped.
-      assert.equal(Bits.decode(size, Buffer.alloc(20, 255).toString('base64')).count, size);
+      assert.equal(BitSet.decode(size, Buffer.alloc(20, 255).toString('base64')).count, size);
     }),
   );
 });
@@ -220,20 +231,20 @@
     JobId,
     JobId,
   ];
-  for (const id of [open, done, cancelledId]) await lab.settle(a.registry.submit(spec({ id })));
-  const looked = await lab.settle(a.registry.look(done));
+  for (const id of [open, done, cancelledId]) await lab.runUntilSettled(a.registry.submit(spec({ id })));
+  const looked = await lab.runUntilSettled(a.registry.readState(done));
   assert.ok(looked.kind === 'open');
-  await lab.settle(a.registry.end(done, looked.version, { phase: 'done', done: 1, at: null }, 1000));
-  await lab.settle(a.registry.cancel(cancelledId));
+  await lab.runUntilSettled(a.registry.storeFinal(done, looked.version, { phase: 'done', done: 1, at: null }, 1000));
+  await lab.runUntilSettled(a.registry.cancel(cancelledId));
   const submit = (id: string, dependencies: readonly JobId[], node = b, overrides: object = {}) =>
-    lab.settle(node.registry.submit(spec({ id, ...overrides }), dependencies));
+    lab.runUntilSettled(node.registry.submit(spec({ id, ...overrides }), dependencies));
   const stored = (id: string): Record<string, unknown> | undefined =>
     state.get(jobKey(jobId(id))) as Record<string, unknown> | undefined;
 
   const refused = await submit('j-30', [open, neverAccepted]);
   assert.ok(refused.kind === 'never' && refused.reason.includes('j-none'));
   assert.equal((await submit('j-30', [jobId('j-30')])).kind, 'never', 'the job itself was never accepted');
-  await lab.settle(a.registry.submit(spec({ id: 'j-23', kind: 'service' })));
+  await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-23', kind: 'service' })));
   const service = await submit('j-30', [jobId('j-23')]);
   assert.ok(service.kind === 'never' && service.reason.includes('service'));
 
@@ -251,19 +262,19 @@
   const again = await submit('j-33', [open, cancelledId], a);
   assert.ok(again.kind === 'known' && again.view.phase === 'cancelled');
 
-  state.outage(true);
+  state.setOutage(true);
   assert.equal((await submit('j-34', [open])).kind, 'later');
-  state.outage(false);
+  state.setOutage(false);
 });
 
 test('a job with a hundred dependencies fits the smaller size limit; a job that never fits is refused with the reason', async () => {
   const a = startNode({ valueKb: 32, txnOps: 16, next: { writeRps: 1000, valueKb: 2, txnOps: 5 } });
   const dependencies = Array.from({ length: 100 }, (_, i) => jobId(`j-${String(800_000 + i)}`));
-  for (const id of dependencies) await lab.settle(a.registry.submit(spec({ id })));
-  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-40' }), dependencies))).kind, 'created');
+  for (const id of dependencies) await lab.runUntilSettled(a.registry.submit(spec({ id })));
+  assert.equal((await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-40' }), dependencies))).kind, 'created');
   const types = ['small', ...Array.from({ length: 199 }, (_, i) => `${'x'.repeat(190)}${i}`)];
-  assert.equal((await lab.settle(a.registry.submit(spec({ id: 'j-41', types })))).kind, 'created');
-  const tooLong = await lab.settle(a.registry.submit(spec({ id: 'j-42', image: 'é'.repeat(1000) })));
+  assert.equal((await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-41', types })))).kind, 'created');
+  const tooLong = await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-42', image: 'é'.repeat(1000) })));
   assert.ok(tooLong.kind === 'malformed' && tooLong.reason.includes('too long'));
 });
 
@@ -272,7 +283,7 @@
   const facts = { rps: 1000, writeRps: 40, valueKb: 4, txnOps: 16, next: { writeRps: 20, valueKb: 1, txnOps: 5 } };
   const client = new StateClient(address, facts, log, runtime);
   const put = (kb: number) =>
-    lab.settle(client.txn(Urgency.shard, [], [{ put: 'live/x', value: 'x'.repeat(kb * 1024 - 10) }]));
+    lab.runUntilSettled(client.txn(Urgency.shard, [], [{ put: 'live/x', value: 'x'.repeat(kb * 1024 - 10) }]));
   assert.equal((await put(3)).kind, 'ok');
   assert.equal((await put(5)).kind, 'refused', 'the value exceeds the current limit');
   assert.equal(client.limits.fallen, false);
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -14,11 +14,11 @@
   NO_WISHES,
   AUTO_REVERT_WINDOW_MS,
   MIN_STABLE_BEFORE_REPLACEMENT_MS,
-  Switches,
+  FeatureGates,
   NO_OBSERVATIONS,
   observeNodes,
   MIN_STABLE_BEFORE_SWITCH_ON_MS,
-  whyNotNext,
+  replacementBlocker,
   type Announcement,
   type Feature,
   type FeatureWish,
@@ -28,8 +28,8 @@
   type RolloutWishes,
   type NodeObservations,
 } from '../src/rollout/index.js';
-import { LIVE, Mirror, ROLLOUT_STATE, StateClient } from '../src/state/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { LIVE_PREFIX, Mirror, ROLLOUT_STATE_KEY, StateClient } from '../src/state/index.js';
+import { SimulationHarness } from '../packages/region/test/lab.js';
 
 const NAMES = ['n-0', 'n-1', 'n-2'].map(nodeName);
 const FEATURES: readonly Feature[] = [
@@ -394,24 +394,24 @@
 });
 
 test('a process uses a feature that is on and that it supports; a record that it cannot read changes nothing', () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
   const mirror = new Mirror(
     new StateClient(lab.state().at, { rps: 9, writeRps: 9 }, lab.log, runtime),
-    LIVE,
+    LIVE_PREFIX,
     runtime,
     lab.log,
   );
-  const switches = new Switches(mirror, new Set(['first']));
+  const switches = new FeatureGates(mirror, new Set(['first']));
   const put = (value: unknown, version: number): void =>
-    mirror.apply({ key: ROLLOUT_STATE, value, removed: false, version: version as never });
-  assert.equal(switches.on('first'), false);
+    mirror.apply({ key: ROLLOUT_STATE_KEY, value, removed: false, version: version as never });
+  assert.equal(switches.isOn('first'), false);
   put({ features: { first: { state: 'on' }, second: { state: 'on' } } }, 5);
-  assert.deepEqual([switches.on('first'), switches.on('second')], [true, false]);
+  assert.deepEqual([switches.isOn('first'), switches.isOn('second')], [true, false]);
   put({ v: 2, features: {} }, 6);
-  assert.equal(switches.on('first'), true);
+  assert.equal(switches.isOn('first'), true);
   put({ features: { first: { state: 'returning' } } }, 7);
-  assert.equal(switches.on('first'), false);
+  assert.equal(switches.isOn('first'), false);
 });
 
 test('the next controller may be replaced when all are registered, none is leaving and no shard is displaced', () => {
@@ -425,29 +425,32 @@
     nodes: registered(),
     shards,
     leaving: [],
-    watched: STABLE,
+    observations: STABLE,
   };
   const [first, ...rest] = shards;
   const [, second] = NAMES;
   assert.ok(first && second);
-  assert.equal(whyNotNext(replaceable), null);
+  assert.equal(replacementBlocker(replaceable), null);
   assert.match(
-    whyNotNext({ ...replaceable, now: millis(MIN_STABLE_BEFORE_REPLACEMENT_MS - 1) }) ?? '',
+    replacementBlocker({ ...replaceable, now: millis(MIN_STABLE_BEFORE_REPLACEMENT_MS - 1) }) ?? '',
     /changed too recently/,
   );
-  assert.match(whyNotNext({ ...replaceable, leaving: [second] }) ?? '', /leaving: n-1/);
-  assert.match(whyNotNext({ ...replaceable, shards: [{ ...first, holder: second }, ...rest] }) ?? '', /held by n-1/);
+  assert.match(replacementBlocker({ ...replaceable, leaving: [second] }) ?? '', /leaving: n-1/);
   assert.match(
-    whyNotNext({ ...replaceable, shards: [{ ...first, holder: null }, ...rest] }) ?? '',
+    replacementBlocker({ ...replaceable, shards: [{ ...first, holder: second }, ...rest] }) ?? '',
+    /held by n-1/,
+  );
+  assert.match(
+    replacementBlocker({ ...replaceable, shards: [{ ...first, holder: null }, ...rest] }) ?? '',
     /without a holder: n-0/,
   );
   assert.match(
-    whyNotNext({ ...replaceable, shards: [{ ...first, unreadable: true }, ...rest] }) ?? '',
+    replacementBlocker({ ...replaceable, shards: [{ ...first, unreadable: true }, ...rest] }) ?? '',
     /another release: n-0/,
   );
   const [, ...others] = registered();
   assert.match(
-    whyNotNext({ ...replaceable, nodes: [{ node: first.holder ?? second, announced: null }, ...others] }) ?? '',
+    replacementBlocker({ ...replaceable, nodes: [{ node: first.holder ?? second, announced: null }, ...others] }) ?? '',
     /not registered/,
   );
 });
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -2,10 +2,10 @@
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import {
-  readDay,
-  serveRegion,
-  settingsFor,
-  type ControllerSeat,
+  parseScenario,
+  startLoopbackRegion,
+  controllerSettingsToml,
+  type ControllerSpec,
   type Submission,
 } from '../packages/region/src/index.js';
 import { parseSettings } from '../src/config/index.js';
@@ -78,8 +78,8 @@
     timeout: 120_000,
   },
   async () => {
-    const day = readDay(DAY, 'the test');
-    const seats: ControllerSeat[] = [];
+    const day = parseScenario(DAY, 'the test');
+    const seats: ControllerSpec[] = [];
     for (const name of ['n-0', 'n-1']) {
       const [serveOn, peerOn] = [
         { host: HOST, port: await freePort() },
@@ -88,9 +88,9 @@
       seats.push({ name, zone: 'z', serveOn, peerOn });
     }
     const events: string[] = [];
-    const region = await serveRegion(day, 3, seats, log, (what) => events.push(what));
+    const region = await startLoopbackRegion(day, 3, seats, log, (what) => events.push(what));
     const services = seats.map(
-      (seat) => new Service(parseSettings(settingsFor(day, seat, seats, region)), log, systemRuntime),
+      (seat) => new Service(parseSettings(controllerSettingsToml(day, seat, seats, region)), log, systemRuntime),
     );
     const clients = seats.map(({ serveOn }) => new HttpClient(serveOn, 2));
     const call = async (node: number, path: string, body?: unknown): Promise<{ status: number; phase: unknown }> => {
--- a/test/standins/carrying.ts
+++ b/test/standins/carrying.ts
@@ -1,5 +1,5 @@
 import { Subject } from 'rxjs';
-import { Carrier, type BoundFacts } from '../../src/carry/index.js';
+import { CancellationPropagator, type HolderTimings } from '../../src/carry/index.js';
 import {
   incarnation,
   millis,
@@ -18,7 +18,7 @@
 import type { KnownShard } from '../../src/membership/index.js';
 import type { PeerMessage, PeerStatus } from '../../src/peers/index.js';
 import { CARRIED_CANCELLATIONS } from '../../src/rollout/index.js';
-import { jobKey, nodeKey, SHARDS, shardKey, type Change, type Entry } from '../../src/state/index.js';
+import { jobKey, nodeKey, SHARDS_PREFIX, shardKey, type Change, type Entry } from '../../src/state/index.js';
 
 /** Guards of the proof in docs/cancel-design.md, one of which a run may omit to show that it is needed. */
 export type OmittedGuard = 'nothing' | 'acknowledgement' | 'deadline' | 'watch catch-up';
@@ -35,7 +35,7 @@
 }
 
 /** Time limits of the simulated cluster: cancellations, workers' leases, and node leases. */
-export const TIMINGS: BoundFacts = { cancelMs: 48_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
+export const TIMINGS: HolderTimings = { cancelMs: 48_000, leaseMs: 18_000, nodeLeaseMs: 4000 };
 /** Step of the simulated time. */
 const TICK_MS = 100;
 /** Interval at which a machine reports to the controller that answers it. */
@@ -74,7 +74,7 @@
 /** One incarnation of a controller: the production code for cancellations on a lagging mirror and modelled holders. */
 class Controller {
   readonly incarnation: Incarnation;
-  readonly carrier: Carrier;
+  readonly carrier: CancellationPropagator;
   readonly held = new Map<ShardName, HeldShard>();
   readonly endedJobs = new Set<JobId>();
   readonly entries = new Map<string, Entry>();
@@ -92,7 +92,7 @@
   ) {
     this.incarnation = incarnation(`incarnation-${cluster.startedControllers++}`);
     const self = nodeName(`n-${n}`);
-    this.carrier = new Carrier({
+    this.carrier = new CancellationPropagator({
       ...{ self, incarnation: this.incarnation, facts: TIMINGS, runtime: cluster.runtimeOf(n) },
       others: cluster.nodes.filter((node) => node !== n).map((node) => nodeName(`n-${node}`)),
       log: { info: () => undefined, warn: () => undefined },
@@ -100,11 +100,11 @@
       mirror: this.createMirror(),
       directory: this.createDirectory(),
       peers: { send: (to, message) => this.send(to, message), statusOf: (node) => this.peerStatuses.get(node) ?? null },
-      on: () => cluster.omittedGuard !== 'acknowledgement',
-      renewedAt: () => this.renewedAt,
+      enabled: () => cluster.omittedGuard !== 'acknowledgement',
+      leaseRenewedAt: () => this.renewedAt,
       held: () => [...this.held].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
-      ousted: (shard) => this.held.delete(shard),
-      over: (id) => this.endedJobs.add(id),
+      onShardLost: (shard) => this.held.delete(shard),
+      onJobEnded: (id) => this.endedJobs.add(id),
     });
   }
 
@@ -113,7 +113,7 @@
     return { kind: 'ok', revision: this.cluster.store.write(ops.map(toStoreChange)) };
   }
 
-  private createMirror(): ConstructorParameters<typeof Carrier>[0]['mirror'] {
+  private createMirror(): ConstructorParameters<typeof CancellationPropagator>[0]['mirror'] {
     const watchedRevision = (): Revision => this.watchedRevision;
     return {
       get: (key) => this.entries.get(key),
@@ -134,10 +134,10 @@
 
   private createDirectory(): { readonly all: ReadonlyMap<ShardName, KnownShard> } {
     const shards = (): Map<ShardName, KnownShard> => {
-      const found = [...this.entries.values()].filter(({ key }) => key.startsWith(SHARDS));
+      const found = [...this.entries.values()].filter(({ key }) => key.startsWith(SHARDS_PREFIX));
       return new Map(
         found.map(({ key, value, version }) => [
-          shardName(key.slice(SHARDS.length)),
+          shardName(key.slice(SHARDS_PREFIX.length)),
           { value: value as KnownShard['value'], version, pages: [], spare: [] },
         ]),
       );
@@ -180,14 +180,14 @@
       ...status,
       node,
       incarnation: senderIncarnation,
-      heardAt: this.cluster.clockOf(this.n),
+      lastHelloAt: this.cluster.clockOf(this.n),
     });
-    this.carrier.onPeer(node, message);
+    this.carrier.onPeerMessage(node, message);
   }
 
   /** Reports whether this incarnation answers workers as the holder of the shard. */
   answersFor(shard: ShardName): boolean {
-    if (this.cluster.omittedGuard !== 'deadline' && this.carrier.standing === 'nothing') return false;
+    if (this.cluster.omittedGuard !== 'deadline' && this.carrier.holderMode === 'nothing') return false;
     return this.held.has(shard);
   }
 }
@@ -423,7 +423,7 @@
       const version = this.store.keys.get(final)?.version ?? revision(0);
       const { n } = controller;
       void controller.carrier
-        .carried(job, { phase: 'cancelled', done: 0, at: wallMillis(0) }, version)
+        .awaitAcknowledgement(job, { phase: 'cancelled', done: 0, at: wallMillis(0) }, version)
         .then((acknowledged) => {
           if (acknowledged && this.controllers[n] === controller && !this.told.has(job)) this.told.set(job, this.now);
         });
--- a/test/standins/quotas.ts
+++ b/test/standins/quotas.ts
@@ -9,8 +9,8 @@
 } from '../../src/kernel/index.js';
 import { QuotaShares, type QuotaDeps, type QuotaHolder, type QuotaMode, type TeamNeed } from '../../src/quota/index.js';
 import {
-  QUOTAS,
-  ROLLOUT_STATE,
+  QUOTAS_PREFIX,
+  ROLLOUT_STATE_KEY,
   shardKey,
   type Entry,
   type Guard,
@@ -126,7 +126,7 @@
       },
       runtime: { now: () => world.now },
       log: { info: () => undefined, warn: () => undefined, error: () => undefined },
-      mode: () => (this.entries.get(ROLLOUT_STATE)?.value as QuotaMode | undefined) ?? 'whole',
+      mode: () => (this.entries.get(ROLLOUT_STATE_KEY)?.value as QuotaMode | undefined) ?? 'whole',
       shards: () => world.shards.map(({ name }) => name),
       sealed: () =>
         new Map(
@@ -136,10 +136,10 @@
           }),
         ),
       holders: () => [...this.held].map((shard) => this.holderOf(shard)),
-      tell: (demand) => {
-        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.hear(demand);
+      sendDemand: (demand) => {
+        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.recordDemand(demand);
       },
-      settle: (shard) => (world.omitted === 'settle' ? Promise.resolve() : world.settle(shard)),
+      fencePendingWrites: (shard) => (world.omitted === 'settle' ? Promise.resolve() : world.settle(shard)),
     };
   }
 
@@ -187,7 +187,7 @@
       shard.claimedAt = version;
       this.nodes[shard.holder]?.held.add(shard);
     }
-    this.store.write([{ put: ROLLOUT_STATE, value: 'shared' }]);
+    this.store.write([{ put: ROLLOUT_STATE_KEY, value: 'shared' }]);
   }
 
   get now(): Millis {
@@ -206,7 +206,8 @@
   /** Runs a transaction. Some are refused, some lose their response, and some are applied long after. */
   txn(guards: readonly Guard[], ops: readonly Op[]): Promise<TxnResult> {
     this.writes += 1;
-    const checked = this.omitted === 'record guard' ? guards.filter(({ key }) => !key.startsWith(QUOTAS)) : guards;
+    const checked =
+      this.omitted === 'record guard' ? guards.filter(({ key }) => !key.startsWith(QUOTAS_PREFIX)) : guards;
     const apply = (): TxnResult =>
       this.store.holds(checked) ? { kind: 'ok', revision: this.store.write(ops) } : { kind: 'conflict' };
     const drawn = this.random();
@@ -258,7 +259,7 @@
     const node = this.node();
     const drawn = this.random();
     if (node && drawn < 0.6) this.watch(node, Math.ceil(this.random() * 4));
-    else if (node && drawn < 0.85) node.shares.round();
+    else if (node && drawn < 0.85) node.shares.reconcile();
     else if (drawn < 0.9) this.claim();
     else if (drawn < 0.97) {
       const shard = this.pick(this.shards);
@@ -310,7 +311,7 @@
 
   /** The stored quota record; null if there is none. */
   get stored(): unknown {
-    return this.store.keys.get(`${QUOTAS}${TEAM}`)?.value ?? null;
+    return this.store.keys.get(`${QUOTAS_PREFIX}${TEAM}`)?.value ?? null;
   }
 
   /** Starts with tasks in several shards from before limits were divided; all nodes know that the mode is 'shared'. */
--- a/test/suspects.test.ts
+++ b/test/suspects.test.ts
@@ -3,7 +3,7 @@
 import { spec } from './standins/jobs.js';
 import { HeldMachine, JobRun } from '../src/holder/index.js';
 import {
-  Bits,
+  BitSet,
   createLogger,
   jobId,
   machineId,
@@ -20,7 +20,7 @@
 const run = (over: Parameters<typeof spec>[0]): JobRun => {
   const job = spec(over);
   const record = {
-    ...{ spec: job, shard: shardName('s'), submittedAt: wallMillis(0), done: Bits.empty(job.tasks) },
+    ...{ spec: job, shard: shardName('s'), submittedAt: wallMillis(0), done: BitSet.empty(job.tasks) },
     awaits: [],
   };
   return new JobRun(record, revision(1), revision(1), millis(0));
--- a/test/teamuse.test.ts
+++ b/test/teamuse.test.ts
@@ -13,7 +13,7 @@
   type JobId,
   type TaskKey,
 } from '../src/kernel/index.js';
-import { MachineBelief, tokenOf, type ListedTask } from '../src/workers/index.js';
+import { WorkerTracker, fencingTokenOf, type ListedTask } from '../src/workers/index.js';
 import { planPlacement } from '../src/placement/index.js';
 import { spec } from './standins/jobs.js';
 
@@ -28,33 +28,33 @@
 const specOf = (id: JobId) => SPECS.get(id) ?? null;
 
 /** The belief about a machine whose worker has acknowledged the current holder's token and lists these tasks. */
-function beliefListing(...tasks: readonly [string, number, ListedTask['state']][]): MachineBelief {
-  const belief = new MachineBelief(revision(7), millis(0));
+function beliefListing(...tasks: readonly [string, number, ListedTask['state']][]): WorkerTracker {
+  const belief = new WorkerTracker(revision(7), millis(0));
   const message = {
     ...{ machine: machineId('m'), type: 's', zone: 'z', spot: false, address: '', noticeS: null },
-    ...{ session: session(1), sequence: sequence(1), token: tokenOf(revision(7), 0) },
+    ...{ session: session(1), sequence: sequence(1), token: fencingTokenOf(revision(7), 0) },
     tasks: tasks.map(([job, index, state]) => ({
       ...{ key: taskKey(jobId(job), index), job: jobId(job), index, attempt: attempt(1), state },
       ...{ why: null, saved: false },
     })),
   };
-  assert.equal(belief.take(message, millis(1)), 'taken');
+  assert.equal(belief.applyReport(message, millis(1)), 'taken');
   return belief;
 }
 
-const onMachine = (belief: MachineBelief) => ({ belief, active: new Map<TaskKey, unknown>() });
+const onMachine = (belief: WorkerTracker) => ({ belief, active: new Map<TaskKey, unknown>() });
 
 test('a planned task counts before its command is sent, and is not counted twice afterwards', () => {
   const belief = beliefListing(['j-tight', 0, 'running']);
   const key = taskKey(jobId('j-tight'), 1);
   const machine = { belief, active: new Map([[key, 'planned']]) };
   assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
-  belief.noteStart(key, attempt(2));
+  belief.recordStart(key, attempt(2));
   assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
 });
 
 /** How many of eight tasks of the limited team a plan starts on a machine that has capacity for all of them. */
-function countStarts(...beliefs: MachineBelief[]): number {
+function countStarts(...beliefs: WorkerTracker[]): number {
   const { use } = computeTeamUse(TEAMS, beliefs.map(onMachine), specOf);
   const of = SPECS.get(jobId('j-tight'));
   assert.ok(of);
@@ -79,7 +79,7 @@
 
 test('tasks that may be on a machine count against a team limit; exited tasks and other teams do not', () => {
   const belief = beliefListing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
-  belief.noteStart(taskKey(jobId('j-tight'), 2), attempt(2));
+  belief.recordStart(taskKey(jobId('j-tight'), 2), attempt(2));
   const { use, unknown } = computeTeamUse(TEAMS, [onMachine(belief)], specOf);
   assert.deepEqual([...use], [['tight', { cpus: 2, gpus: 0, cpusMax: 4, gpusMax: 0 }]]);
   assert.equal(unknown, 0);
@@ -93,10 +93,10 @@
   assert.equal(countStarts(stuck), 0);
   assert.equal(countStarts(beliefListing(), stuck), 0);
   const pending = beliefListing();
-  pending.noteStart(taskKey(jobId('j-cancelled'), 0), attempt(3));
+  pending.recordStart(taskKey(jobId('j-cancelled'), 0), attempt(3));
   assert.equal(countStarts(pending), 0);
   assert.equal(countStarts(beliefListing(['j-cancelled', 0, 'exited'])), 4);
   // Its lease has expired, so no task is on the machine.
-  stuck.expire();
+  stuck.expireLease();
   assert.equal(countStarts(stuck), 4);
 });
--- a/test/threshold.test.ts
+++ b/test/threshold.test.ts
@@ -6,10 +6,10 @@
   chooseRestarts,
   DEFAULT_TUNABLES,
   estimateRunS,
-  flagTasks,
-  resourceR,
+  flagStragglers,
+  resourceTerm,
   threshold,
-  type Flag,
+  type StragglerFlag,
   type JobSnapshot,
 } from '../src/speculation/index.js';
 
@@ -42,7 +42,7 @@
     [1, 0.2, 1.55],
   ] as const;
   for (const [progress, use, expected] of rows) {
-    near(threshold(1.5, progress, resourceR([{ cpu: use, memory: use }], t), t), expected, 0.011);
+    near(threshold(1.5, progress, resourceTerm([{ cpu: use, memory: use }], t), t), expected, 0.011);
   }
 });
 
@@ -52,7 +52,7 @@
       fc.double({ min: 0, max: 1, noNaN: true }),
       fc.double({ min: 0, max: 1, noNaN: true }),
       (progress, use) => {
-        const r = resourceR([{ cpu: use, memory: use / 2 }], DEFAULT_TUNABLES);
+        const r = resourceTerm([{ cpu: use, memory: use / 2 }], DEFAULT_TUNABLES);
         const ratio = threshold(1.5, progress, r, DEFAULT_TUNABLES);
         assert.ok(ratio >= DEFAULT_TUNABLES.floor);
         assert.ok(threshold(1.5, Math.min(1, progress + 0.1), r, DEFAULT_TUNABLES) >= ratio);
@@ -114,7 +114,7 @@
   let flagged = 0;
   fc.assert(
     fc.property(job, fc.integer({ min: -6, max: 4 }), (snapshot, tenths) => {
-      const flags = flagTasks(snapshot, tenths / 10, DEFAULT_TUNABLES).map((f) => f.index);
+      const flags = flagStragglers(snapshot, tenths / 10, DEFAULT_TUNABLES).map((f) => f.index);
       flagged += flags.length;
       assert.deepEqual(flags, referenceFlags(snapshot, tenths / 10));
     }),
@@ -130,7 +130,7 @@
 });
 
 test('a flagged task is restarted once, only from a faulty-looking machine, and at most a tenth of its job per round', () => {
-  const flag = (job: string, index: number, machine: string, estimateS: number, restarted = false): Flag => ({
+  const flag = (job: string, index: number, machine: string, estimateS: number, restarted = false): StragglerFlag => ({
     job,
     index,
     machine,
