--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -28,9 +28,14 @@
     },
   },
   {
-    // Time, timers, luck and sockets come from the runtime that is handed in; only `system.ts` has the real ones.
+    // Time, timers, luck and sockets come from the runtime that is handed in; only `system-runtime.ts` has the real ones.
     files: ['src/**/*.ts', 'packages/*/src/**/*.ts'],
-    ignores: ['src/kernel/system.ts', 'src/cli/**', 'packages/region/src/sim/rest.ts', 'packages/*/src/cli/**'],
+    ignores: [
+      'src/kernel/system-runtime.ts',
+      'src/cli/**',
+      'packages/region/src/sim/settle-pending-callbacks.ts',
+      'packages/*/src/cli/**',
+    ],
     rules: {
       'no-restricted-globals': [
         'error',
--- a/packages/region/src/checker/index.ts
+++ b/packages/region/src/checker/index.ts
@@ -1,3 +1,3 @@
 /** Checks a simulation run against the rules of the protocol. */
-export * from './rules.js';
-export type { FreeCapacity } from './waiting.js';
+export * from './rule-checker.js';
+export type { FreeCapacity } from './waiting-detector.js';
--- a/packages/region/src/checker/rule-checker.ts
+++ b/packages/region/src/checker/rule-checker.ts
@@ -1,5 +1,5 @@
 import type { ReportedState, SimulatedJob, Machine, TaskObserver, UserObserver } from '../models/index.js';
-import { WaitingDetector, type FreeCapacity } from './waiting.js';
+import { WaitingDetector, type FreeCapacity } from './waiting-detector.js';
 
 /** The rules of the protocol. A run that violates one of them yields no valid result. */
 export const RULES = [
--- a/packages/region/src/cli/capacity.ts
+++ b/packages/region/src/cli/capacity.ts
@@ -12,7 +12,7 @@
   type CapacityDimension,
   type CapacitySample,
 } from '../scale/index.js';
-import { dayArgument, loadDay } from './days.js';
+import { dayArgument, loadDay } from './load-day.js';
 import { parsePositiveNumber } from './options.js';
 import { hostOptions, runScale } from './scale.js';
 
--- a/packages/region/src/cli/command.ts
+++ b/packages/region/src/cli/command.ts
@@ -5,7 +5,7 @@
 import { SingleBar, Presets } from 'cli-progress';
 import { Command, InvalidArgumentError, Option } from 'commander';
 import { createLogger, systemRuntime } from '../../../../src/kernel/index.js';
-import { scaleScenario } from '../day/index.js';
+import { scaleScenario } from '../scenario/index.js';
 import {
   searchForFailure,
   FAULT_COMBINATIONS,
@@ -27,10 +27,10 @@
 import { ReleaseCatalog } from '../releases/index.js';
 import { Region, type DayResult } from '../region.js';
 import { renderDayPage, renderDayTable } from '../report/index.js';
-import { controllerSettingsToml } from '../settings.js';
-import { loopbackControllerSpecs, startLoopbackRegion } from '../real.js';
+import { controllerSettingsToml } from '../controller-settings.js';
+import { loopbackControllerSpecs, startLoopbackRegion } from '../loopback-region.js';
 import { addCapacityCommand } from './capacity.js';
-import { dayArgument, loadDay } from './days.js';
+import { dayArgument, loadDay } from './load-day.js';
 import { parsePositiveNumber, parseFraction, UsageError, parseWholeNumber } from './options.js';
 import { addScaleCommands } from './scale.js';
 
--- a/packages/region/src/cli/load-day.ts
+++ b/packages/region/src/cli/load-day.ts
@@ -1,7 +1,7 @@
 /** Loads days for commands. */
 
 import { readFileSync } from 'node:fs';
-import { parseScenario, type SimulationScenario } from '../day/index.js';
+import { parseScenario, type SimulationScenario } from '../scenario/index.js';
 import { UsageError } from './options.js';
 
 /** TOML of the days that ship with the package, by name. The bundler defines this constant. */
--- a/packages/region/src/cli/scale.ts
+++ b/packages/region/src/cli/scale.ts
@@ -6,7 +6,7 @@
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
 import { createLogger, isObject } from '../../../../src/kernel/index.js';
-import { scaleScenario, type SimulationScenario } from '../day/index.js';
+import { scaleScenario, type SimulationScenario } from '../scenario/index.js';
 import {
   HollowWorkers,
   ScaleRun,
@@ -15,7 +15,7 @@
   type ProcessLaunch,
   type ScaleOptions,
 } from '../scale/index.js';
-import { dayArgument, loadDay } from './days.js';
+import { dayArgument, loadDay } from './load-day.js';
 import { parsePositiveNumber, parseFraction, parseWholeNumber } from './options.js';
 
 /** Duration of a scale run's day in seconds, longer than any run. */
--- a/packages/region/src/controller-settings.ts
+++ b/packages/region/src/controller-settings.ts
@@ -1,7 +1,7 @@
 import { stringify } from 'smol-toml';
 import type { Endpoint } from '../../../src/kernel/index.js';
-import type { SimulationScenario } from './day/index.js';
-import type { ControllerSpec } from './parts.js';
+import type { SimulationScenario } from './scenario/index.js';
+import type { ControllerSpec } from './region-parts.js';
 
 /** Formats an address as `host:port`. */
 const formatEndpoint = ({ host, port }: Endpoint): string => `${host}:${port}`;
--- a/packages/region/src/controller.ts
+++ b/packages/region/src/controller.ts
@@ -1,4 +1,4 @@
-import type { ControllerSpec } from './parts.js';
+import type { ControllerSpec } from './region-parts.js';
 import { CURRENT_RELEASE, type ControllerHandle } from './releases/index.js';
 import type { Host, SimProcess } from './sim/index.js';
 
--- a/packages/region/src/fault-injection.ts
+++ b/packages/region/src/fault-injection.ts
@@ -1,10 +1,10 @@
 /** Fault injection: starts and ends the faults that a day schedules. */
 
 import { isObject } from '../../../src/kernel/index.js';
-import type { SimulationScenario, Fault } from './day/index.js';
+import type { SimulationScenario, Fault } from './scenario/index.js';
 import type { Machine, WorkerModel } from './models/index.js';
 import type { Controller } from './controller.js';
-import type { RegionParts } from './parts.js';
+import type { RegionParts } from './region-parts.js';
 import type { Partition, PartitionKind, Host, RandomStream, Network, SimProcess, EventQueue } from './sim/index.js';
 
 /** The fault of a given kind. */
--- a/packages/region/src/hunt/combination-runs.ts
+++ b/packages/region/src/hunt/combination-runs.ts
@@ -1,11 +1,11 @@
 /** Runs fault combinations by seed and stores one result a line, so that an interrupted run can be continued. */
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import * as v from 'valibot';
-import type { SimulationScenario } from '../day/index.js';
+import type { SimulationScenario } from '../scenario/index.js';
 
 import type { ReleaseCatalog } from '../releases/index.js';
-import { runUntilViolation } from './hunt.js';
-import { drawCombination } from './meetings.js';
+import { runUntilViolation } from './search.js';
+import { drawCombination } from './fault-combinations.js';
 
 /** Options of a run of fault combinations. */
 export interface CombinationRunOptions {
--- a/packages/region/src/hunt/fault-combinations.ts
+++ b/packages/region/src/hunt/fault-combinations.ts
@@ -1,5 +1,5 @@
 /** Combinations of faults that have violated rules together, and random pairs of them. */
-import type { SimulationScenario, Fault } from '../day/index.js';
+import type { SimulationScenario, Fault } from '../scenario/index.js';
 import { RandomStream } from '../sim/index.js';
 
 /** Range in which the first combination of a scenario starts, in seconds of simulated time. */
--- a/packages/region/src/hunt/index.ts
+++ b/packages/region/src/hunt/index.ts
@@ -1,4 +1,4 @@
 /** Searches for fault schedules that violate a rule, and runs combinations of faults. */
-export * from './hunt.js';
-export * from './meetings.js';
-export * from './playlist.js';
+export * from './search.js';
+export * from './fault-combinations.js';
+export * from './combination-runs.js';
--- a/packages/region/src/hunt/search.ts
+++ b/packages/region/src/hunt/search.ts
@@ -1,6 +1,6 @@
 /** Randomized fault injection: draws fault schedules, runs them, and shrinks a schedule that fails. */
 import { stringify } from 'smol-toml';
-import { parseScenario, type SimulationScenario, type Fault } from '../day/index.js';
+import { parseScenario, type SimulationScenario, type Fault } from '../scenario/index.js';
 import { Region, type DayResult } from '../region.js';
 import { CURRENT_RELEASE, type ReleaseCatalog } from '../releases/index.js';
 import { RandomStream } from '../sim/index.js';
--- a/packages/region/src/job-statistics.ts
+++ b/packages/region/src/job-statistics.ts
@@ -1,5 +1,5 @@
 import { build, type Histogram } from 'hdr-histogram-js';
-import type { Objective, SimulationScenario, JobClass } from './day/index.js';
+import type { Objective, SimulationScenario, JobClass } from './scenario/index.js';
 import type { TaskExitCause, SimulatedJob, Machine, TaskObserver, UserView } from './models/index.js';
 
 /** What has happened to one job so far. Times in milliseconds of true time. */
--- a/packages/region/src/loopback-region.ts
+++ b/packages/region/src/loopback-region.ts
@@ -1,10 +1,10 @@
 import { jobId, type Endpoint, type Logger } from '../../../src/kernel/index.js';
 import { decodeJobRecord } from '../../../src/jobs/index.js';
 import { jobKey } from '../../../src/state/index.js';
-import type { SimulationScenario } from './day/index.js';
-import { DisposableRuntime } from './ending.js';
+import type { SimulationScenario } from './scenario/index.js';
+import { DisposableRuntime } from './disposable-runtime.js';
 import { SimulatedJob, type StateModel, type Submission } from './models/index.js';
-import { RegionParts, type ControllerSpec, type HostProvider, type ModelHost } from './parts.js';
+import { RegionParts, type ControllerSpec, type HostProvider, type ModelHost } from './region-parts.js';
 import { RandomStream } from './sim/index.js';
 
 /** The address on which all services of a region on loopback listen. */
--- a/packages/region/src/measure/cancels.ts
+++ b/packages/region/src/measure/cancels.ts
@@ -2,7 +2,7 @@
 
 import { build } from 'hdr-histogram-js';
 import { Region, type RegionOptions } from '../region.js';
-import { fleetDay } from './fleet.js';
+import { fleetDay } from './fleet-day.js';
 
 /**
  * Calls back with every cancellation that a user has received an answer for, with the true times of the first request and of
--- a/packages/region/src/measure/chains.ts
+++ b/packages/region/src/measure/chains.ts
@@ -1,7 +1,7 @@
 /** Measures chains of dependent jobs. */
 
 import { build } from 'hdr-histogram-js';
-import type { SimulationScenario } from '../day/index.js';
+import type { SimulationScenario } from '../scenario/index.js';
 import { Region, type RegionOptions } from '../region.js';
 
 /** Delays within chains of jobs, and the changes that storing a day takes. */
--- a/packages/region/src/measure/fleet-day.ts
+++ b/packages/region/src/measure/fleet-day.ts
@@ -1,6 +1,6 @@
 /** Generates days of any fleet size for measurements. */
 
-import { parseScenario, type SimulationScenario, type Fault } from '../day/index.js';
+import { parseScenario, type SimulationScenario, type Fault } from '../scenario/index.js';
 
 /** Returns a day for measurements: its machines are all up from the start, and its load is in proportion to them. */
 export function fleetDay(machines: number, durationS: number, troubles: readonly Fault[] = []): SimulationScenario {
--- a/packages/region/src/measure/recovery.ts
+++ b/packages/region/src/measure/recovery.ts
@@ -1,9 +1,9 @@
 /** Measures the recovery from crashes of controllers. */
 
 import { decodeShard } from '../../../../src/membership/index.js';
-import type { Fault } from '../day/index.js';
+import type { Fault } from '../scenario/index.js';
 import { Region } from '../region.js';
-import { fleetDay } from './fleet.js';
+import { fleetDay } from './fleet-day.js';
 
 /** Controllers that crash at the same moment. */
 export type CrashTarget = 'one' | 'leader' | 'two' | 'all';
--- a/packages/region/src/measure/rollout.ts
+++ b/packages/region/src/measure/rollout.ts
@@ -4,7 +4,7 @@
 import { isObject } from '../../../../src/kernel/index.js';
 import { Region, type RegionOptions } from '../region.js';
 import { CURRENT_RELEASE } from '../releases/index.js';
-import { fleetDay } from './fleet.js';
+import { fleetDay } from './fleet-day.js';
 
 /** Options of a rollout measurement. */
 export interface RolloutOptions {
--- a/packages/region/src/measure/speed.ts
+++ b/packages/region/src/measure/speed.ts
@@ -1,7 +1,7 @@
 /** Measures the speed of the simulation. */
 
 import { Region } from '../region.js';
-import { fleetDay } from './fleet.js';
+import { fleetDay } from './fleet-day.js';
 
 /** How fast a fleet is simulated. */
 export interface SpeedMeasurement {
--- a/packages/region/src/models/adversarial-users.ts
+++ b/packages/region/src/models/adversarial-users.ts
@@ -6,9 +6,9 @@
   type Runtime,
 } from '../../../../src/kernel/index.js';
 import type { RandomStream } from '../sim/index.js';
-import { phaseOf, statusOf } from './answers.js';
+import { phaseOf, statusOf } from './http-results.js';
 import type { SimulatedJob, Submission } from './jobs.js';
-import type { UserView, UserObserver } from './witness.js';
+import type { UserView, UserObserver } from './user-observer.js';
 
 /** What {@link AdversarialUsers} depends on. */
 export interface AdversarialUserDeps {
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -10,7 +10,7 @@
 } from '../../../../src/kernel/index.js';
 import type { RandomStream } from '../sim/index.js';
 import type { Script, ScriptedMachine } from './script.js';
-import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './serve.js';
+import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './json-server.js';
 
 /** A machine type of the simulated cloud. */
 export interface MachineTypeConfig {
--- a/packages/region/src/models/machine-tasks.ts
+++ b/packages/region/src/models/machine-tasks.ts
@@ -2,7 +2,7 @@
 import type { RandomStream } from '../sim/index.js';
 import type { Machine } from './cloud.js';
 import type { GangCoordinator, GangMember } from './gangs.js';
-import { ImageCache } from './images.js';
+import { ImageCache } from './image-cache.js';
 import type { SimulatedJobs, SimulatedJob } from './jobs.js';
 
 /** Phase of a task as its worker reports it. */
--- a/packages/region/src/models/state-service.ts
+++ b/packages/region/src/models/state-service.ts
@@ -11,7 +11,7 @@
   type Timer,
 } from '../../../../src/kernel/index.js';
 import type { RandomStream } from '../sim/index.js';
-import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './serve.js';
+import { TokenBucket, serveJson, type JsonResponse, type JsonRequest } from './json-server.js';
 
 /** Limits and latency of the simulated state service. */
 export interface StateServiceConfig {
--- a/packages/region/src/models/users.ts
+++ b/packages/region/src/models/users.ts
@@ -1,12 +1,12 @@
 import type { HttpResult, Endpoint, Runtime } from '../../../../src/kernel/index.js';
-import { ANY_TEAM, type SimulationScenario, type JobClass, type PipelineTemplate } from '../day/index.js';
+import { ANY_TEAM, type SimulationScenario, type JobClass, type PipelineTemplate } from '../scenario/index.js';
 import { RandomStream } from '../sim/index.js';
 import type { Balancer, UserSession } from './balancer.js';
-import { phaseOf, statusOf } from './answers.js';
-import { AdversarialUsers } from './close.js';
+import { phaseOf, statusOf } from './http-results.js';
+import { AdversarialUsers } from './adversarial-users.js';
 import { SimulatedJob, type SimulatedJobs, type Submission } from './jobs.js';
 import type { ScriptedJob } from './script.js';
-import type { UserView, UserObserver } from './witness.js';
+import type { UserView, UserObserver } from './user-observer.js';
 
 /** What {@link UserModel} depends on. */
 export interface UserDeps {
--- a/packages/region/src/models/worker.ts
+++ b/packages/region/src/models/worker.ts
@@ -19,8 +19,8 @@
 import type { Machine } from './cloud.js';
 import type { GangCoordinator } from './gangs.js';
 import type { SimulatedJobs } from './jobs.js';
-import { serveJson, type JsonResponse, type JsonRequest } from './serve.js';
-import { MachineTasks, type TaskObserver } from './tasks.js';
+import { serveJson, type JsonResponse, type JsonRequest } from './json-server.js';
+import { MachineTasks, type TaskObserver } from './machine-tasks.js';
 
 /** Timings of workers. */
 export interface WorkerTimings {
--- a/packages/region/src/region-parts.ts
+++ b/packages/region/src/region-parts.ts
@@ -2,8 +2,8 @@
 import { encodeWishes, NO_WISHES } from '../../../src/rollout/index.js';
 import { ROLLOUT_WISHES_KEY } from '../../../src/state/index.js';
 import { RuleChecker, type RuleViolation, type FreeCapacity } from './checker/index.js';
-import type { SimulationScenario } from './day/index.js';
-import { JobStatistics } from './daybook.js';
+import type { SimulationScenario } from './scenario/index.js';
+import { JobStatistics } from './job-statistics.js';
 import {
   Balancer,
   CloudModel,
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -4,12 +4,12 @@
 import { HttpClient, isObject, type Logger } from '../../../src/kernel/index.js';
 import type { RuleViolation } from './checker/index.js';
 import { Controller } from './controller.js';
-import type { SimulationScenario, Fault } from './day/index.js';
-import type { ClassResult, TaskCounts } from './daybook.js';
-import { RegionParts, type ControllerSpec, type HostProvider, type ModelHost } from './parts.js';
+import type { SimulationScenario, Fault } from './scenario/index.js';
+import type { ClassResult, TaskCounts } from './job-statistics.js';
+import { RegionParts, type ControllerSpec, type HostProvider, type ModelHost } from './region-parts.js';
 import type { Script } from './models/index.js';
 import { ReleaseCatalog, CURRENT_RELEASE, type ControllerHandle } from './releases/index.js';
-import { controllerSettingsToml } from './settings.js';
+import { controllerSettingsToml } from './controller-settings.js';
 import {
   SIMULATED_START_UTC_MS,
   RandomStream,
@@ -18,7 +18,7 @@
   SimProcess,
   EventQueue,
 } from './sim/index.js';
-import { HELD_REPORT_RETENTION_S, defaultDuplicateDelayS, startFault, type FaultTarget } from './troubles.js';
+import { HELD_REPORT_RETENTION_S, defaultDuplicateDelayS, startFault, type FaultTarget } from './fault-injection.js';
 
 const STATE_ADDRESS = { host: '10.2.0.1', port: 2379 };
 const CLOUD_ADDRESS = { host: '10.2.0.2', port: 8443 };
@@ -228,7 +228,7 @@
     specs: readonly ControllerSpec[],
   ): { process: SimProcess; service: ControllerHandle } {
     const { day, settings, controllerLog, trailEvents } = this.options;
-    const { spec: spec, host, starts, release } = controller;
+    const { spec, host, starts, release } = controller;
     const rng = this.rng.fork(`${spec.name} ${starts}`);
     const clocks = { drift: rng.uniform(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
     const { max_connections: maxConnections } = day.controllers;
@@ -274,7 +274,7 @@
   }
 
   /** Asks a controller to leave, and waits until it has left or `LEAVE_TIMEOUT_MS` is over. */
-  private async requestLeave({ spec: spec }: Controller): Promise<void> {
+  private async requestLeave({ spec }: Controller): Promise<void> {
     const operator = this.createExternalProcess(`operator of ${spec.name}`);
     const client = new HttpClient(spec.serveOn, 1, operator);
     const request = async (method: 'GET' | 'POST', path: string): Promise<unknown> => {
@@ -302,7 +302,7 @@
   get leader(): Controller | undefined {
     const value = this.parts.state.get('live/leader');
     const name = isObject(value) ? value['node'] : undefined;
-    return this.controllers.find(({ spec: spec }) => spec.name === name);
+    return this.controllers.find(({ spec }) => spec.name === name);
   }
 
   /** Takes snapshots at regular intervals. They draw no random numbers and take no simulated time. */
--- a/packages/region/src/releases/index.ts
+++ b/packages/region/src/releases/index.ts
@@ -1,2 +1,2 @@
 /** Releases of the controller that a simulation can run. */
-export * from './releases.js';
+export * from './release-catalog.js';
--- a/packages/region/src/report/charts.ts
+++ b/packages/region/src/report/charts.ts
@@ -3,7 +3,7 @@
 import { renderSvg } from './svg.js';
 import type { Field } from 'vega-lite/build/src/channeldef.js';
 import type { UnitSpec } from 'vega-lite/build/src/spec/unit.js';
-import type { Fault } from '../day/index.js';
+import type { Fault } from '../scenario/index.js';
 import type { DayResult } from '../region.js';
 
 const CHART_WIDTH_PX = 860;
--- a/packages/region/src/report/page.ts
+++ b/packages/region/src/report/page.ts
@@ -1,7 +1,7 @@
 /** HTML report of a played day. */
 
 import { Eta } from 'eta';
-import type { SimulationScenario } from '../day/index.js';
+import type { SimulationScenario } from '../scenario/index.js';
 import type { DayResult } from '../region.js';
 import { renderTasksChart, renderLatencyChart, renderUpChart } from './charts.js';
 import { formatAim, formatQuantiles } from './table.js';
--- a/packages/region/src/report/table.ts
+++ b/packages/region/src/report/table.ts
@@ -1,7 +1,7 @@
 /** Text report of a played day. */
 
 import Table from 'cli-table3';
-import type { AimResult, Quantiles } from '../daybook.js';
+import type { AimResult, Quantiles } from '../job-statistics.js';
 import type { DayResult } from '../region.js';
 
 /** Formats quantiles as `p50 / p95 / p99`. */
--- a/packages/region/src/scale/capacity.ts
+++ b/packages/region/src/scale/capacity.ts
@@ -1,7 +1,7 @@
 /** Measures how the resource usage of controllers grows with each dimension of the load. */
 
 import { linearRegression, linearRegressionLine, rSquared } from 'simple-statistics';
-import { scaleScenario, type SimulationScenario, type JobClass } from '../day/index.js';
+import { scaleScenario, type SimulationScenario, type JobClass } from '../scenario/index.js';
 import type { ScaleResult } from './run.js';
 
 /** Dimensions of the load. A measurement varies one of them and keeps the others fixed. */
--- a/packages/region/src/scale/configuration-load.ts
+++ b/packages/region/src/scale/configuration-load.ts
@@ -2,7 +2,7 @@
 
 import type { Histogram } from 'hdr-histogram-js';
 import { HttpClient, isObject, type Endpoint, type Runtime } from '../../../../src/kernel/index.js';
-import { createHistogram, percentilesOf, recordDuration, type Percentiles } from './meter.js';
+import { createHistogram, percentilesOf, recordDuration, type Percentiles } from './start-meter.js';
 
 const CHANGE_TIMEOUT_MS = 8000;
 const POLL_TIMEOUT_MS = 500;
--- a/packages/region/src/scale/controller-processes.ts
+++ b/packages/region/src/scale/controller-processes.ts
@@ -5,13 +5,13 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { HttpClient, isObject, systemRuntime, type Connection, type Runtime } from '../../../../src/kernel/index.js';
-import type { SimulationScenario } from '../day/index.js';
-import { LOOPBACK_ADDRESS } from '../real.js';
-import { controllerSettingsToml } from '../settings.js';
-import type { ControllerSpec } from '../parts.js';
+import type { SimulationScenario } from '../scenario/index.js';
+import { LOOPBACK_ADDRESS } from '../loopback-region.js';
+import { controllerSettingsToml } from '../controller-settings.js';
+import type { ControllerSpec } from '../region-parts.js';
 import type { Endpoint } from '../../../../src/kernel/index.js';
 import { ScaleError } from './errors.js';
-import type { ProcessLaunch } from './fleet.js';
+import type { ProcessLaunch } from './hollow-fleet.js';
 
 const HEALTHY_TIMEOUT_MS = 30_000;
 const HEALTH_PROBE_INTERVAL_MS = 100;
--- a/packages/region/src/scale/fault-injection.ts
+++ b/packages/region/src/scale/fault-injection.ts
@@ -1,13 +1,13 @@
 /** Injects the troubles of a day into the processes and models of a scale run. */
 
 import { isObject, type Runtime } from '../../../../src/kernel/index.js';
-import type { SimulationScenario, Fault } from '../day/index.js';
-import type { RegionParts } from '../parts.js';
+import type { SimulationScenario, Fault } from '../scenario/index.js';
+import type { RegionParts } from '../region-parts.js';
 import type { RandomStream } from '../sim/index.js';
-import { chooseMachines } from '../troubles.js';
-import type { ControllerProcesses } from './controllers.js';
+import { chooseMachines } from '../fault-injection.js';
+import type { ControllerProcesses } from './controller-processes.js';
 import { ScaleError } from './errors.js';
-import type { HollowFleet } from './fleet.js';
+import type { HollowFleet } from './hollow-fleet.js';
 
 /** Kinds of troubles that can be injected into real processes. */
 const SUPPORTED_FAULTS = new Set<Fault['kind']>([
--- a/packages/region/src/scale/hollow-fleet.ts
+++ b/packages/region/src/scale/hollow-fleet.ts
@@ -2,9 +2,9 @@
 
 import { fork, type ChildProcess } from 'node:child_process';
 import type { Endpoint, Runtime } from '../../../../src/kernel/index.js';
-import type { SimulationScenario } from '../day/index.js';
+import type { SimulationScenario } from '../scenario/index.js';
 import type { SimulatedJob, Machine } from '../models/index.js';
-import { workerTimings, type ExternalWorkers } from '../parts.js';
+import { workerTimings, type ExternalWorkers } from '../region-parts.js';
 import { ScaleError } from './errors.js';
 import type { HollowCommand, HollowEvent, HollowMeasurement, TaskEvent, WorkerFault } from './messages.js';
 
--- a/packages/region/src/scale/hollow-workers.ts
+++ b/packages/region/src/scale/hollow-workers.ts
@@ -1,7 +1,7 @@
 /** The process side of hollow workers: executes commands of a scale run and reports task events to it. */
 
 import type { Endpoint, Logger } from '../../../../src/kernel/index.js';
-import { DisposableRuntime } from '../ending.js';
+import { DisposableRuntime } from '../disposable-runtime.js';
 import {
   GangCoordinator,
   SimulatedJobs,
@@ -10,7 +10,7 @@
   type Machine,
   type TaskObserver,
 } from '../models/index.js';
-import { LOOPBACK_ADDRESS } from '../real.js';
+import { LOOPBACK_ADDRESS } from '../loopback-region.js';
 import { RandomStream } from '../sim/index.js';
 import type { HollowCommand, HollowEvent, HollowMachine, HollowMeasurement, TaskEventKind } from './messages.js';
 
--- a/packages/region/src/scale/index.ts
+++ b/packages/region/src/scale/index.ts
@@ -1,13 +1,13 @@
 /** Scale runs: real controller processes under the load of a modelled region. */
 export { ScaleError } from './errors.js';
-export { HollowWorkers } from './hollow.js';
-export type { ProcessLaunch } from './fleet.js';
+export { HollowWorkers } from './hollow-workers.js';
+export type { ProcessLaunch } from './hollow-fleet.js';
 export type { HollowCommand, HollowEvent } from './messages.js';
-export { OrderedEvents } from './ordered.js';
-export { checkRunSize, MAX_PROCESSES, estimateMemoryBytes } from './resources.js';
+export { OrderedEvents } from './ordered-events.js';
+export { checkRunSize, MAX_PROCESSES, estimateMemoryBytes } from './run-size.js';
 export { ScaleRun, type ScaleOptions, type ScaleResult } from './run.js';
 export { renderScaleTable } from './table.js';
-export { UsageMeter } from './usage.js';
+export { UsageMeter } from './usage-meter.js';
 export {
   amountOf,
   capacityRun,
--- a/packages/region/src/scale/messages.ts
+++ b/packages/region/src/scale/messages.ts
@@ -1,7 +1,7 @@
 /** Messages between a scale run and its processes of hollow workers, over the IPC channel of the child process. */
 
 import type { Endpoint } from '../../../../src/kernel/index.js';
-import type { Traffic } from '../ending.js';
+import type { Traffic } from '../disposable-runtime.js';
 import type { TaskExitCause, GangTimeouts, Submission, MachineTypeConfig, WorkerTimings } from '../models/index.js';
 
 /** A machine for which a hollow worker is to run. */
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -3,22 +3,28 @@
 import type { Logger, Runtime } from '../../../../src/kernel/index.js';
 import { isObject, HttpClient } from '../../../../src/kernel/index.js';
 import type { RuleViolation } from '../checker/index.js';
-import type { SimulationScenario } from '../day/index.js';
-import { DisposableRuntime, type Traffic } from '../ending.js';
+import type { SimulationScenario } from '../scenario/index.js';
+import { DisposableRuntime, type Traffic } from '../disposable-runtime.js';
 import type { StateOperation } from '../models/index.js';
-import { RegionParts, type ControllerSpec, type HostProvider, type RegionObserver, type ModelHost } from '../parts.js';
-import { LOOPBACK_ADDRESS } from '../real.js';
+import {
+  RegionParts,
+  type ControllerSpec,
+  type HostProvider,
+  type RegionObserver,
+  type ModelHost,
+} from '../region-parts.js';
+import { LOOPBACK_ADDRESS } from '../loopback-region.js';
 import { RandomStream } from '../sim/index.js';
-import { ConfigurationLoad, type ConfigurationResult } from './configuration.js';
-import { ControllerProcesses, findFreePorts } from './controllers.js';
+import { ConfigurationLoad, type ConfigurationResult } from './configuration-load.js';
+import { ControllerProcesses, findFreePorts } from './controller-processes.js';
 import { ScaleError } from './errors.js';
-import { checkScaleDay, injectFault } from './faults.js';
-import { HollowFleet, type ProcessLaunch } from './fleet.js';
+import { checkScaleDay, injectFault } from './fault-injection.js';
+import { HollowFleet, type ProcessLaunch } from './hollow-fleet.js';
 import type { HollowMeasurement, TaskEvent } from './messages.js';
-import { StartMeter, type StartWaits } from './meter.js';
-import { OrderedEvents } from './ordered.js';
-import { checkRunSize } from './resources.js';
-import { UsageMeter, type ProcessResult, type WatchedProcess } from './usage.js';
+import { StartMeter, type StartWaits } from './start-meter.js';
+import { OrderedEvents } from './ordered-events.js';
+import { checkRunSize } from './run-size.js';
+import { UsageMeter, type ProcessResult, type WatchedProcess } from './usage-meter.js';
 
 /** Listens on loopback, on a port that the operating system assigns. */
 const ANY_LOOPBACK_PORT = { host: LOOPBACK_ADDRESS, port: 0 };
--- a/packages/region/src/scale/table.ts
+++ b/packages/region/src/scale/table.ts
@@ -1,7 +1,7 @@
 /** Renders results of scale runs as text. */
 
 import Table from 'cli-table3';
-import type { Percentiles } from './meter.js';
+import type { Percentiles } from './start-meter.js';
 import type { ScaleResult } from './run.js';
 
 const TABLE_STYLE = { head: [], border: [] };
--- a/packages/region/src/scale/usage-meter.ts
+++ b/packages/region/src/scale/usage-meter.ts
@@ -1,6 +1,6 @@
 /** Measures the CPU time and memory of the processes of a scale run. */
 
-import { readProcessUse, type ProcessUse } from './accounting.js';
+import { readProcessUse, type ProcessUse } from './process-accounting.js';
 
 /** Role of a process in a scale run; `models` is the process of the run itself. */
 export type ProcessRole = 'controller' | 'workers' | 'models';
--- a/packages/region/src/sim/network.ts
+++ b/packages/region/src/sim/network.ts
@@ -1,7 +1,7 @@
 import { Duplex } from 'node:stream';
 import type { Connection, Endpoint, TcpListener, ListenOptions, Runtime, Timer } from '../../../../src/kernel/index.js';
-import type { RandomStream } from './luck.js';
-import type { EventQueue } from './world.js';
+import type { RandomStream } from './random-stream.js';
+import type { EventQueue } from './event-queue.js';
 
 /** A host of the simulated network. Without power it neither answers packets nor resets connections. */
 export interface Host {
--- a/packages/region/src/sim/process.ts
+++ b/packages/region/src/sim/process.ts
@@ -12,9 +12,9 @@
   type Timer,
   type WallMillis,
 } from '../../../../src/kernel/index.js';
-import type { RandomStream } from './luck.js';
+import type { RandomStream } from './random-stream.js';
 import type { Host, Network, SocketOwner } from './network.js';
-import type { EventQueue } from './world.js';
+import type { EventQueue } from './event-queue.js';
 
 /** Wall-clock time at the start of every simulation, in milliseconds since the Unix epoch. */
 export const SIMULATED_START_UTC_MS = Date.UTC(2026, 0, 5, 18, 0, 0);
--- a/packages/region/test/block-pages.test.ts
+++ b/packages/region/test/block-pages.test.ts
@@ -4,7 +4,7 @@
 import { shardKey } from '../../../src/state/index.js';
 import { shardName } from '../../../src/kernel/index.js';
 import type { SimulationScenario, DayResult, Region, Fault } from '../src/index.js';
-import { playWithActions, shippedDay, type TimedAction } from './days.js';
+import { playWithActions, shippedDay, type TimedAction } from './test-days.js';
 
 /** The last release in which the shard record does not guard the block pages. */
 const UNGUARDED_RELEASE = 'before-blocks';
@@ -44,7 +44,7 @@
 /** Removes every second machine from the shard records, as a process with an outdated record would. */
 function removeMachines(region: Region): void {
   const { state } = region.parts;
-  for (const { spec: spec } of region.controllers) {
+  for (const { spec } of region.controllers) {
     const key = shardKey(shardName(spec.name));
     const value = decodeShard(state.get(key));
     if (!value || value.epoch !== null) continue;
--- a/packages/region/test/fault-combinations.test.ts
+++ b/packages/region/test/fault-combinations.test.ts
@@ -13,7 +13,7 @@
   type DayResult,
   type Fault,
 } from '../src/index.js';
-import { playDay, shippedDay, shortDay, highArrivalRateDay } from './days.js';
+import { playDay, shippedDay, shortDay, highArrivalRateDay } from './test-days.js';
 
 /** A completed run. The combinations of faults are those of docs/meetings.md: together they violated rules, each alone did not. */
 interface CompletedRun {
--- a/packages/region/test/fault-schedules.test.ts
+++ b/packages/region/test/fault-schedules.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { drawFaultSchedule } from '../src/hunt/index.js';
 import { Region, type SimulationScenario, type DayResult, type Fault } from '../src/index.js';
-import { playDay, shortDay } from './days.js';
+import { playDay, shortDay } from './test-days.js';
 
 interface CompletedRun {
   readonly result: DayResult;
--- a/packages/region/test/inherited-runs.test.ts
+++ b/packages/region/test/inherited-runs.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Region, type SimulationScenario } from '../src/index.js';
-import { shortDay } from './days.js';
+import { shortDay } from './test-days.js';
 
 test('after a restart of all controllers, runs that the new holders find in progress make no machine count as slow', async () => {
   // Guards against timing such a run from when the new holder first saw it: the run then seems short, and every later
--- a/packages/region/test/job-survival.test.ts
+++ b/packages/region/test/job-survival.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { drawFault } from '../src/hunt/index.js';
 import { RandomStream, Region, type SimulationScenario, type DayResult, type Fault } from '../src/index.js';
-import { shortDay } from './days.js';
+import { shortDay } from './test-days.js';
 
 /** Length of the end of a day in which no job arrives. */
 const QUIET_END_S = 130;
@@ -122,7 +122,7 @@
 test('a controller that reaches only its workers fails its health check, and responds to users at once', async () => {
   const region = new Region({ day: dayWith([cut(50, 30, 1)]) });
   await region.play(62);
-  const { spec: spec } = region.controllers[1] ?? assert.fail();
+  const { spec } = region.controllers[1] ?? assert.fail();
   const externalProcess = region.createExternalProcess('asker');
   const { HttpClient } = await import('../../../src/kernel/index.js');
   const client = new HttpClient(spec.serveOn, 1, externalProcess);
--- a/packages/region/test/models.test.ts
+++ b/packages/region/test/models.test.ts
@@ -15,7 +15,7 @@
   type StateServiceConfig,
   type Submission,
 } from '../src/index.js';
-import { SimulationHarness } from './lab.js';
+import { SimulationHarness } from './simulation-harness.js';
 
 type Json = Record<string, unknown>;
 const fields = (value: unknown): Json => (isObject(value) ? value : {});
--- a/packages/region/test/pipelines.test.ts
+++ b/packages/region/test/pipelines.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { drawFaultSchedule, drawReleaseMix } from '../src/hunt/index.js';
 import { Region, type SimulationScenario, type DayResult, type Fault } from '../src/index.js';
-import { playWithActions, shippedDay } from './days.js';
+import { playWithActions, shippedDay } from './test-days.js';
 
 const SHARDS = ['node-0', 'node-1', 'node-2'].map((name) => `live/shards/${name}`);
 const LIMIT_DROP: Fault = { kind: 'state_limits', at_s: 45 };
--- a/packages/region/test/quota.test.ts
+++ b/packages/region/test/quota.test.ts
@@ -4,7 +4,7 @@
 import { decodeShard } from '../../../src/membership/index.js';
 import { shardName } from '../../../src/kernel/index.js';
 import { Region, scaleScenario, type SimulationScenario, type Fault } from '../src/index.js';
-import { playWithActions, shippedDay, shortDay } from './days.js';
+import { playWithActions, shippedDay, shortDay } from './test-days.js';
 
 const FEATURE = 'quota-shares';
 const WISHES = 'live/rollout/wishes';
--- a/packages/region/test/report.test.ts
+++ b/packages/region/test/report.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { renderDayPage, renderDayTable } from '../src/report/index.js';
-import { playDay, shortDay } from './days.js';
+import { playDay, shortDay } from './test-days.js';
 
 test('the page of a played day contains its charts, loads nothing external and escapes all text', async () => {
   const day = shortDay(60, [{ kind: 'state_outage', at_s: 30, for_s: 5 }]);
--- a/packages/region/test/rollout.test.ts
+++ b/packages/region/test/rollout.test.ts
@@ -13,7 +13,7 @@
   type DayResult,
   type Fault,
 } from '../src/index.js';
-import { playWithActions, playDay, shortDay } from './days.js';
+import { playWithActions, playDay, shortDay } from './test-days.js';
 
 /** The last release before controllers of different releases could run together. Every later release runs beside it. */
 const OLD_RELEASE = 'before-rollout';
@@ -139,7 +139,7 @@
     for (let t = 29; t < 50; t += 0.05) {
       await region.play(t);
       const record = region.parts.state.get('live/shards/node-1') as { holder: string; released: boolean };
-      const up = region.controllers.find(({ spec: spec }) => spec.name === record.holder)?.process?.running === true;
+      const up = region.controllers.find(({ spec }) => spec.name === record.holder)?.process?.running === true;
       gap = up && !record.released ? 0 : gap + 0.05;
       longest = Math.max(longest, gap);
     }
--- a/packages/region/test/rule-checker.test.ts
+++ b/packages/region/test/rule-checker.test.ts
@@ -5,7 +5,7 @@
 import { DependencyTracker } from '../../../src/pipelines/index.js';
 import { CommandSender, WorkerTracker, type MessageOutcome } from '../../../src/workers/index.js';
 import { Region, type SimulationScenario, type Rule } from '../src/index.js';
-import { isolatedControllersNight, playDay, shippedDay, shortDay, highArrivalRateDay } from './days.js';
+import { isolatedControllersNight, playDay, shippedDay, shortDay, highArrivalRateDay } from './test-days.js';
 
 /**
  * Mutation tests of the checker: each rule must be reported for a service with one part deliberately broken, in a
--- a/packages/region/test/scale.test.ts
+++ b/packages/region/test/scale.test.ts
@@ -16,7 +16,7 @@
   type ScaleOptions,
   type ScaleResult,
 } from '../src/scale/index.js';
-import { shippedDay } from './days.js';
+import { shippedDay } from './test-days.js';
 
 const GB = 1e9;
 const machineCount = (day: SimulationScenario): number => day.machines.reduce((sum, { count }) => sum + count, 0);
--- a/packages/region/test/scenario.test.ts
+++ b/packages/region/test/scenario.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { ScenarioError, parseScenario } from '../src/index.js';
 import { drawFaultSchedule, shrink, formatScenario } from '../src/hunt/index.js';
-import { dayText, shippedDay, shortDay } from './days.js';
+import { dayText, shippedDay, shortDay } from './test-days.js';
 
 test('errors in a scenario name the file, the line and the field', () => {
   const quiet = dayText('quiet');
--- a/packages/region/test/simulation.test.ts
+++ b/packages/region/test/simulation.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RandomStream, type Partition, type SimProcess } from '../src/index.js';
-import { SimulationHarness } from './lab.js';
-import { playDay, shortDay } from './days.js';
+import { SimulationHarness } from './simulation-harness.js';
+import { playDay, shortDay } from './test-days.js';
 
 const PORT = 9;
 
--- a/packages/region/test/team-limits.test.ts
+++ b/packages/region/test/team-limits.test.ts
@@ -3,8 +3,8 @@
 import { isObject } from '../../../src/kernel/index.js';
 import { decodeShard } from '../../../src/membership/index.js';
 import { Region, type SimulationScenario } from '../src/index.js';
-import { hangWorkers } from '../src/troubles.js';
-import { shortDay } from './days.js';
+import { hangWorkers } from '../src/fault-injection.js';
+import { shortDay } from './test-days.js';
 
 /** Time after which the response to a command has left the machine. */
 const RESPONSE_SENT_MS = 0.02;
@@ -70,7 +70,7 @@
   });
   await region.play(55);
   const heldBefore = holderOf(region);
-  const oldHolder = region.controllers.find(({ spec: spec }) => spec.name === heldBefore?.holder);
+  const oldHolder = region.controllers.find(({ spec }) => spec.name === heldBefore?.holder);
   assert.ok(heldBefore && oldHolder);
   region.crash(oldHolder, 40);
   await region.play(56.5);
--- a/packages/trace/src/cli/command.ts
+++ b/packages/trace/src/cli/command.ts
@@ -8,7 +8,7 @@
   type Address,
   type Logger,
 } from '../../../../src/kernel/index.js';
-import { readTraceDirectory, verifyTrace } from '../read.js';
+import { readTraceDirectory, verifyTrace } from '../read-trace.js';
 import { Recorder, type TrailSource } from '../record/index.js';
 import { diskFiles, TraceStore } from '../store/index.js';
 import { lockDirectory } from './lock.js';
--- a/packages/trace/src/record/recorder.ts
+++ b/packages/trace/src/record/recorder.ts
@@ -1,6 +1,6 @@
 import { HttpClient, ReconcileLoop, type Address, type Logger, type Runtime } from '../../../../src/kernel/index.js';
 import { rank, type Cursor, type Gap, type Retention, type TraceRow, type TraceStore } from '../store/index.js';
-import { applyPage, initialCursor, parseTrailPage, type TrailPage } from './follow.js';
+import { applyPage, initialCursor, parseTrailPage, type TrailPage } from './trail-cursor.js';
 
 /** A controller whose trail is recorded. */
 export interface TrailSource {
--- a/packages/trace/src/store/index.ts
+++ b/packages/trace/src/store/index.ts
@@ -8,6 +8,6 @@
   type Manifest,
   type Segment,
 } from './manifest.js';
-export { KilledError, MemoryFiles } from './memory.js';
-export { parseDetail, parseEvent, preferredRow, rank, type TraceRow } from './row.js';
-export { readManifest, readSegment, TraceStore, type Retention } from './store.js';
+export { KilledError, MemoryFiles } from './memory-files.js';
+export { parseDetail, parseEvent, preferredRow, rank, type TraceRow } from './trace-row.js';
+export { readManifest, readSegment, TraceStore, type Retention } from './trace-store.js';
--- a/packages/trace/src/store/segment.ts
+++ b/packages/trace/src/store/segment.ts
@@ -1,6 +1,6 @@
 import { parquetReadObjects } from 'hyparquet';
 import { parquetWriteBuffer } from 'hyparquet-writer';
-import type { TraceRow } from './row.js';
+import type { TraceRow } from './trace-row.js';
 
 /** Encodes rows as one Parquet file, with one column per field, so that a reader can load only the fields it needs. */
 export function encodeSegment(rows: readonly TraceRow[]): Uint8Array {
--- a/packages/trace/src/store/trace-store.ts
+++ b/packages/trace/src/store/trace-store.ts
@@ -8,7 +8,7 @@
   type Manifest,
   type Segment,
 } from './manifest.js';
-import { preferredRow, type TraceRow } from './row.js';
+import { preferredRow, type TraceRow } from './trace-row.js';
 import { decodeSegment, encodeSegment } from './segment.js';
 
 const MANIFEST_FILE = 'manifest.json';
--- a/packages/whatif/src/cli/command.ts
+++ b/packages/whatif/src/cli/command.ts
@@ -11,7 +11,7 @@
   renderForecastTable,
   replayErrors,
   type ReplayEngine,
-} from '../answer/index.js';
+} from '../forecast/index.js';
 import { predict, replaySpeed, reproduce } from '../measure/index.js';
 import { jobOutcomes, readNight, buildScenario, type Night } from '../night/index.js';
 import { applyPlan, PlanError, readPlan, type Plan } from '../plan/index.js';
--- a/packages/whatif/src/forecast/forecast.ts
+++ b/packages/whatif/src/forecast/forecast.ts
@@ -1,8 +1,8 @@
 import { median, quantileSorted } from 'simple-statistics';
 import type { JobOutcome, Scenario } from '../night/index.js';
 import type { ReplayResult, ReplayOptions, TimelineSample } from '../replay/index.js';
-import { summarizeOutcomes, type OutcomeSummary } from './classes.js';
-import { toleranceS } from './errors.js';
+import { summarizeOutcomes, type OutcomeSummary } from './outcome-summary.js';
+import { toleranceS } from './replay-errors.js';
 
 /** A way of replaying a scenario with a seed. */
 export type ReplayEngine = (scenario: Scenario, seed: number, options?: ReplayOptions) => Promise<ReplayResult>;
--- a/packages/whatif/src/forecast/report.ts
+++ b/packages/whatif/src/forecast/report.ts
@@ -4,7 +4,7 @@
 import { DateTime } from 'luxon';
 import { svg } from '../../../region/src/index.js';
 import type { Gap } from '../../../trace/src/index.js';
-import type { OutcomeSummary } from './classes.js';
+import type { OutcomeSummary } from './outcome-summary.js';
 import type { Forecast, JobForecast } from './forecast.js';
 
 /** Facts about the night that a report needs in addition to the forecast. */
--- a/packages/whatif/src/index.ts
+++ b/packages/whatif/src/index.ts
@@ -5,7 +5,7 @@
   type Forecast,
   type JobForecast,
   type ReplayErrors,
-} from './answer/index.js';
+} from './forecast/index.js';
 export { jobOutcomes, readNight, buildScenario, type Night, type JobOutcome, type Scenario } from './night/index.js';
 export { applyPlan, parseMomentS, PlanError, readPlan, type Plan } from './plan/index.js';
 export { replayWithDecisions, replayWithControllers, recordRegion, type ReplayResult } from './replay/index.js';
--- a/packages/whatif/src/measure/measure.ts
+++ b/packages/whatif/src/measure/measure.ts
@@ -1,6 +1,12 @@
 import { RandomStream, type SimulationScenario, Region } from '../../../region/src/index.js';
 import { MemoryFiles, readTrace } from '../../../trace/src/index.js';
-import { summarizeOutcomes, forecast, replayErrors, type OutcomeSummary, type ReplayErrors } from '../answer/index.js';
+import {
+  summarizeOutcomes,
+  forecast,
+  replayErrors,
+  type OutcomeSummary,
+  type ReplayErrors,
+} from '../forecast/index.js';
 import { jobOutcomes, readNight, buildScenario, type Night, type JobOutcome, type Scenario } from '../night/index.js';
 import { applyPlan, readPlan } from '../plan/index.js';
 import { replayWithDecisions, replayWithControllers, recordRegion } from '../replay/index.js';
--- a/packages/whatif/src/night/night.ts
+++ b/packages/whatif/src/night/night.ts
@@ -1,6 +1,6 @@
 import { parseDetail, type Gap, type Trace, type TraceRow } from '../../../trace/src/index.js';
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { parseFacts, type PlatformFacts } from './facts.js';
+import { parseFacts, type PlatformFacts } from './platform-facts.js';
 
 /** One attempt to run a task. Times are in seconds since the night began; null means not recorded. */
 export interface RecordedAttempt {
--- a/packages/whatif/src/night/run-times.ts
+++ b/packages/whatif/src/night/run-times.ts
@@ -1,6 +1,6 @@
 import { median, quantileSorted } from 'simple-statistics';
 import type { JobSpec } from '../../../../src/jobs/index.js';
-import { estimateMachineDeaths } from './deaths.js';
+import { estimateMachineDeaths } from './machine-deaths.js';
 import type { Night, RecordedAttempt, RecordedJob } from './night.js';
 
 /** Run times derived from a recorded night, as seconds of work on a machine of normal speed. */
--- a/packages/whatif/src/night/scenario.ts
+++ b/packages/whatif/src/night/scenario.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '../../../../src/jobs/index.js';
 import { kindKeyOf, type RecordedJob, type Night } from './night.js';
-import type { PlatformFacts } from './facts.js';
-import { deriveRunTimes, type RecordedRunTimes } from './runs.js';
+import type { PlatformFacts } from './platform-facts.js';
+import { deriveRunTimes, type RecordedRunTimes } from './run-times.js';
 
 /** One job as the replay submits it. Times are in seconds since the night began. */
 export interface ScenarioJob {
--- a/packages/whatif/src/plan/apply-plan.ts
+++ b/packages/whatif/src/plan/apply-plan.ts
@@ -1,9 +1,9 @@
 import { jobId } from '../../../../src/kernel/index.js';
 import { Priority, unschedulableReason, type JobSpec } from '../../../../src/jobs/index.js';
 import { kindKeyOf, type ScenarioJob, type ScenarioMachine, type Scenario } from '../night/index.js';
-import { parseMomentS, validateTimeZone, type NightSpan } from './moment.js';
-import { PlanError } from './read.js';
-import type { JobSelector, Plan } from './schema.js';
+import { parseMomentS, validateTimeZone, type NightSpan } from './parse-moment.js';
+import { PlanError } from './read-plan.js';
+import type { JobSelector, Plan } from './plan-schema.js';
 
 /** The job priority for each priority name of a plan. */
 const PRIORITIES = {
--- a/packages/whatif/src/plan/index.ts
+++ b/packages/whatif/src/plan/index.ts
@@ -1,4 +1,4 @@
-export { applyPlan } from './apply.js';
-export { parseMomentS, type NightSpan } from './moment.js';
-export { PlanError, readPlan } from './read.js';
-export type { Plan } from './schema.js';
+export { applyPlan } from './apply-plan.js';
+export { parseMomentS, type NightSpan } from './parse-moment.js';
+export { PlanError, readPlan } from './read-plan.js';
+export type { Plan } from './plan-schema.js';
--- a/packages/whatif/src/plan/parse-moment.ts
+++ b/packages/whatif/src/plan/parse-moment.ts
@@ -1,6 +1,6 @@
 import { DateTime, IANAZone } from 'luxon';
-import { PlanError } from './read.js';
-import type { Moment } from './schema.js';
+import { PlanError } from './read-plan.js';
+import type { Moment } from './plan-schema.js';
 
 /** The time span of a night, and the time zone in which the plan's times of day are read. */
 export interface NightSpan {
--- a/packages/whatif/src/plan/read-plan.ts
+++ b/packages/whatif/src/plan/read-plan.ts
@@ -1,6 +1,6 @@
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
-import { planSchema, type Plan } from './schema.js';
+import { planSchema, type Plan } from './plan-schema.js';
 
 /** An invalid plan. The message states in one line what is wrong and where. */
 export class PlanError extends Error {}
--- a/packages/whatif/src/replay/controller-replay.ts
+++ b/packages/whatif/src/replay/controller-replay.ts
@@ -13,9 +13,9 @@
 } from '../../../region/src/index.js';
 import { MemoryFiles, readTrace, Recorder, TraceStore, type Files } from '../../../trace/src/index.js';
 import { cloudCapacity, kindKeyOf, jobOutcomes, readNight, type Scenario } from '../night/index.js';
-import type { ReplayResult, ReplayOptions } from './engine.js';
-import { runTimesOf, machineScripts } from './script.js';
-import { MAX_OVERTIME_S } from './timing.js';
+import type { ReplayResult, ReplayOptions } from './replay-result.js';
+import { runTimesOf, machineScripts } from './scripted-inputs.js';
+import { MAX_OVERTIME_S } from './replay-delays.js';
 
 /** Time before the night in which controllers that were already running acquire their shards and machines. */
 const WARM_UP_S = 30;
--- a/packages/whatif/src/replay/decision-replay.ts
+++ b/packages/whatif/src/replay/decision-replay.ts
@@ -17,11 +17,11 @@
 } from '../../../../src/placement/index.js';
 import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../../../../src/speculation/index.js';
 import { cloudCapacity, kindKeyOf, type ScenarioMachine, type Scenario } from '../night/index.js';
-import type { ReplayResult, ReplayOptions } from './engine.js';
-import { SimMachine, type MachineTypeFacts } from './fleet.js';
-import { SimJob } from './job.js';
-import { MachineSimulation } from './machines.js';
-import { RecordFollower, type RecordedActions } from './steered.js';
+import type { ReplayResult, ReplayOptions } from './replay-result.js';
+import { SimMachine, type MachineTypeFacts } from './sim-machine.js';
+import { SimJob } from './sim-job.js';
+import { MachineSimulation } from './machine-simulation.js';
+import { RecordFollower, type RecordedActions } from './record-follower.js';
 import {
   JOIN_S,
   STRAGGLER_CHECK_INTERVAL_S,
@@ -29,7 +29,7 @@
   TIMELINE_INTERVAL_S,
   CAPACITY_BACKOFF_S,
   MAX_OVERTIME_S,
-} from './timing.js';
+} from './replay-delays.js';
 
 /** Maximum number of tasks of a job that one placement round considers. */
 const MAX_READY_TASKS = 100;
--- a/packages/whatif/src/replay/index.ts
+++ b/packages/whatif/src/replay/index.ts
@@ -1,3 +1,3 @@
-export { replayWithDecisions } from './decisions.js';
-export type { ReplayResult, ReplayOptions, TimelineSample } from './engine.js';
-export { replayWithControllers, recordRegion } from './whole.js';
+export { replayWithDecisions } from './decision-replay.js';
+export type { ReplayResult, ReplayOptions, TimelineSample } from './replay-result.js';
+export { replayWithControllers, recordRegion } from './controller-replay.js';
--- a/packages/whatif/src/replay/machine-simulation.ts
+++ b/packages/whatif/src/replay/machine-simulation.ts
@@ -1,8 +1,8 @@
 import { mustStopBeforeReclaim } from '../../../../src/holder/index.js';
 import type { MachineId } from '../../../../src/kernel/index.js';
-import { SimMachine } from './fleet.js';
-import { TaskSimulation } from './tasks.js';
-import { DEAD_S, JOIN_S } from './timing.js';
+import { SimMachine } from './sim-machine.js';
+import { TaskSimulation } from './task-simulation.js';
+import { DEAD_S, JOIN_S } from './replay-delays.js';
 import { kindKeyOf } from '../night/index.js';
 
 /** Simulates machines: rental, boot, spot reclaim notice, death and return to the cloud. */
--- a/packages/whatif/src/replay/sim-job.ts
+++ b/packages/whatif/src/replay/sim-job.ts
@@ -2,7 +2,7 @@
 import type { MachineId } from '../../../../src/kernel/index.js';
 import { median } from '../../../../src/speculation/index.js';
 import type { JobOutcome, ScenarioJob } from '../night/index.js';
-import type { SimTask } from './fleet.js';
+import type { SimTask } from './sim-machine.js';
 
 /** Number of latest run times kept for the median and the straggler check. */
 const MAX_RECENT_RUNS = 100;
--- a/packages/whatif/src/replay/task-simulation.ts
+++ b/packages/whatif/src/replay/task-simulation.ts
@@ -5,11 +5,11 @@
 import { DEFAULT_TUNABLES, type Tunables } from '../../../../src/speculation/index.js';
 import { RandomStream, type Script, type ScriptedMachine } from '../../../region/src/index.js';
 import type { Scenario } from '../night/index.js';
-import type { TimelineSample } from './engine.js';
-import { SimMachine, type SimTask, type MachineTypeFacts } from './fleet.js';
-import { SimJob } from './job.js';
-import { runTimesOf, machineScripts } from './script.js';
-import { COMMAND_DELAY_S, PLACEMENT_ROUND_DELAY_S, REPORT_DELAY_S, JOB_END_WRITE_S } from './timing.js';
+import type { TimelineSample } from './replay-result.js';
+import { SimMachine, type SimTask, type MachineTypeFacts } from './sim-machine.js';
+import { SimJob } from './sim-job.js';
+import { runTimesOf, machineScripts } from './scripted-inputs.js';
+import { COMMAND_DELAY_S, PLACEMENT_ROUND_DELAY_S, REPORT_DELAY_S, JOB_END_WRITE_S } from './replay-delays.js';
 
 /** A scheduled action. Events at the same time run in the order in which they were scheduled. */
 interface SimEvent {
--- a/packages/whatif/test/plan.test.ts
+++ b/packages/whatif/test/plan.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { applyPlan, parseMomentS, PlanError, readNight, readPlan, buildScenario } from '../src/index.js';
-import { buildTrace } from './nights.js';
+import { buildTrace } from './night-fixtures.js';
 
 const night = readNight(
   buildTrace(
--- a/packages/whatif/test/record.test.ts
+++ b/packages/whatif/test/record.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseDetail } from '../../trace/src/index.js';
-import { recordTrace, shortDay } from './nights.js';
+import { recordTrace, shortDay } from './night-fixtures.js';
 
 test('recording through a controller crash keeps each event once, and all task completions except those in the gap', async () => {
   const crash = { kind: 'controller_crash', at_s: 60, controller: 1, down_s: 8 } as const;
--- a/packages/whatif/test/replay.test.ts
+++ b/packages/whatif/test/replay.test.ts
@@ -13,7 +13,7 @@
   type Forecast,
   type Night,
 } from '../src/index.js';
-import { buildTrace, recordTrace, shortDay } from './nights.js';
+import { buildTrace, recordTrace, shortDay } from './night-fixtures.js';
 
 /** Forecasts a plan for a night, by the decision replay. */
 async function compare(night: Night, toml: string, seeds = [1, 2]): Promise<Forecast> {
--- a/src/cancellation/cancellation-propagator.ts
+++ b/src/cancellation/cancellation-propagator.ts
@@ -16,13 +16,19 @@
 import type { PeerTransport, PeerMessage, PeerSync } from '../peers/index.js';
 import { CARRIED_CANCELLATIONS, decodeAnnouncement } from '../rollout/index.js';
 import { jobKey, nodeKey, seenRevisionKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
-import { answerGraceMs, ownershipConfirmedAt, holderModeAt, type HolderTimings, type HolderMode } from './bound.js';
+import {
+  answerGraceMs,
+  ownershipConfirmedAt,
+  holderModeAt,
+  type HolderTimings,
+  type HolderMode,
+} from './holder-mode.js';
 import {
   unacknowledgedHolders,
   type ShardHolder,
   type IncarnationQueries,
   type UnacknowledgedHolder,
-} from './missing.js';
+} from './unacknowledged-holders.js';
 
 /**
  * How long a user's request waits for acknowledgements. After that the user has to retry; notifying holders goes on.
--- a/src/cancellation/index.ts
+++ b/src/cancellation/index.ts
@@ -1,5 +1,5 @@
 // Propagation of job cancellations to all shard holders, and the time limits for holders that have lost contact.
 
-export * from './bound.js';
-export * from './carrier.js';
-export * from './missing.js';
+export * from './holder-mode.js';
+export * from './cancellation-propagator.js';
+export * from './unacknowledged-holders.js';
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,2 +1,2 @@
 /** Parts of the command line that other bundles share. */
-export { exitOnBrokenPipe } from './streams.js';
+export { exitOnBrokenPipe } from './broken-pipe.js';
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -7,7 +7,7 @@
 import { createLogger, HttpClient, parseAddress, systemRuntime, type HttpRequest } from '../kernel/index.js';
 import { Service, type ServiceOptions } from '../service/index.js';
 import { addRolloutCommands } from './rollout.js';
-import { exitOnBrokenPipe } from './streams.js';
+import { exitOnBrokenPipe } from './broken-pipe.js';
 
 declare const WOODDRIFT_VERSION: string | undefined;
 
--- a/src/holder/apply-grouped-progress.ts
+++ b/src/holder/apply-grouped-progress.ts
@@ -1,5 +1,5 @@
 import { groupedProgressOf } from '../jobs/index.js';
-import type { JobRun } from './run.js';
+import type { JobRun } from './job-run.js';
 
 /**
  * Marks the tasks of a job that a stored progress group lists as done. Tasks that may be on a machine are skipped:
--- a/src/holder/block-members.ts
+++ b/src/holder/block-members.ts
@@ -1,7 +1,7 @@
 import { millis, type MachineId, type Millis, type Revision, type ShardName } from '../kernel/index.js';
 import type { BlockMachine, ShardValue } from '../membership/index.js';
 import type { HolderDeps } from './deps.js';
-import type { HeldMachine } from './machine.js';
+import type { HeldMachine } from './held-machine.js';
 
 /** Time within which a machine that this holder has given up is deleted and removed from the block. */
 const GIVEN_UP_VALID_MS = 30_000;
--- a/src/holder/booking.ts
+++ b/src/holder/booking.ts
@@ -3,7 +3,7 @@
 import { parseTaskKey, type JobId, type Millis } from '../kernel/index.js';
 import type { PreemptableTask } from '../placement/index.js';
 import type { ListedTask, WorkerTracker } from '../workers/index.js';
-import type { ActiveTask, JobRun } from './run.js';
+import type { ActiveTask, JobRun } from './job-run.js';
 
 /** Free and used resources of a machine, given the tasks that may be on it. Cached until these change. */
 export interface Booking {
--- a/src/holder/deps.ts
+++ b/src/holder/deps.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from '../cloud/index.js';
-import type { HolderMode } from '../carry/index.js';
+import type { HolderMode } from '../cancellation/index.js';
 import type { Settings } from '../config/index.js';
 import type { JobRegistry, JobSpec } from '../jobs/index.js';
 import type { InheritedConstraints } from '../pipelines/index.js';
--- a/src/holder/evictions.ts
+++ b/src/holder/evictions.ts
@@ -1,8 +1,8 @@
-import type { HeldShard } from './held.js';
+import type { HeldShard } from './held-shard.js';
 import type { JobSpec } from '../jobs/index.js';
 import { jobId, type Millis } from '../kernel/index.js';
 import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../speculation/index.js';
-import { JobRun, type ActiveTask } from './run.js';
+import { JobRun, type ActiveTask } from './job-run.js';
 
 /**
  * Whether a task must be stopped on a machine that is reclaimed in `leftS` seconds. A task that checkpoints runs until
--- a/src/holder/exits.ts
+++ b/src/holder/exits.ts
@@ -1,8 +1,8 @@
 import { millis, type MachineId, type Millis } from '../kernel/index.js';
 import type { ListedTask } from '../workers/index.js';
 import type { HolderDeps } from './deps.js';
-import type { HeldMachine } from './machine.js';
-import type { ActiveTask, JobRun } from './run.js';
+import type { HeldMachine } from './held-machine.js';
+import type { ActiveTask, JobRun } from './job-run.js';
 
 /** The parts of a shard that handling a task exit uses and changes. */
 export interface ExitContext {
--- a/src/holder/forget-orders.ts
+++ b/src/holder/forget-orders.ts
@@ -1,7 +1,7 @@
 import type { JobId } from '../kernel/index.js';
 import type { Order } from '../workers/index.js';
-import type { HeldMachine } from './machine.js';
-import type { JobRun } from './run.js';
+import type { HeldMachine } from './held-machine.js';
+import type { JobRun } from './job-run.js';
 
 /** Forget orders that are sent together while the machine is in use. */
 const MIN_FORGET_BATCH = 6;
--- a/src/holder/grouped-progress.ts
+++ b/src/holder/grouped-progress.ts
@@ -1,9 +1,9 @@
 import { encodeGroupedProgress, groupedProgressBytes, groupedProgressWriter } from '../jobs/index.js';
 import { millis, type BitSet, type JobId, type Millis } from '../kernel/index.js';
 import { progressKey, reread, Urgency, type Change, type Guard } from '../state/index.js';
-import type { HeldShard } from './held.js';
-import { applyGroupedProgress } from './recall.js';
-import type { JobRun } from './run.js';
+import type { HeldShard } from './held-shard.js';
+import { applyGroupedProgress } from './apply-grouped-progress.js';
+import type { JobRun } from './job-run.js';
 
 /** A write of the group is one change for any number of jobs. At 1000 ms it took more changes than 30 jobs' records. */
 const GROUP_WRITE_INTERVAL_MS = 2000;
--- a/src/holder/held-machine.ts
+++ b/src/holder/held-machine.ts
@@ -3,7 +3,7 @@
 import type { MachineView } from '../placement/index.js';
 import { CommandSender, WorkerTracker, type CommandSenderHooks, type TaskIndexListener } from '../workers/index.js';
 import type { Booking } from './booking.js';
-import type { ActiveTask, JobRun } from './run.js';
+import type { ActiveTask, JobRun } from './job-run.js';
 
 /** A task failure on the machine. */
 interface Failure {
--- a/src/holder/held-shard.ts
+++ b/src/holder/held-shard.ts
@@ -17,12 +17,12 @@
 import { TaskIndex, encodeRedirect, encodeReply, type ListedTask, type WorkerMessage } from '../workers/index.js';
 import { bookingOf, type Booking } from './booking.js';
 import { handleExit } from './exits.js';
-import { forgetOrders } from './forgetting.js';
-import { leftoverStops } from './leftovers.js';
-import { HeldMachine } from './machine.js';
-import { BlockMembers, type ChangeSource } from './members.js';
-import { applyGroupedProgress } from './recall.js';
-import { JobRun, type ActiveTask, type StopReason } from './run.js';
+import { forgetOrders } from './forget-orders.js';
+import { leftoverStops } from './leftover-stops.js';
+import { HeldMachine } from './held-machine.js';
+import { BlockMembers, type ChangeSource } from './block-members.js';
+import { applyGroupedProgress } from './apply-grouped-progress.js';
+import { JobRun, type ActiveTask, type StopReason } from './job-run.js';
 import type { HolderDeps, ReportReply } from './deps.js';
 
 /** How long a booking is reused although the run time that a preemption would lose grows. */
--- a/src/holder/leftover-stops.ts
+++ b/src/holder/leftover-stops.ts
@@ -1,8 +1,8 @@
 import type { JobId, Millis } from '../kernel/index.js';
 import type { Order } from '../workers/index.js';
 import type { HolderDeps } from './deps.js';
-import type { JobRun } from './run.js';
-import type { HeldMachine } from './machine.js';
+import type { JobRun } from './job-run.js';
+import type { HeldMachine } from './held-machine.js';
 
 /** The parts of a shard that decide which listed tasks are left over from ended jobs. */
 export interface LeftoverContext {
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -1,5 +1,5 @@
-import type { HeldShard } from './held.js';
-import type { RecordStore } from './store.js';
+import type { HeldShard } from './held-shard.js';
+import type { RecordStore } from './record-store.js';
 import { encodeJobRecord } from '../jobs/index.js';
 import { isObject, millis, type MachineId, type Millis, type NodeName, type ShardName } from '../kernel/index.js';
 import {
@@ -12,8 +12,8 @@
   type MachineInsertion,
 } from '../membership/index.js';
 import { Urgency, jobKey, shardKey } from '../state/index.js';
-import type { HeldMachine } from './machine.js';
-import type { JobRun } from './run.js';
+import type { HeldMachine } from './held-machine.js';
+import type { JobRun } from './job-run.js';
 
 /**
  * Minimum time between job moves. Each is a write, and many small jobs must not use up the writes that accepting and
--- a/src/holder/record-store.ts
+++ b/src/holder/record-store.ts
@@ -1,9 +1,9 @@
-import { GroupedProgress } from './grouping.js';
-import type { HeldShard } from './held.js';
+import { GroupedProgress } from './grouped-progress.js';
+import type { HeldShard } from './held-shard.js';
 import { decodeJobRecord, encodeJobRecord } from '../jobs/index.js';
 import { millis, type Millis } from '../kernel/index.js';
 import { Urgency, jobKey, reread } from '../state/index.js';
-import type { JobRun } from './run.js';
+import type { JobRun } from './job-run.js';
 
 /** Minimum time between progress writes of one job. */
 const PROGRESS_WRITE_INTERVAL_MS = 1500;
--- a/src/holder/shard-holder.ts
+++ b/src/holder/shard-holder.ts
@@ -1,10 +1,10 @@
-import { TeamQuotaTracker } from './accounts.js';
-import { TaskEvictor } from './departures.js';
-import { HeldShard } from './held.js';
-import { missingMachineEmptyAt } from './members.js';
+import { TeamQuotaTracker } from './team-quotas.js';
+import { TaskEvictor } from './evictions.js';
+import { HeldShard } from './held-shard.js';
+import { missingMachineEmptyAt } from './block-members.js';
 import { Moves } from './moves.js';
-import { TaskPlacer } from './starts.js';
-import { RecordStore } from './store.js';
+import { TaskPlacer } from './task-placer.js';
+import { RecordStore } from './record-store.js';
 import {
   jobId,
   millis,
@@ -19,7 +19,7 @@
 import type { Order } from '../workers/index.js';
 import type { TeamNeed } from '../quota/index.js';
 import { keepsGpuMachineInUse } from './booking.js';
-import type { HeldMachine } from './machine.js';
+import type { HeldMachine } from './held-machine.js';
 
 /** Interval of the checks that depend on time alone, such as lease expiry, regardless of the reports in between. */
 const SWEEP_INTERVAL_MS = 250;
--- a/src/holder/task-placer.ts
+++ b/src/holder/task-placer.ts
@@ -1,5 +1,5 @@
-import type { TeamQuotaTracker } from './accounts.js';
-import type { HeldShard } from './held.js';
+import type { TeamQuotaTracker } from './team-quotas.js';
+import type { HeldShard } from './held-shard.js';
 import type { Moves } from './moves.js';
 import {
   attempt,
@@ -23,8 +23,8 @@
   type UnplacedTasks,
 } from '../placement/index.js';
 import type { Order } from '../workers/index.js';
-import type { HeldMachine } from './machine.js';
-import type { JobRun } from './run.js';
+import type { HeldMachine } from './held-machine.js';
+import type { JobRun } from './job-run.js';
 
 /** The larger of two reserves, by resource. */
 const maxReserve = (a: GpuReserve | null, b: GpuReserve): GpuReserve => ({
--- a/src/holder/team-quotas.ts
+++ b/src/holder/team-quotas.ts
@@ -1,10 +1,10 @@
 import { millis, type JobId } from '../kernel/index.js';
 import { limitOf, type TeamNeed } from '../quota/index.js';
 import type { TeamUse } from '../placement/index.js';
-import type { HeldShard } from './held.js';
-import type { JobRun } from './run.js';
-import { computeTeamNeeds, type WaitingJob } from './teamneeds.js';
-import { computeTeamUse } from './teamuse.js';
+import type { HeldShard } from './held-shard.js';
+import type { JobRun } from './job-run.js';
+import { computeTeamNeeds, type WaitingJob } from './team-needs.js';
+import { computeTeamUse } from './team-use.js';
 
 /** Stands for an empty share of a limit: a limit of 0 would mean that the team has none. */
 const NEAR_ZERO_LIMIT = 1e-9;
--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -1,4 +1,4 @@
-import type { Millis, WallMillis } from './brands.js';
+import type { Millis, WallMillis } from './branded-types.js';
 
 /** Source of time. It is injected so that decisions can run in simulated time. */
 export interface Clock {
--- a/src/kernel/fast-path.ts
+++ b/src/kernel/fast-path.ts
@@ -1,4 +1,4 @@
-import { findHeadEnd, parseRequestHead, type RequestHead } from './head.js';
+import { findHeadEnd, parseRequestHead, type RequestHead } from './http-head.js';
 import type { Connection } from './runtime.js';
 
 /** Response of a handler on the fast path. */
--- a/src/kernel/http-client.ts
+++ b/src/kernel/http-client.ts
@@ -1,7 +1,7 @@
-import { findHeadEnd, decodeChunkedBody, parseResponseHead, type ResponseHead } from './head.js';
+import { findHeadEnd, decodeChunkedBody, parseResponseHead, type ResponseHead } from './http-head.js';
 import type { Connection, Runtime } from './runtime.js';
-import type { SocketBudget } from './sockets.js';
-import { systemRuntime } from './system.js';
+import type { SocketBudget } from './socket-budget.js';
+import { systemRuntime } from './system-runtime.js';
 
 /**
  * Result of an outgoing request. After a failure it is unknown whether the server has executed the request, unless the
--- a/src/kernel/system-runtime.ts
+++ b/src/kernel/system-runtime.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from 'node:crypto';
 import { connect, createServer, type AddressInfo } from 'node:net';
 import { asyncScheduler } from 'rxjs';
-import { millis, wallMillis } from './brands.js';
+import { millis, wallMillis } from './branded-types.js';
 import type { TcpListener, ListenOptions, Runtime } from './runtime.js';
 
 function listen({ host, port, maxConnections, allowHalfOpen, accept, failed }: ListenOptions): TcpListener {
--- a/src/membership/block-pages.ts
+++ b/src/membership/block-pages.ts
@@ -12,7 +12,7 @@
   type Guard,
   type Op,
 } from '../state/index.js';
-import { decodeKinds, encodeKinds, encodeShard, type BlockMachine, type ShardValue } from './shard.js';
+import { decodeKinds, encodeKinds, encodeShard, type BlockMachine, type ShardValue } from './shard-record.js';
 
 /** The newest page format that this program reads, and the one that it writes. */
 export const PAGE_FORMAT = 1;
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -22,9 +22,9 @@
   type StateClient,
   type TxnResult,
 } from '../state/index.js';
-import type { ShardDirectory } from './directory.js';
+import type { ShardDirectory } from './shard-directory.js';
 import { Paging } from './paging.js';
-import { previousHolders, encodeShard, SHARD_FORMAT, type PreviousHolder, type ShardValue } from './shard.js';
+import { previousHolders, encodeShard, SHARD_FORMAT, type PreviousHolder, type ShardValue } from './shard-record.js';
 
 /** Time to live of a node's lease in the state service. */
 export const NODE_LEASE_MS = 4000;
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -1,6 +1,6 @@
 import type { Logger, Revision, ShardName } from '../kernel/index.js';
 import { rereadGuards, shardKey, Urgency, type Guard, type Mirror, type Op, type StateClient } from '../state/index.js';
-import type { ShardDirectory } from './directory.js';
+import type { ShardDirectory } from './shard-directory.js';
 import {
   moveToPagesGuards,
   moveToRecordGuards,
@@ -8,8 +8,8 @@
   type BlockChange,
   type KnownShard,
   type PageVersion,
-} from './pages.js';
-import { encodeShard, type ShardValue } from './shard.js';
+} from './block-pages.js';
+import { encodeShard, type ShardValue } from './shard-record.js';
 
 /** What moving machines between record and pages needs from the rest of the controller. */
 export interface PagingDeps {
--- a/src/membership/shard-directory.ts
+++ b/src/membership/shard-directory.ts
@@ -1,7 +1,7 @@
 import type { MachineId, Revision, ShardName } from '../kernel/index.js';
 import { PAGES_PREFIX, SHARDS_PREFIX, type Mirror } from '../state/index.js';
-import { decodePage, parsePageKey, type KnownShard, type Page } from './pages.js';
-import { decodeShard, type ShardValue } from './shard.js';
+import { decodePage, parsePageKey, type KnownShard, type Page } from './block-pages.js';
+import { decodeShard, type ShardValue } from './shard-record.js';
 
 /** A shard's record as decoded at one version. */
 interface DecodedRecord {
--- a/src/membership/shard-sealer.ts
+++ b/src/membership/shard-sealer.ts
@@ -1,7 +1,7 @@
 import type { Logger, ShardName } from '../kernel/index.js';
 import { nodeKey, reread, shardKey, Urgency, type Mirror, type Op, type StateClient } from '../state/index.js';
-import type { KnownShard } from './pages.js';
-import { encodeShard, SEALED_HOLDER } from './shard.js';
+import type { KnownShard } from './block-pages.js';
+import { encodeShard, SEALED_HOLDER } from './shard-record.js';
 
 /** What sealing records needs from the rest of the controller. */
 export interface ShardSealerDeps {
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -7,6 +7,6 @@
   MAX_FRAME_BYTES,
   OLDEST_FRAME_VERSION,
   FRAME_VERSION,
-} from './codec.js';
-export * from './link.js';
+} from './frame-codec.js';
+export * from './peer-transport.js';
 export * from './messages.js';
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -14,7 +14,7 @@
   type ShardName,
   type WallMillis,
 } from '../kernel/index.js';
-import { FrameError, FrameReader, FrameWriter, OLDEST_FRAME_VERSION } from './codec.js';
+import { FrameError, FrameReader, FrameWriter, OLDEST_FRAME_VERSION } from './frame-codec.js';
 
 /** What the holder of a shard reports to its peers about one machine of the shard. */
 export interface MachineSummary {
--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -10,7 +10,7 @@
   Runtime,
   Timer,
 } from '../kernel/index.js';
-import { FrameSplitter, LENGTH_PREFIX_BYTES, OLDEST_FRAME_VERSION, FRAME_VERSION } from './codec.js';
+import { FrameSplitter, LENGTH_PREFIX_BYTES, OLDEST_FRAME_VERSION, FRAME_VERSION } from './frame-codec.js';
 import {
   decodeMessage,
   encodeMessage,
@@ -19,7 +19,7 @@
   type PeerCondition,
   type PeerMessage,
 } from './messages.js';
-import { FrameCounter, type FrameCount } from './traffic.js';
+import { FrameCounter, type FrameCount } from './frame-counter.js';
 
 /** Frames sent to and received from peers, by message kind. */
 export interface PeerTraffic {
--- a/src/pipelines/index.ts
+++ b/src/pipelines/index.ts
@@ -1,2 +1,2 @@
-export * from './graph.js';
-export * from './steward.js';
+export * from './job-graph.js';
+export * from './dependency-tracker.js';
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -27,7 +27,7 @@
   type Plan,
   type PlanMachine,
 } from './model.js';
-import { planFirstTasks } from './begin.js';
+import { planFirstTasks } from './first-tasks.js';
 import {
   hasLateReplicas,
   type LateReplicas,
--- a/src/quota/demand.ts
+++ b/src/quota/demand.ts
@@ -2,7 +2,7 @@
 
 import type { Millis, Revision, ShardName } from '../kernel/index.js';
 import type { Amount } from './amount.js';
-import { NO_NEED, type TeamNeed } from './decide.js';
+import { NO_NEED, type TeamNeed } from './allocation.js';
 
 /**
  * What a shard's holder reports about all teams with a limit; a team that is not listed uses nothing there and waits
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -13,7 +13,7 @@
   type StateClient,
 } from '../state/index.js';
 import { isFiniteAmount, isZero, subtract, limitOf, ZERO_AMOUNT, minAmount, sum, type Amount } from './amount.js';
-import { capOf, initialShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './decide.js';
+import { capOf, initialShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './allocation.js';
 import { DemandReports, type ShardDemand } from './demand.js';
 import { decodeQuota, encodeQuota, shareOf, type QuotaRecord } from './record.js';
 
--- a/src/rollout/decide.ts
+++ b/src/rollout/decide.ts
@@ -1,6 +1,6 @@
 import type { Incarnation, Millis, NodeName, WallMillis } from '../kernel/index.js';
 import type { Announcement, Feature } from './release.js';
-import type { FeatureState, RolloutState, RolloutWishes, StoredFeature } from './record.js';
+import type { FeatureState, RolloutState, RolloutWishes, StoredFeature } from './rollout-records.js';
 
 /** How long after a feature is switched on controller exits count towards switching it off again automatically. */
 export const AUTO_REVERT_WINDOW_MS = 60_000;
--- a/src/rollout/feature-gates.ts
+++ b/src/rollout/feature-gates.ts
@@ -1,5 +1,5 @@
 import { ROLLOUT_STATE_KEY, type Mirror } from '../state/index.js';
-import { decodeRolloutState, type RolloutState, EMPTY_ROLLOUT_STATE } from './record.js';
+import { decodeRolloutState, type RolloutState, EMPTY_ROLLOUT_STATE } from './rollout-records.js';
 
 /**
  * The feature gates of this process, read from the stored rollout state. A change takes effect when this node's mirror
--- a/src/rollout/rollout-reconciler.ts
+++ b/src/rollout/rollout-reconciler.ts
@@ -26,7 +26,7 @@
   NO_WISHES,
   type RolloutState,
   type RolloutWishes,
-} from './record.js';
+} from './rollout-records.js';
 import { decodeAnnouncement, GROUPED_PROGRESS, RELEASE_NUMBER, type Feature } from './release.js';
 
 /** What the rollout reconciler depends on. */
--- a/src/service/http.ts
+++ b/src/service/http.ts
@@ -21,7 +21,7 @@
 import { parseJobId, parseSubmission } from '../jobs/index.js';
 import type { ReportReply } from '../holder/index.js';
 import { decodeMessage, type WorkerMessage } from '../workers/index.js';
-import type { UserResponse, UserRequest } from './users.js';
+import type { UserResponse, UserRequest } from './user-requests.js';
 
 const BODY_LIMIT_BYTES = 64 * 1024;
 /** Idle timeout of connections that the Express app serves. */
--- a/src/service/index.ts
+++ b/src/service/index.ts
@@ -1,3 +1,3 @@
 export * from './service.js';
 export { createApp, fastPathRoutes, listen, type RequestHandlers } from './http.js';
-export { HealthCheck, type HealthInputs } from './health.js';
+export { HealthCheck, type HealthInputs } from './health-check.js';
--- a/src/service/peer-messages.ts
+++ b/src/service/peer-messages.ts
@@ -1,12 +1,12 @@
-import type { CancellationPropagator } from '../carry/index.js';
+import type { CancellationPropagator } from '../cancellation/index.js';
 import type { JobRegistry } from '../jobs/index.js';
 import type { PeerTransport, ReceivedMessage } from '../peers/index.js';
 import type { QuotaShares } from '../quota/index.js';
 import type { StateClient } from '../state/index.js';
-import { decodeDemand } from './quota.js';
-import type { ShardRouter } from './routes.js';
-import type { ShardOwnership } from './ownership.js';
-import type { UserRequestHandler } from './users.js';
+import { decodeDemand } from './quota-shares.js';
+import type { ShardRouter } from './shard-router.js';
+import type { ShardOwnership } from './shard-ownership.js';
+import type { UserRequestHandler } from './user-requests.js';
 
 /** The parts of this node that handle messages of peers. */
 export interface PeerMessageDeps {
--- a/src/service/rollout-overview.ts
+++ b/src/service/rollout-overview.ts
@@ -10,7 +10,7 @@
   type RolloutShard,
   type FeatureGates,
 } from '../rollout/index.js';
-import type { ShardOwnership } from './ownership.js';
+import type { ShardOwnership } from './shard-ownership.js';
 
 /** What the rollout overview needs from the rest of the node. */
 export interface RolloutOverviewDeps {
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -1,5 +1,5 @@
 import { adminRouter, SettingsStore } from '../admin/index.js';
-import { CancellationPropagator, leftoverAnswerMs, type HolderTimings } from '../carry/index.js';
+import { CancellationPropagator, leftoverAnswerMs, type HolderTimings } from '../cancellation/index.js';
 import { CloudClient } from '../cloud/index.js';
 import type { Settings } from '../config/index.js';
 import { ShardHolder, type HolderDeps, type ReportReply } from '../holder/index.js';
@@ -45,18 +45,18 @@
 import { ANNOUNCEMENT, FEATURE_NAMES } from './announcement.js';
 import { createApp, fastPathRoutes, listen, type RequestHandlers, type Listener } from './http.js';
 import { Trail } from '../trail/index.js';
-import { StorageFormats } from './forms.js';
-import { HealthCheck } from './health.js';
+import { StorageFormats } from './storage-formats.js';
+import { HealthCheck } from './health-check.js';
 import { checkReachability } from './reachability.js';
-import { handlePeerMessage } from './peers.js';
-import { createQuotaShares } from './quota.js';
-import { ShardRouter } from './routes.js';
-import { MachineTypeCache } from './types.js';
-import { rolloutOperations } from './overview.js';
+import { handlePeerMessage } from './peer-messages.js';
+import { createQuotaShares } from './quota-shares.js';
+import { ShardRouter } from './shard-router.js';
+import { MachineTypeCache } from './machine-types.js';
+import { rolloutOperations } from './rollout-overview.js';
 import { nodeStatus } from './status.js';
-import { ShardOwnership } from './ownership.js';
-import { trailView } from './trailview.js';
-import { UserRequestHandler } from './users.js';
+import { ShardOwnership } from './shard-ownership.js';
+import { trailView } from './trail-view.js';
+import { UserRequestHandler } from './user-requests.js';
 
 /** Interval at which the holders send summaries of their shards to the peers. */
 const SUMMARY_INTERVAL_MS = 800;
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -1,11 +1,11 @@
 import type { SettingsStore } from '../admin/index.js';
-import type { CancellationPropagator } from '../carry/index.js';
+import type { CancellationPropagator } from '../cancellation/index.js';
 import type { Incarnation, NodeName } from '../kernel/index.js';
 import type { Membership } from '../membership/index.js';
 import type { PeerTransport } from '../peers/index.js';
 import type { DependencyTracker } from '../pipelines/index.js';
 import type { Mirror, StateClient } from '../state/index.js';
-import type { ShardOwnership } from './ownership.js';
+import type { ShardOwnership } from './shard-ownership.js';
 
 /** The parts of a node that its status is read from. */
 export interface StatusDeps {
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -7,7 +7,7 @@
   type Runtime,
   type SocketBudget,
 } from '../kernel/index.js';
-import type { WorkerTracker } from './belief.js';
+import type { WorkerTracker } from './worker-tracker.js';
 import { decodeMessage, encodeCommands, type Order, type WorkerMessage } from './wire.js';
 
 const COMMAND_TIMEOUT_MS = 2500;
--- a/src/workers/index.ts
+++ b/src/workers/index.ts
@@ -1,4 +1,4 @@
-export * from './belief.js';
+export * from './worker-tracker.js';
 export * from './command-sender.js';
 export * from './prober.js';
 export * from './reachability.js';
--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -8,9 +8,9 @@
   ownershipConfirmedAt,
   holderModeAt,
   startGraceMs,
-} from '../src/carry/index.js';
+} from '../src/cancellation/index.js';
 import { incarnation, millis, nodeName, shardName, type Millis } from '../src/kernel/index.js';
-import { SimulatedCluster, TIMINGS, type Fault, type OmittedGuard } from './standins/carrying.js';
+import { SimulatedCluster, TIMINGS, type Fault, type OmittedGuard } from './standins/simulated-cluster.js';
 
 const FAULTS_END_MS = 70_000;
 const SIMULATED_MS = 160_000;
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -24,7 +24,7 @@
 } from '../src/membership/index.js';
 import { FreshnessChecker, LIVE_PREFIX, Mirror, shardKey, StateClient } from '../src/state/index.js';
 import { WorkerTracker, TaskIndex } from '../src/workers/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 import { StandInWorker } from './standins/worker.js';
 
 const shard = (over: Partial<ShardValue>): ShardValue => ({
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -16,7 +16,7 @@
 import { decodeShard, encodeShard, type ShardValue } from '../src/membership/index.js';
 import { formatVersionOf, LIVE_PREFIX, Mirror, SETTINGS_KEY, StateClient } from '../src/state/index.js';
 import { spec } from './standins/jobs.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const asStored = (value: unknown): Record<string, unknown> =>
   JSON.parse(JSON.stringify(value)) as Record<string, unknown>;
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -3,7 +3,7 @@
 import { incarnation, nodeName, type Incarnation } from '../src/kernel/index.js';
 import { Membership, ShardDirectory } from '../src/membership/index.js';
 import { LEADER_KEY, LIVE_PREFIX, Mirror, nodeKey, StateClient, Urgency } from '../src/state/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const lab = new SimulationHarness();
 const { model: state, at: address } = lab.state();
--- a/test/mirror.test.ts
+++ b/test/mirror.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { millis, revision, type Logger, type Revision } from '../src/kernel/index.js';
 import { Mirror, WatchLag, type Change } from '../src/state/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const KEYS = ['live/jobs/a', 'live/jobs/b'];
 const WATCH_REOPEN_WAIT_MS = 150;
--- a/test/operator-settings.test.ts
+++ b/test/operator-settings.test.ts
@@ -10,7 +10,7 @@
   type SettingsResult,
 } from '../src/admin/index.js';
 import { LIVE_PREFIX, Mirror, SETTINGS_KEY, StateClient } from '../src/state/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 import type { StateServiceConfig, StateModel } from '../packages/region/src/index.js';
 
 const CONTROLLERS = 7;
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -27,7 +27,7 @@
   storedSizeBytes,
 } from '../src/state/index.js';
 import type { Guard, Op } from '../src/state/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const SHARDS = ['n-0', 'n-1'].map(shardName);
 const MACHINES = Array.from({ length: 6 }, (_, i) => `m-${i}`);
--- a/test/paging.test.ts
+++ b/test/paging.test.ts
@@ -12,7 +12,7 @@
 } from '../src/membership/index.js';
 import { LIVE_PREFIX, Mirror, pageKey, shardKey, StateClient, Urgency, type Op } from '../src/state/index.js';
 import type { StateModel } from '../packages/region/src/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const SHARD = shardName('n-0');
 const LATE_ADDRESS = '10.0.0.2';
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -31,7 +31,7 @@
 import { revision } from '../src/kernel/index.js';
 import { ROLLOUT_STATE_KEY, shardKey, type Entry } from '../src/state/index.js';
 import { RandomStream } from '../packages/region/src/index.js';
-import { QuotaSimulation, type OmittedSafeguard } from './standins/quotas.js';
+import { QuotaSimulation, type OmittedSafeguard } from './standins/quota-simulation.js';
 import { spec } from './standins/jobs.js';
 
 const NAMES = ['a', 'b', 'c', 'd'].map(shardName);
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -16,7 +16,7 @@
 import type { MachineType } from '../src/cloud/index.js';
 import { spec } from './standins/jobs.js';
 import type { InjectedFault } from '../packages/region/src/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const lab = new SimulationHarness();
 const { log } = lab;
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -29,7 +29,7 @@
   type NodeObservations,
 } from '../src/rollout/index.js';
 import { LIVE_PREFIX, Mirror, ROLLOUT_STATE_KEY, StateClient } from '../src/state/index.js';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const NAMES = ['n-0', 'n-1', 'n-2'].map(nodeName);
 const FEATURES: readonly Feature[] = [
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Router } from 'express';
-import { SimulationHarness } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 import { HttpClient, machineId, millis, revision, SocketBudget } from '../src/kernel/index.js';
 import { createApp, fastPathRoutes, listen, type RequestHandlers } from '../src/service/index.js';
 import { CommandSender, WorkerTracker } from '../src/workers/index.js';
--- a/test/standins/simulated-cluster.ts
+++ b/test/standins/simulated-cluster.ts
@@ -1,5 +1,5 @@
 import { Subject } from 'rxjs';
-import { CancellationPropagator, type HolderTimings } from '../../src/carry/index.js';
+import { CancellationPropagator, type HolderTimings } from '../../src/cancellation/index.js';
 import {
   incarnation,
   millis,
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -8,7 +8,7 @@
   type Machine,
   type Submission,
 } from '../../packages/region/src/index.js';
-import { SimulationHarness } from '../../packages/region/test/lab.js';
+import { SimulationHarness } from '../../packages/region/test/simulation-harness.js';
 
 const FACTS = { reportS: 3, leaseS: 10, gangWaitS: 45, gangPeerS: 5, cancelS: 35 };
 const type = {
