--- a/packages/region/test/rule-checker.test.ts
+++ b/packages/region/test/rule-checker.test.ts
@@ -64,8 +64,8 @@
     };
   const detectedSeeds: number[] = [];
   for (const seed of SEEDS) {
-    const rules = await withPatchedMethod(WorkerTracker.prototype, 'take', countingReportsOnly(take), () =>
-      withPatchedMethod(WorkerTracker.prototype, 'takeAnswer', countingReportsOnly(takeAnswer), () =>
+    const rules = await withPatchedMethod(WorkerTracker.prototype, 'applyReport', countingReportsOnly(take), () =>
+      withPatchedMethod(WorkerTracker.prototype, 'applyAnswer', countingReportsOnly(takeAnswer), () =>
         violatedRules(isolatedControllersNight(seed), noSabotage),
       ),
     );
@@ -167,7 +167,7 @@
   const day = highArrivalRateDay(60, closePolls);
   assert.deepEqual(await violatedRules(day, noSabotage), []);
   const stale: FreshnessChecker['waitUntilFresh'] = () => Promise.resolve(true);
-  const rules = await withPatchedMethod(FreshnessChecker.prototype, 'ensure', stale, () =>
+  const rules = await withPatchedMethod(FreshnessChecker.prototype, 'waitUntilFresh', stale, () =>
     violatedRules(day, noSabotage),
   );
   assert.deepEqual(rules, ['went_back']);
