--- a/packages/region/src/checker/index.ts
+++ b/packages/region/src/checker/index.ts
@@ -1,2 +1,3 @@
-export * from './rules.js';
-export type { Room } from './waiting.js';
+/** Checks a simulation run against the rules of the protocol. */
+export * from './rule-checker.js';
+export type { FreeCapacity } from './waiting-detector.js';
--- a/packages/region/src/releases/index.ts
+++ b/packages/region/src/releases/index.ts
@@ -1,1 +1,2 @@
-export * from './releases.js';
+/** Releases of the controller that a simulation can run. */
+export * from './release-catalog.js';
--- a/packages/region/src/report/charts.ts
+++ b/packages/region/src/report/charts.ts
@@ -1,16 +1,20 @@
-import { svg } from './svg.js';
+/** Charts of a played day. */
+
+import { renderSvg } from './svg.js';
 import type { Field } from 'vega-lite/build/src/channeldef.js';
 import type { UnitSpec } from 'vega-lite/build/src/spec/unit.js';
-import type { Trouble } from '../day/index.js';
+import type { Fault } from '../scenario/index.js';
 import type { DayResult } from '../region.js';
 
-const WIDTH = 860;
+const CHART_WIDTH_PX = 860;
 
-const base = { $schema: 'https://vega.github.io/schema/vega-lite/v5.json', width: WIDTH } as const;
-const seconds = { field: 'atS', type: 'quantitative', title: 'seconds since the day began' } as const;
+/** Settings that all charts share. */
+const chartDefaults = { $schema: 'https://vega.github.io/schema/vega-lite/v5.json', width: CHART_WIDTH_PX } as const;
+/** Horizontal axis of the charts over time. */
+const timeAxis = { field: 'atS', type: 'quantitative', title: 'seconds since the start of the day' } as const;
 
-/** Bands for troubles that last, lines for those that only happen. */
-const marks = (troubles: readonly Trouble[]): UnitSpec<Field>[] => {
+/** Marks troubles in a chart: a line at the beginning of each, and a band for those with a duration. */
+const troubleMarks = (troubles: readonly Fault[]): UnitSpec<Field>[] => {
   const values = troubles.map((t) => ({
     kind: t.kind,
     atS: t.at_s,
@@ -30,64 +34,64 @@
   ];
 };
 
-/** Tasks of one kind over time, stacked by class. */
-export function tasksChart(
+/** Renders the number of running or waiting tasks over time, stacked by class. */
+export function renderTasksChart(
   { timeline }: DayResult,
   which: 'running' | 'waiting',
-  troubles: readonly Trouble[],
+  troubles: readonly Fault[],
 ): Promise<string> {
-  const values = timeline.flatMap((moment) =>
-    Object.entries(moment[which]).map(([name, tasks]) => ({ atS: moment.atS, class: name, tasks })),
+  const values = timeline.flatMap((sample) =>
+    Object.entries(sample[which]).map(([name, tasks]) => ({ atS: sample.atS, class: name, tasks })),
   );
-  return svg({
-    ...base,
+  return renderSvg({
+    ...chartDefaults,
     height: 200,
     layer: [
       {
         data: { values },
         mark: { type: 'area', interpolate: 'step-after' },
         encoding: {
-          x: seconds,
+          x: timeAxis,
           y: { field: 'tasks', type: 'quantitative', stack: 'zero', title: `tasks ${which}` },
           color: { field: 'class', type: 'nominal' },
         },
       },
-      ...marks(troubles),
+      ...troubleMarks(troubles),
     ],
   });
 }
 
-/** How many machines, or controllers, were up over time. */
-export function upChart(
+/** Renders the number of machines or controllers that were up over time. */
+export function renderUpChart(
   { timeline }: DayResult,
   which: 'machinesUp' | 'controllersUp',
-  troubles: readonly Trouble[],
+  troubles: readonly Fault[],
 ): Promise<string> {
   const machines = which === 'machinesUp';
-  return svg({
-    ...base,
+  return renderSvg({
+    ...chartDefaults,
     height: machines ? 120 : 60,
     layer: [
       {
-        data: { values: timeline.map((moment) => ({ atS: moment.atS, up: moment[which] })) },
+        data: { values: timeline.map((sample) => ({ atS: sample.atS, up: sample[which] })) },
         mark: { type: 'line', interpolate: 'step-after' },
         encoding: {
-          x: seconds,
+          x: timeAxis,
           y: {
             field: 'up',
             type: 'quantitative',
-            title: machines ? 'machines up' : 'controllers',
+            title: machines ? 'machines up' : 'controllers up',
             axis: { tickMinStep: 1 },
           },
         },
       },
-      ...marks(troubles),
+      ...troubleMarks(troubles),
     ],
   });
 }
 
-/** Waits and finishing times by class, at three percentiles. */
-export function timesChart({ classes }: DayResult): Promise<string> {
+/** Renders the times to first start and to completion by class, at three percentiles. */
+export function renderLatencyChart({ classes }: DayResult): Promise<string> {
   const values = classes.flatMap(({ name, waitS, finishS }) =>
     (
       [
@@ -98,14 +102,14 @@
       q ? (['p50', 'p95', 'p99'] as const).map((p) => ({ class: name, what, percentile: p, seconds: q[p] })) : [],
     ),
   );
-  return svg({
-    ...base,
-    width: WIDTH / 2 - 60,
+  return renderSvg({
+    ...chartDefaults,
+    width: CHART_WIDTH_PX / 2 - 60,
     data: { values },
     mark: 'point',
     encoding: {
       column: { field: 'what', type: 'nominal', title: null },
-      x: { field: 'seconds', type: 'quantitative', scale: { type: 'log' }, title: 'seconds from submission' },
+      x: { field: 'seconds', type: 'quantitative', scale: { type: 'log' }, title: 'seconds since submission' },
       y: { field: 'class', type: 'nominal', title: null },
       color: { field: 'percentile', type: 'nominal' },
       shape: { field: 'percentile', type: 'nominal' },
--- a/packages/trace/src/index.ts
+++ b/packages/trace/src/index.ts
@@ -1,22 +1,23 @@
-export { mergeRows, readTrace, readTraceIn, verifyTrace, type Trace } from './read.js';
+// Records the event trails of all controllers into a trace on disk, and reads such traces.
+export { mergeRows, readTrace, readTraceDirectory, verifyTrace, type Trace } from './read-trace.js';
 export {
   Recorder,
-  advance,
-  begin,
-  readPage,
-  unread,
-  type Page,
+  applyPage,
+  initialCursor,
+  parseTrailPage,
+  unreadGaps,
   type RecorderOptions,
-  type Source,
+  type TrailPage,
+  type TrailSource,
 } from './record/index.js';
 export {
-  detailOf,
-  digest,
+  parseDetail,
+  sha256Hex,
   diskFiles,
   encodeManifest,
-  Killed,
+  KilledError,
   MemoryFiles,
-  readEvent,
+  parseEvent,
   TraceError,
   TraceStore,
   type Cursor,
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -24,7 +24,7 @@
 } from '../src/membership/index.js';
 import { FreshnessChecker, LIVE_PREFIX, Mirror, shardKey, StateClient } from '../src/state/index.js';
 import { WorkerTracker, TaskIndex } from '../src/workers/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 import { StandInWorker } from './standins/worker.js';
 
 const shard = (over: Partial<ShardValue>): ShardValue => ({
@@ -141,7 +141,7 @@
 });
 
 test('concurrent freshness checks share a request, and none accepts an outdated mirror', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
   const { model: state, at } = lab.state();
   const client = new StateClient(at, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
@@ -149,19 +149,19 @@
   state.put('live/jobs/j-1', { at: 0 });
   void mirror.run();
   const freshness = new FreshnessChecker(client, mirror, runtime);
-  await lab.pass(500);
+  await lab.advance(500);
   assert.ok(mirror.loaded);
   for (let i = 1; i <= 10; i++) {
     state.put('live/jobs/j-1', { at: i });
-    const fresh = await lab.settle(
+    const fresh = await lab.runUntilSettled(
       Promise.all([freshness.waitUntilFresh(), freshness.waitUntilFresh(), freshness.waitUntilFresh()]),
     );
     assert.deepEqual(fresh, [true, true, true]);
     assert.deepEqual(mirror.get('live/jobs/j-1')?.value, { at: i });
   }
-  state.outage(true);
+  state.setOutage(true);
   assert.equal(
-    await lab.settle(freshness.waitUntilFresh()),
+    await lab.runUntilSettled(freshness.waitUntilFresh()),
     false,
     'without the state service, the mirror is not known to be fresh',
   );
@@ -169,7 +169,7 @@
 });
 
 test('the directory knows the shard of each machine after every change of a block', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
   const client = new StateClient(lab.state().at, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -27,7 +27,7 @@
   storedSizeBytes,
 } from '../src/state/index.js';
 import type { Guard, Op } from '../src/state/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const SHARDS = ['n-0', 'n-1'].map(shardName);
 const MACHINES = Array.from({ length: 6 }, (_, i) => `m-${i}`);
@@ -175,7 +175,7 @@
   pageBytes,
 });
 
-const lab = new Lab();
+const lab = new SimulationHarness();
 const { at } = lab.state();
 const client = new StateClient(at, { rps: 1000, writeRps: 1000 }, lab.log, lab.process('10.0.0.1'));
 
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -29,7 +29,7 @@
   type NodeObservations,
 } from '../src/rollout/index.js';
 import { LIVE_PREFIX, Mirror, ROLLOUT_STATE_KEY, StateClient } from '../src/state/index.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const NAMES = ['n-0', 'n-1', 'n-2'].map(nodeName);
 const FEATURES: readonly Feature[] = [
@@ -394,7 +394,7 @@
 });
 
 test('a process uses a feature that is on and that it supports; a record that it cannot read changes nothing', () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
   const mirror = new Mirror(
     new StateClient(lab.state().at, { rps: 9, writeRps: 9 }, lab.log, runtime),
