--- a/packages/region/src/cli/scale.ts
+++ b/packages/region/src/cli/scale.ts
@@ -1,24 +1,27 @@
+/** Commands for scale runs. */
+
 import { readFileSync, realpathSync } from 'node:fs';
 import { totalmem } from 'node:os';
 import { dirname, join } from 'node:path';
 import type { Command } from 'commander';
 import { parse } from 'smol-toml';
 import { createLogger, isObject } from '../../../../src/kernel/index.js';
-import { scaledDay, type Day } from '../day/index.js';
+import { scaleScenario, type SimulationScenario } from '../scenario/index.js';
 import {
   HollowWorkers,
   ScaleRun,
-  scaleTable,
+  renderScaleTable,
   type HollowCommand,
-  type Launch,
+  type ProcessLaunch,
   type ScaleOptions,
 } from '../scale/index.js';
-import { dayArgument, loadDay } from './days.js';
-import { positiveNumber, shareOfOne, wholeNumber } from './options.js';
+import { dayArgument, loadDay } from './load-day.js';
+import { parsePositiveNumber, parseFraction, parseWholeNumber } from './options.js';
 
-/** A scale run's day goes on for as long as the run does. */
-const ENDLESS_S = 100_000;
+/** Duration of a scale run's day in seconds, longer than any run. */
+const UNBOUNDED_DURATION_S = 100_000;
 
+/** Options of `region scale`. */
 interface ScaleFlags {
   readonly share: number;
   readonly controllers?: number;
@@ -32,10 +35,11 @@
   readonly json?: true;
 }
 
+/** Path of this program's script, symbolic links resolved. */
 const scriptPath = (): string => realpathSync(process.argv[1] ?? '.');
 
-/** Flags of Node.js that the deploy file starts controllers with; none where there is no such file beside the bundle. */
-function controllerFlags(): readonly string[] {
+/** Reads the flags of Node.js for controllers from the deploy file beside the bundle; none if there is no such file. */
+function readControllerFlags(): readonly string[] {
   let toml: unknown;
   try {
     toml = parse(readFileSync(join(dirname(scriptPath()), '..', 'deploy', 'service.toml'), 'utf8'));
@@ -46,92 +50,97 @@
   return typeof run === 'string' ? run.split(' ').filter((word) => word.startsWith('--') && word !== '--config') : [];
 }
 
-/** How this program starts its own further processes. */
-export const launchOfThis = (): Launch => ({
+/** How to start further processes of this program. */
+export const ownProcessLaunch = (): ProcessLaunch => ({
   node: process.execPath,
-  controllerFlags: controllerFlags(),
+  controllerFlags: readControllerFlags(),
   script: scriptPath(),
 });
 
-/** What a scale run takes from the machine and the terminal. */
-export const machineOptions = (): Pick<ScaleOptions, 'launch' | 'log' | 'ownPid' | 'machineBytes'> => ({
-  launch: launchOfThis(),
+/** Options of a scale run that depend on the host machine and the environment. */
+export const hostOptions = (): Pick<ScaleOptions, 'launch' | 'log' | 'ownPid' | 'machineBytes'> => ({
+  launch: ownProcessLaunch(),
   log: createLogger(process.env['LOG_LEVEL'] ?? 'warn', 'models'),
   ownPid: process.pid,
   machineBytes: totalmem(),
 });
 
-/** Makes a run end in order on Ctrl-C or a termination signal, and its processes with it whatever happens. */
+/** Runs a scale run that stops cleanly on SIGINT or SIGTERM, and whose processes end when this process exits. */
 export async function runScale(options: ScaleOptions): Promise<Awaited<ReturnType<ScaleRun['run']>>> {
   let stopped = false;
   const run = new ScaleRun({ ...options, stop: () => stopped });
-  const stop = (): void => {
+  const requestStop = (): void => {
     stopped = true;
   };
-  const endNow = (): void => run.end();
-  process.on('SIGINT', stop);
-  process.on('SIGTERM', stop);
-  process.on('exit', endNow);
+  const endProcesses = (): void => run.end();
+  process.on('SIGINT', requestStop);
+  process.on('SIGTERM', requestStop);
+  process.on('exit', endProcesses);
   try {
     return await run.run();
   } finally {
-    process.off('SIGINT', stop);
-    process.off('SIGTERM', stop);
-    process.off('exit', endNow);
+    process.off('SIGINT', requestStop);
+    process.off('SIGTERM', requestStop);
+    process.off('exit', endProcesses);
   }
 }
 
-function dayFor(given: string, flags: ScaleFlags): Day {
-  const day = scaledDay(loadDay(given), flags.share);
+/** Loads the day of a scale run, and applies the options to it. */
+function scaleRunDay(nameOrPath: string, flags: ScaleFlags): SimulationScenario {
+  const day = scaleScenario(loadDay(nameOrPath), flags.share);
   return {
     ...day,
     ...(flags.seed === undefined ? {} : { seed: flags.seed }),
-    ...{ duration_s: ENDLESS_S, quiet_end_s: 0 },
+    ...{ duration_s: UNBOUNDED_DURATION_S, quiet_end_s: 0 },
     controllers: { ...day.controllers, count: flags.controllers ?? day.controllers.count },
     troubles: flags.quiet === true ? [] : day.troubles,
   };
 }
 
-async function scale(given: string, flags: ScaleFlags): Promise<void> {
+/** Performs a scale run and prints its result. The exit code is 1 if a protocol rule was violated. */
+async function runScaleCommand(nameOrPath: string, flags: ScaleFlags): Promise<void> {
   const result = await runScale({
-    ...machineOptions(),
-    day: dayFor(given, flags),
+    ...hostOptions(),
+    day: scaleRunDay(nameOrPath, flags),
     hollowProcesses: flags.workerProcesses,
     ...{ warmupS: flags.warmup, seconds: flags.seconds },
     ...{ changesPerMinute: flags.changesPerMinute, changesAtOnce: flags.changesAtOnce },
     progress: (line) => process.stderr.write(`${line}\n`),
   });
-  process.stdout.write(`${flags.json === true ? JSON.stringify(result) : scaleTable(result)}\n`);
+  process.stdout.write(`${flags.json === true ? JSON.stringify(result) : renderScaleTable(result)}\n`);
   if (result.breaches.length > 0) process.exitCode = 1;
 }
 
-/** A process of hollow workers: told what to do by the run that started it, and ends with it. */
-function hollowWorkers(): void {
+/** Hosts hollow workers in this process: executes the commands of the run that started it, and exits when that run ends. */
+function runHollowWorkers(): void {
   const workers = new HollowWorkers(
     { send: (event) => void process.send?.(event) },
     createLogger(process.env['LOG_LEVEL'] ?? 'error', 'workers'),
   );
-  process.on('message', (command) => workers.take(command as HollowCommand));
+  process.on('message', (command) => workers.handleCommand(command as HollowCommand));
   process.on('disconnect', () => process.exit(0));
-  // The run ends its workers itself: Ctrl-C in a terminal reaches them, too.
+  // Ctrl-C in a terminal also reaches worker processes, but the run ends them itself.
   process.on('SIGINT', () => undefined);
 }
 
+/** Adds the command `region scale` and its hidden helper command. */
 export function addScaleCommands(region: Command): void {
   region
     .command('scale')
-    .description('run whole controllers as processes on loopback against hollow workers, and account for every role')
+    .description(
+      'run whole controllers as processes on loopback against hollow workers, and measure the resource usage of every role',
+    )
     .argument(...dayArgument)
-    .option('--share <part>', 'machines, arrivals and limits at this part of their size', shareOfOne, 1)
-    .option('--controllers <n>', "instead of the day's own number", wholeNumber)
-    .option('--worker-processes <n>', 'processes that the hollow workers share', positiveNumber, 4)
-    .option('--warmup <seconds>', 'before anything is measured', positiveNumber, 60)
-    .option('--seconds <n>', 'that are measured', positiveNumber, 60)
-    .option('--changes-per-minute <n>', "changes of the operators' settings", wholeNumber, 12)
-    .option('--changes-at-once <n>', 'so many more at the middle of the measurement', wholeNumber, 0)
-    .option('--seed <n>', "instead of the day's own", wholeNumber)
-    .option('--quiet', "without the day's troubles")
-    .option('--json', 'the result as one line of JSON')
-    .action((day: string, flags: ScaleFlags) => scale(day, flags));
-  region.command('hollow-workers', { hidden: true }).action(hollowWorkers);
+    .option('--share <part>', 'scale machines, arrivals and limits by this factor', parseFraction, 1)
+    .option('--controllers <n>', 'number of controllers instead of that of the day', parseWholeNumber)
+    .option('--worker-processes <n>', 'processes that host the hollow workers', parsePositiveNumber, 4)
+    .option('--warmup <seconds>', 'time before the measurement', parsePositiveNumber, 60)
+    .option('--seconds <n>', 'duration of the measurement', parsePositiveNumber, 60)
+    .option('--changes-per-minute <n>', "rate of changes to the operators' settings", parseWholeNumber, 12)
+    .option('--changes-at-once <n>', 'further changes at once in the middle of the measurement', parseWholeNumber, 0)
+    .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
+    .option('--quiet', 'without the troubles of the day')
+    .option('--json', 'print the result as one line of JSON')
+    .action((day: string, flags: ScaleFlags) => runScaleCommand(day, flags));
+  region.command('hollow-workers', { hidden: true }).action(runHollowWorkers);
 }
--- a/packages/region/src/report/table.ts
+++ b/packages/region/src/report/table.ts
@@ -1,27 +1,32 @@
+/** Text report of a played day. */
+
 import Table from 'cli-table3';
-import type { AimResult, Quantiles } from '../daybook.js';
+import type { AimResult, Quantiles } from '../job-statistics.js';
 import type { DayResult } from '../region.js';
 
-export const quantilesText = (q: Quantiles | null): string => (q ? `${q.p50} / ${q.p95} / ${q.p99}` : '-');
+/** Formats quantiles as `p50 / p95 / p99`. */
+export const formatQuantiles = (q: Quantiles | null): string => (q ? `${q.p50} / ${q.p95} / ${q.p99}` : '-');
 
-export function aimText({ aim, share }: AimResult): string {
+/** Formats an aim of a class, and whether it was met. */
+export function formatAim({ aim, share }: AimResult): string {
   const name =
     aim.kind === 'deadline' ? 'deadline' : `${aim.kind} ${aim.kind === 'up' ? 'from' : 'within'} ${aim.within_s} s`;
-  if (share === null) return `${name}: nothing to count`;
+  if (share === null) return `${name}: no samples`;
   const met = share >= aim.share;
-  return `${name}: ${(share * 100).toFixed(1)} % (${met ? 'met' : 'missed'}, asked ${(aim.share * 100).toFixed(1)} %)`;
+  return `${name}: ${(share * 100).toFixed(1)} % (${met ? 'met' : 'missed'}, target ${(aim.share * 100).toFixed(1)} %)`;
 }
 
-const share = (of: number | null): string => (of === null ? '-' : `${(of * 100).toFixed(0)} %`);
+/** Formats a share as a percentage. */
+const formatShare = (fraction: number | null): string => (fraction === null ? '-' : `${(fraction * 100).toFixed(0)} %`);
 
-/** Of each class, who was served: all, and the largest. */
-const servedText = ({ classes }: DayResult): string =>
-  `served, all and the largest: ${classes.map((c) => `${c.name} ${share(c.served)}, ${share(c.largestServed)}`).join('; ')}`;
+/** Formats the served share of each class: of all jobs and of the largest jobs. */
+const formatServedShares = ({ classes }: DayResult): string =>
+  `served (all, largest): ${classes.map((c) => `${c.name} ${formatShare(c.served)}, ${formatShare(c.largestServed)}`).join('; ')}`;
 
-/** The day's table, class by class, then money, rules and what is still open. */
-export function dayTable(result: DayResult): string {
+/** Renders the result of a day as text: a table of the classes, then cost, machines, rules, failures and defects. */
+export function renderDayTable(result: DayResult): string {
   const table = new Table({
-    head: ['class', 'submitted', 'done', 'cancelled', 'open', 'aims', 'wait s', 'finished s', 'restarts'],
+    head: ['class', 'submitted', 'done', 'cancelled', 'open', 'aims', 'wait s', 'finish s', 'restarts'],
     style: { head: [], border: [] },
     colAligns: ['left', 'right', 'right', 'right', 'right', 'left', 'right', 'right', 'right'],
   });
@@ -33,9 +38,9 @@
       c.shape === 'service' ? '-' : c.done,
       c.cancelled,
       c.open,
-      c.aims.map(aimText).join('\n') || '-',
-      quantilesText(c.waitS),
-      quantilesText(c.finishS),
+      c.aims.map(formatAim).join('\n') || '-',
+      formatQuantiles(c.waitS),
+      formatQuantiles(c.finishS),
       c.restarts,
     ]);
   }
@@ -43,14 +48,14 @@
   const lines = [
     `${result.day}, seed ${result.seed}: ${result.simulatedS.toFixed(0)} s of simulated time`,
     table.toString(),
-    'waits and finishing times at the 50th / 95th / 99th percentile, in seconds from submission',
-    `money: ${money.spent.toFixed(2)} spent, ${money.price === null ? 'no useful work' : `${money.price.toFixed(2)} times what the useful work costs at the least`}`,
-    `machines: ${m.rented} rented, ${m.neverUp} never came up, ${m.takenBack} taken back, ${m.died} died`,
-    `state service: ${state.requests} requests, ${state.changes} changes, ${state.refused} refused for their rate`,
-    `controllers started ${result.controllerStarts} times`,
+    'times to the first start and to completion at the 50th / 95th / 99th percentile, in seconds since submission',
+    `cost: ${money.spent.toFixed(2)} spent, ${money.price === null ? 'no useful work' : `${money.price.toFixed(2)} times the lowest possible cost of the useful work`}`,
+    `machines: ${m.rented} rented, ${m.neverUp} never came up, ${m.takenBack} reclaimed, ${m.died} failed`,
+    `state service: ${state.requests} requests, ${state.changes} changes, ${state.refused} refused by the rate limit`,
+    `controller starts: ${result.controllerStarts}`,
     breaches.length === 0 ? 'rules: all kept' : `rules: ${breaches.length} broken`,
     ...breaches.slice(0, 20).map(({ rule, at, what }) => `  ${(at / 1000).toFixed(1)} s ${rule}: ${what}`),
-    servedText(result),
+    formatServedShares(result),
     ...failures.map((failure) => `the day fails: ${failure}`),
     ...defects.slice(0, 5).map((defect) => `defect: ${defect}`),
     `event log: ${result.events} lines, sha256 ${result.digest}`,
--- /dev/null
+++ b/packages/region/src/scale/fault-injection.ts
@@ -0,0 +1,103 @@
+/** Injects the troubles of a day into the processes and models of a scale run. */
+
+import { isObject, type Runtime } from '../../../../src/kernel/index.js';
+import type { SimulationScenario, Fault } from '../scenario/index.js';
+import type { RegionParts } from '../region-parts.js';
+import type { RandomStream } from '../sim/index.js';
+import { chooseMachines } from '../fault-injection.js';
+import type { ControllerProcesses } from './controller-processes.js';
+import { ScaleError } from './errors.js';
+import type { HollowFleet } from './hollow-fleet.js';
+
+/** Kinds of troubles that can be injected into real processes. */
+const SUPPORTED_FAULTS = new Set<Fault['kind']>([
+  'machines_restart',
+  'machines_die',
+  'zone_cut',
+  'controller_crash',
+  'controller_pause',
+  'state_outage',
+  'state_slow',
+  'burst',
+]);
+
+/**
+ * Checks that a scale run supports the machines and troubles of a day.
+ *
+ * @throws ScaleError that names the unsupported field.
+ */
+export function checkScaleDay(day: SimulationScenario): void {
+  const spotMachinesIndex = day.machines.findIndex((entry) => entry.spot);
+  if (spotMachinesIndex >= 0)
+    throw new ScaleError(`${day.name}: machines.${spotMachinesIndex}.spot: a scale run does not support spot machines`);
+  const spotCapacityIndex = day.capacity.findIndex((entry) => entry.spot > 0);
+  if (spotCapacityIndex >= 0)
+    throw new ScaleError(`${day.name}: capacity.${spotCapacityIndex}.spot: a scale run does not support spot machines`);
+  const unsupportedIndex = day.troubles.findIndex(({ kind }) => !SUPPORTED_FAULTS.has(kind));
+  const trouble = day.troubles[unsupportedIndex];
+  if (trouble)
+    throw new ScaleError(
+      `${day.name}: troubles.${unsupportedIndex}.kind: a scale run does not support ${trouble.kind}`,
+    );
+}
+
+/** What faults are injected into. */
+export interface FaultTargets {
+  readonly day: SimulationScenario;
+  readonly parts: RegionParts;
+  readonly fleet: HollowFleet;
+  readonly controllers: ControllerProcesses;
+  readonly runtime: Runtime;
+  readonly rng: RandomStream;
+}
+
+/** Returns the names of the controllers that a trouble means; none if there is no leader now. */
+function targetControllers({ parts, controllers }: FaultTargets, which: number | 'leader' | 'all'): string[] {
+  const names = controllers.seats.map(({ name }) => name);
+  if (which === 'all') return names;
+  if (which !== 'leader') return names.slice(which, which + 1);
+  const leader = parts.state.get('live/leader');
+  return isObject(leader) && typeof leader['node'] === 'string' ? [leader['node']] : [];
+}
+
+/** Begins a trouble and schedules its end. A zone cut only disconnects the workers of the zone; its controllers stay reachable. */
+export function injectFault(trouble: Fault, targets: FaultTargets): void {
+  const { day, parts, fleet, controllers, runtime, rng } = targets;
+  const schedule = (seconds: number, action: () => void): void => void runtime.after(seconds * 1000, action);
+  switch (trouble.kind) {
+    case 'machines_restart':
+      for (const { id } of chooseMachines(parts.cloud.up, rng, trouble))
+        fleet.applyFault(id, 'restart', trouble.down_s);
+      break;
+    case 'machines_die':
+      for (const machine of chooseMachines(parts.cloud.up, rng, trouble)) parts.cloud.failMachine(machine);
+      break;
+    case 'zone_cut': {
+      const cutMachines = parts.cloud.up.filter(({ zone }) => zone === trouble.zone);
+      for (const { id } of cutMachines) fleet.applyFault(id, 'cut');
+      schedule(trouble.for_s, () => cutMachines.forEach(({ id }) => fleet.applyFault(id, 'heal')));
+      break;
+    }
+    case 'controller_crash':
+      for (const name of targetControllers(targets, trouble.controller))
+        controllers.crash(name, trouble.down_s ?? day.controllers.restart_s);
+      break;
+    case 'controller_pause':
+      for (const name of targetControllers(targets, trouble.controller)) controllers.pause(name, trouble.for_s);
+      break;
+    case 'state_outage':
+      parts.state.setOutage(true);
+      schedule(trouble.for_s, () => parts.state.setOutage(false));
+      break;
+    case 'state_slow':
+      parts.state.slowness = trouble.times;
+      schedule(trouble.for_s, () => (parts.state.slowness = 1));
+      break;
+    case 'burst':
+      parts.users.setArrivalFactor(trouble.class, trouble.times);
+      schedule(trouble.for_s, () => parts.users.setArrivalFactor(trouble.class, 1));
+      break;
+    default:
+      throw new ScaleError(`a scale run does not support ${trouble.kind}`);
+  }
+}
--- a/packages/whatif/src/night/index.ts
+++ b/packages/whatif/src/night/index.ts
@@ -1,6 +1,13 @@
-export { DEAD_S } from './deaths.js';
-export type { NightFacts } from './facts.js';
-export { kindOf, readNight, type JobSeen, type MachineSeen, type Night } from './night.js';
-export { outcomesOf, type Outcome } from './outcome.js';
-export { knownRuns, RunFits, type KnownRuns } from './runs.js';
-export { capacityFor, JOIN_S, scenarioOf, type PlayedJob, type PlayedMachine, type Scenario } from './scenario.js';
+export { SILENT_MACHINE_MARGIN_S } from './machine-deaths.js';
+export type { PlatformFacts } from './platform-facts.js';
+export { kindKeyOf, readNight, type RecordedJob, type RecordedMachine, type Night } from './night.js';
+export { jobOutcomes, type JobOutcome } from './outcome.js';
+export { deriveRunTimes, RunTimeModel, type RecordedRunTimes } from './run-times.js';
+export {
+  cloudCapacity,
+  JOIN_DELAY_S,
+  buildScenario,
+  type ScenarioJob,
+  type ScenarioMachine,
+  type Scenario,
+} from './scenario.js';
--- a/packages/whatif/src/replay/index.ts
+++ b/packages/whatif/src/replay/index.ts
@@ -1,3 +1,3 @@
-export { playDecisions } from './decisions.js';
-export type { Played, ReplayOptions, Standing } from './engine.js';
-export { playWhole, recordRegion } from './whole.js';
+export { replayWithDecisions } from './decision-replay.js';
+export type { ReplayResult, ReplayOptions, TimelineSample } from './replay-result.js';
+export { replayWithControllers, recordRegion } from './controller-replay.js';
--- a/test/formats.test.ts
+++ b/test/formats.test.ts
@@ -16,7 +16,7 @@
 import { decodeShard, encodeShard, type ShardValue } from '../src/membership/index.js';
 import { formatVersionOf, LIVE_PREFIX, Mirror, SETTINGS_KEY, StateClient } from '../src/state/index.js';
 import { spec } from './standins/jobs.js';
-import { Lab } from '../packages/region/test/lab.js';
+import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const asStored = (value: unknown): Record<string, unknown> =>
   JSON.parse(JSON.stringify(value)) as Record<string, unknown>;
@@ -83,21 +83,21 @@
 });
 
 test('settings of a later release are not overwritten, and the last known settings stay in force', async () => {
-  const lab = new Lab();
+  const lab = new SimulationHarness();
   const { model, at } = lab.state();
   const runtime = lab.process('10.0.0.1');
   const client = new StateClient(at, { rps: 100, writeRps: 100 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const store = new SettingsStore(client, mirror, runtime);
-  const changed = await lab.settle(store.change((s) => markMachine(s, 'm-1', 'cordon')));
+  const changed = await lab.runUntilSettled(store.change((s) => markMachine(s, 'm-1', 'cordon')));
   assert.equal(changed.kind, 'stored');
   assert.ok(store.current.cordoned.has('m-1'));
   const later = { v: 2, marks: [['m-1', 'cordon']] };
   model.put(SETTINGS_KEY, later);
   mirror.apply({ key: SETTINGS_KEY, value: later, removed: false, version: revision(model.revision) });
   assert.ok(store.current.cordoned.has('m-1'));
-  assert.equal((await lab.settle(store.change((s) => markMachine(s, 'm-1', 'uncordon')))).kind, 'foreign');
-  assert.equal((await lab.settle(store.read())).kind, 'foreign');
+  assert.equal((await lab.runUntilSettled(store.change((s) => markMachine(s, 'm-1', 'uncordon')))).kind, 'foreign');
+  assert.equal((await lab.runUntilSettled(store.read())).kind, 'foreign');
   assert.deepEqual(model.get(SETTINGS_KEY), later);
 });
 
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -30,7 +30,7 @@
 import { decodeMessage, encodeMessage, frameVersionHasKind } from '../src/peers/index.js';
 import { revision } from '../src/kernel/index.js';
 import { ROLLOUT_STATE_KEY, shardKey, type Entry } from '../src/state/index.js';
-import { Luck } from '../packages/region/src/index.js';
+import { RandomStream } from '../packages/region/src/index.js';
 import { QuotaSimulation, type OmittedSafeguard } from './standins/quota-simulation.js';
 import { spec } from './standins/jobs.js';
 
@@ -220,7 +220,7 @@
 
 /** Simulates controllers that share a limit, with a random order of events and optionally without one safeguard. */
 async function runInterleaved(seed: number, omitted: OmittedSafeguard, steps = 500): Promise<Run> {
-  const luck = new Luck(seed, 'quotas');
+  const luck = new RandomStream(seed, 'quotas');
   const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, omitted);
   const ran = new Set<ShardName>();
   let most = 0;
@@ -256,7 +256,7 @@
 
 test('model: after a limit is lowered below the current use, nothing starts until the use fits', async () => {
   for (let seed = 1; seed <= 10; seed++) {
-    const luck = new Luck(seed, 'lowered');
+    const luck = new RandomStream(seed, 'lowered');
     const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
     for (let i = 0; i < 250; i++) await world.tick();
     const lower = 5;
@@ -273,7 +273,7 @@
 
 test('model: tasks that ran in several shards before limits were divided are counted before any share is given away', async () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const luck = new Luck(seed, 'accounts');
+    const luck = new RandomStream(seed, 'accounts');
     const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
     world.startWithUse([5, 6, 1]);
     for (let i = 0; i < 400; i++) {
