--- a/src/cancellation/cancellation-propagator.ts
+++ b/src/cancellation/cancellation-propagator.ts
@@ -25,7 +25,7 @@
 } from './holder-mode.js';
 import {
   unacknowledgedHolders,
-  type ShardHolder,
+  type StoredShardHolder,
   type IncarnationQueries,
   type UnacknowledgedHolder,
 } from './unacknowledged-holders.js';
@@ -66,7 +66,7 @@
   readonly peers: Pick<PeerTransport, 'send' | 'statusOf'>;
   /** Reports whether all controllers take part in acknowledged cancellations. */
   enabled(): boolean;
-  /** When this node's lease was last renewed at a time at which nobody could have claimed its shards. */
+  /** Latest time for which a lease renewal proves that no other node can have claimed this node's shards. */
   leaseRenewedAt(): Millis;
   /** The shards that this node holds, each with the revision of its claim. */
   held(): Iterable<readonly [ShardName, Revision]>;
@@ -188,7 +188,7 @@
     return unacknowledged;
   }
 
-  private *shardHolders(): Iterable<ShardHolder> {
+  private *shardHolders(): Iterable<StoredShardHolder> {
     for (const [shard, { value }] of this.deps.directory.all) {
       const { holder, incarnation, released } = value;
       yield { shard, holder, incarnation, released };
@@ -372,16 +372,16 @@
   }
 
   private logModeChange(now: Millis): void {
-    const { holderMode: standing } = this;
-    if (standing === this.loggedMode) return;
+    const { holderMode } = this;
+    if (holderMode === this.loggedMode) return;
     const silentMs = Math.round(now - this.ownershipConfirmedAt);
     const text = {
       all: 'this holder is reassured again: it starts and answers',
       answers: 'neither the state service nor enough controllers are heard: this holder starts nothing',
       nothing: 'neither the state service nor enough controllers are heard: this holder answers no worker',
     };
-    this.deps.log[standing === 'all' ? 'info' : 'warn']({ silentMs }, text[standing]);
-    this.loggedMode = standing;
+    this.deps.log[holderMode === 'all' ? 'info' : 'warn']({ silentMs }, text[holderMode]);
+    this.loggedMode = holderMode;
   }
 
   /** Status for operators. */
--- a/src/cancellation/unacknowledged-holders.ts
+++ b/src/cancellation/unacknowledged-holders.ts
@@ -1,7 +1,7 @@
 import type { Incarnation, NodeName, ShardName } from '../kernel/index.js';
 
 /** The stored holder of a shard, read at or after the revision of the final record that is being propagated. */
-export interface ShardHolder {
+export interface StoredShardHolder {
   readonly shard: ShardName;
   /** The node that holds the shard. */
   readonly holder: NodeName;
@@ -40,7 +40,7 @@
  * holder has stopped: it continues until another node has claimed the shard.
  */
 export function unacknowledgedHolders(
-  shards: Iterable<ShardHolder>,
+  shards: Iterable<StoredShardHolder>,
   queries: IncarnationQueries,
 ): UnacknowledgedHolder[] {
   const unacknowledged: UnacknowledgedHolder[] = [];
--- a/src/holder/block-members.ts
+++ b/src/holder/block-members.ts
@@ -3,8 +3,11 @@
 import type { HolderDeps } from './deps.js';
 import type { HeldMachine } from './held-machine.js';
 
-/** Time within which a machine that this holder has given up is deleted and removed from the block. */
-const GIVEN_UP_VALID_MS = 30_000;
+/**
+ * A removal from the block within this time after this holder reported the machine as lost proves that the leader has
+ * deleted it.
+ */
+const LOSS_REPORT_VALID_MS = 30_000;
 /** Report intervals after which the new holder of a missing machine has stopped the tasks that it does not know. */
 const REPORTS_UNTIL_STOPPED = 2;
 /** Maximum number of machines named in a log line. */
@@ -14,13 +17,14 @@
 type DepartureProof = 'nothing is there' | 'given up and deleted';
 
 /**
- * Returns null when tasks may still run on the machine. Its absence from the block proves nothing, as the writer of the
- * block may have seen an older version. `known`: the tasks that an earlier holder had there are known.
+ * Returns why no task of this shard can run on the machine any more, or null when tasks may still run there. Absence
+ * from the block proves nothing, as the writer of the block may have seen an older version. `fenced`: the tasks that a
+ * previous holder had there are known.
  */
-function departureProof(machine: HeldMachine, known: boolean, now: Millis): DepartureProof | null {
-  if (known && machine.belief.empty) return 'nothing is there';
-  const { givenUpAt } = machine;
-  return givenUpAt !== null && now - givenUpAt < GIVEN_UP_VALID_MS ? 'given up and deleted' : null;
+function departureProof(machine: HeldMachine, fenced: boolean, now: Millis): DepartureProof | null {
+  if (fenced && machine.tracker.empty) return 'nothing is there';
+  const { reportedLostAt } = machine;
+  return reportedLostAt !== null && now - reportedLostAt < LOSS_REPORT_VALID_MS ? 'given up and deleted' : null;
 }
 
 /**
@@ -28,7 +32,7 @@
  * stopped the tasks that it does not know.
  */
 export const missingMachineEmptyAt = (machine: HeldMachine, leaseMs: number, reportMs: number): Millis =>
-  millis(machine.belief.leaseExpiresAt(leaseMs) + REPORTS_UNTIL_STOPPED * reportMs);
+  millis(machine.tracker.leaseExpiresAt(leaseMs) + REPORTS_UNTIL_STOPPED * reportMs);
 
 /** Key and revision of a change in the state service that adds or removes machines. */
 export interface ChangeSource {
@@ -48,10 +52,10 @@
 export interface BlockMemberHooks {
   /** Creates the state of a machine that joins the block. `base` is the revision that its fencing tokens start from. */
   createMachine(info: BlockMachine, base: Revision): HeldMachine;
-  /** Whether the tasks that earlier holders started on the machine are known. */
+  /** Whether the tasks that previous holders started on the machine are known. */
   isFenced(machine: HeldMachine): boolean;
   /** Called when the machine leaves this holder and no task of the shard is on it. */
-  release(machine: HeldMachine, why: string): void;
+  onMachineDeparted(machine: HeldMachine, why: string): void;
 }
 
 /**
@@ -72,13 +76,13 @@
   /** Returns a machine if it is in the block. */
   findPresent(id: MachineId): HeldMachine | undefined {
     const machine = this.machines.get(id);
-    return machine?.missing === true ? undefined : machine;
+    return machine?.isMissing === true ? undefined : machine;
   }
 
   /** Number of machines that are not in the block but may still run tasks of this shard. */
   get missing(): number {
     let missing = 0;
-    for (const machine of this.machines.values()) if (machine.missing) missing += 1;
+    for (const machine of this.machines.values()) if (machine.isMissing) missing += 1;
     return missing;
   }
 
@@ -88,16 +92,17 @@
   }
 
   /** Applies the block as it is stored now. */
-  follow(value: ShardValue, source: ChangeSource): void {
+  applyStored(value: ShardValue, source: ChangeSource): void {
     const wanted = new Set(value.machines.map(({ id }) => id));
     const { joined, back } = this.addMachines(value.machines, source.revision);
-    const { left, gone } = this.removeMachines(wanted);
+    const { departed, missing } = this.removeMachines(wanted);
     this.logChange(source, joined, 'machines have joined the block');
     this.logChange(source, back, 'machines that were missing are back in the block');
-    for (const [why, machines] of left) this.logChange({ ...source, why }, machines, 'machines have left the block');
+    for (const [why, machines] of departed)
+      this.logChange({ ...source, why }, machines, 'machines have left the block');
     this.logChange(
       source,
-      gone,
+      missing,
       'machines are missing from the block: their tasks count as running until their leases expire',
     );
   }
@@ -111,7 +116,7 @@
     for (const info of infos) {
       const machine = this.machines.get(info.id);
       if (!machine) joined.push(countTasks(this.join(info, revision)));
-      else if (machine.missing) back.push(countTasks(this.rejoin(machine, revision)));
+      else if (machine.isMissing) back.push(countTasks(this.rejoin(machine, revision)));
     }
     return { joined, back };
   }
@@ -127,35 +132,35 @@
 
   /** Takes back a machine that was missing, with tokens above all that other holders used for it in between. */
   private rejoin(machine: HeldMachine, revision: Revision): HeldMachine {
-    machine.missing = false;
-    machine.belief.rebaseToken(revision);
+    machine.isMissing = false;
+    machine.tracker.rebaseToken(revision);
     return machine;
   }
 
   /** Removes machines that are no longer in the block, or marks them as missing if tasks may still run there. */
   private removeMachines(wanted: ReadonlySet<MachineId>): {
-    readonly left: ReadonlyMap<DepartureProof, MachineTaskCount[]>;
-    readonly gone: MachineTaskCount[];
+    readonly departed: ReadonlyMap<DepartureProof, MachineTaskCount[]>;
+    readonly missing: MachineTaskCount[];
   } {
     const now = this.deps.runtime.now();
-    const left = new Map<DepartureProof, MachineTaskCount[]>();
-    const gone: MachineTaskCount[] = [];
+    const departed = new Map<DepartureProof, MachineTaskCount[]>();
+    const missing: MachineTaskCount[] = [];
     for (const [id, machine] of this.machines) {
-      if (wanted.has(id) || machine.missing) continue;
+      if (wanted.has(id) || machine.isMissing) continue;
       const proof = departureProof(machine, this.hooks.isFenced(machine), now);
-      const departed = countTasks(machine);
+      const counted = countTasks(machine);
       if (proof === null) {
-        machine.missing = true;
+        machine.isMissing = true;
         machine.leaving = null;
-        gone.push(departed);
+        missing.push(counted);
         continue;
       }
-      const list = left.get(proof);
-      if (list) list.push(departed);
-      else left.set(proof, [departed]);
+      const list = departed.get(proof);
+      if (list) list.push(counted);
+      else departed.set(proof, [counted]);
       this.drop(machine, 'machine gone');
     }
-    return { left, gone };
+    return { departed, missing };
   }
 
   /** Removes a missing machine after its lease: no task of this shard can run there any more. */
@@ -165,8 +170,8 @@
   }
 
   private drop(machine: HeldMachine, why: string): void {
-    machine.belief.expireLease();
-    this.hooks.release(machine, why);
+    machine.tracker.expireLease();
+    this.hooks.onMachineDeparted(machine, why);
     machine.commandSender.close();
     this.machines.delete(machine.id);
   }
--- a/src/holder/booking.ts
+++ b/src/holder/booking.ts
@@ -40,7 +40,7 @@
 
 /** Computes the booking of a machine from the tasks that may be on it. Pure: depends on the arguments alone. */
 export function bookingOf(
-  belief: WorkerTracker,
+  tracker: WorkerTracker,
   type: MachineType,
   runOf: (id: JobId) => JobRun | undefined,
   now: Millis,
@@ -48,7 +48,7 @@
   let [cpus, gpus, memoryGb] = [type.cpus, type.gpus, type.memoryGb];
   let [yieldCpus, yieldMemoryGb] = [0, 0];
   let known = true;
-  let inUse = type.gpus > 0 ? belief.pendingStarts.size > 0 : !belief.empty;
+  let inUse = type.gpus > 0 ? tracker.pendingStarts.size > 0 : !tracker.empty;
   const fetching = new Set<string>();
   const running: PreemptableTask[] = [];
   const deduct = (task: Pick<ListedTask, 'job' | 'index'> | null, listed: boolean, isFetching: boolean): void => {
@@ -67,7 +67,7 @@
     if (isFetching) fetching.add(spec.image);
     if (spec.kind !== 'array' && !run.ended) return;
     const active = run.active.get(task.index);
-    const stoppable = {
+    const preemptable = {
       job: run.id,
       index: task.index,
       priority: spec.priority,
@@ -77,21 +77,21 @@
       lossS: preemptionLossS(spec, active, now),
       stopping: run.ended || active?.stopping != null,
     };
-    running.push(stoppable);
+    running.push(preemptable);
     if (spec.priority < Priority.production) {
       yieldCpus += spec.cpus;
       yieldMemoryGb += spec.memoryGb;
     }
   };
-  for (const listed of belief.tasks.values()) {
+  for (const listed of tracker.tasks.values()) {
     if (listed.state !== 'exited') deduct(listed, true, listed.state === 'fetching');
   }
-  for (const key of belief.pendingStarts.keys()) {
-    const listed = belief.tasks.get(key);
+  for (const key of tracker.pendingStarts.keys()) {
+    const listed = tracker.tasks.get(key);
     if (!listed || listed.state === 'exited') deduct(parseTaskKey(key), false, false);
   }
   return {
-    generation: belief.generation,
+    generation: tracker.generation,
     type,
     at: now,
     freeCpus: known ? cpus : 0,
--- a/src/holder/deps.ts
+++ b/src/holder/deps.ts
@@ -21,7 +21,7 @@
 import type { Trail } from '../trail/index.js';
 
 /** Settings that operators change at run time: straggler tunables, cordoned machines and drained machines. */
-export interface OperatorView {
+export interface OperatorSettingsView {
   readonly tunables: Tunables;
   readonly cordoned: ReadonlySet<string>;
   readonly drained: ReadonlySet<string>;
@@ -45,8 +45,8 @@
   /** Known machine types, by name. */
   types(): ReadonlyMap<string, MachineType>;
   /** Current operator settings. */
-  operator(): OperatorView;
-  /** Earliest time at which another node can have claimed this node's shards. */
+  operator(): OperatorSettingsView;
+  /** Latest time for which it is proven that no other node can have claimed this node's shards. */
   exclusiveUntil(): Millis;
   /**
    * True while no other node can have claimed this node's shards, not even by a claim that the watch has yet to show.
--- a/src/holder/evictions.ts
+++ b/src/holder/evictions.ts
@@ -1,4 +1,4 @@
-import type { HeldShard } from './held-shard.js';
+import type { HeldShardState } from './held-shard.js';
 import type { JobSpec } from '../jobs/index.js';
 import { jobId, type Millis } from '../kernel/index.js';
 import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../speculation/index.js';
@@ -20,7 +20,7 @@
  * machines.
  */
 export class TaskEvictor {
-  constructor(private readonly held: HeldShard) {}
+  constructor(private readonly held: HeldShardState) {}
 
   /** Stops tasks on drained machines and on those that the cloud provider reclaims after a notice. */
   evictForDrainsAndNotices(now: Millis): void {
@@ -51,7 +51,7 @@
     for (const machine of this.held.machines.values()) {
       const b = this.held.bookingOf(machine, now);
       if (b?.known) booked.push({ cpu: 1 - b.freeCpus / b.type.cpus, memory: 1 - b.freeMemoryGb / b.type.memoryGb });
-      if (now - machine.belief.lastMessageAt > 2 * this.held.deps.settings.workers.reportMs) late.add(machine.id);
+      if (now - machine.tracker.lastMessageAt > 2 * this.held.deps.settings.workers.reportMs) late.add(machine.id);
     }
     const r = resourceTerm(booked, tunables);
     const flags: StragglerFlag[] = [];
--- a/src/holder/exits.ts
+++ b/src/holder/exits.ts
@@ -11,7 +11,7 @@
   /** Requests a reconcile round with a new placement plan. */
   requestReplan(): void;
   /** Records that a task is no longer on its machine. */
-  release(machine: HeldMachine, run: JobRun, active: ActiveTask, why: string): void;
+  recordAttemptGone(machine: HeldMachine, run: JobRun, active: ActiveTask, why: string): void;
 }
 
 /**
@@ -30,8 +30,8 @@
   const { index } = listed;
   if (listed.why === 'done' && run.markDone(index)) {
     machine.noteImage(spec.image);
-    // The run time of an adopted task is measured too short and would make all later tasks look slow: half a minute
-    // after a restart, there were stragglers everywhere, and healthy machines were marked faulty and returned.
+    // The start time of an adopted task is not known, so its run time comes out too short. Counting it made later tasks
+    // look like stragglers half a minute after a restart, and healthy machines were marked faulty and returned.
     if (active?.runningAt != null && !active.adopted && spec.kind === 'array') {
       const ranS = (now - active.runningAt) / 1000;
       const medianRunS = run.medianRunS;
@@ -43,16 +43,16 @@
   if (listed.why === 'error') recordFailure(held, machine, run, index, now);
   if (listed.why === 'no-room' || listed.why === 'busy') machine.cooldownUntil = millis(now + 1000);
   if (listed.why === 'unknown') run.notBefore = millis(now + 1000);
-  if (active) held.release(machine, run, active, listed.why ?? 'exited');
+  if (active) held.recordAttemptGone(machine, run, active, listed.why ?? 'exited');
 }
 
 /** Attributes a failure to the machine or the job. A job that fails on several machines counts against none of them. */
 function recordFailure(held: ExitContext, machine: HeldMachine, run: JobRun, index: number, now: Millis): void {
   const { log, runtime, trail } = held.deps;
-  const before = run.failsEverywhere;
+  const failedEverywhereBefore = run.failsEverywhere;
   run.noteError(machine.id, now, runtime.random());
   if (run.failsEverywhere) {
-    if (before) return;
+    if (failedEverywhereBefore) return;
     for (const id of run.errorMachines) held.machines.get(id)?.clearFailuresOf(run.id);
     log.info(
       { job: run.id, machines: [...run.errorMachines] },
@@ -60,10 +60,10 @@
     );
     return;
   }
-  const known = machine.faulty(now);
+  const wasFaulty = machine.faulty(now);
   machine.noteFailure(run.id, now);
   log.debug({ job: run.id, index, machine: machine.id }, 'task failed');
-  if (known || !machine.faulty(now)) return;
+  if (wasFaulty || !machine.faulty(now)) return;
   trail?.record({ kind: 'faulty', machine: machine.id });
   log.info({ machine: machine.id, job: run.id }, 'tasks keep failing on this machine: no new tasks are placed there');
 }
--- a/src/holder/forget-orders.ts
+++ b/src/holder/forget-orders.ts
@@ -17,9 +17,9 @@
   isUnmanaged: (id: JobId) => boolean,
 ): Order[] {
   const orders: Order[] = [];
-  let sendNow = machine.belief.empty;
-  for (const [key, listed] of machine.belief.tasks) {
-    if (listed.state !== 'exited' || machine.belief.pendingStarts.has(key)) continue;
+  let sendNow = machine.tracker.empty;
+  for (const [key, listed] of machine.tracker.tasks) {
+    if (listed.state !== 'exited' || machine.tracker.pendingStarts.has(key)) continue;
     const run = findRun(listed.job);
     const kept =
       isUnmanaged(listed.job) || (listed.why === 'done' && run && !run.ended && !run.stored.has(listed.index));
--- a/src/holder/grouped-progress.ts
+++ b/src/holder/grouped-progress.ts
@@ -1,11 +1,14 @@
 import { encodeGroupedProgress, groupedProgressBytes, groupedProgressWriter } from '../jobs/index.js';
 import { millis, type BitSet, type JobId, type Millis } from '../kernel/index.js';
 import { progressKey, reread, Urgency, type Change, type Guard } from '../state/index.js';
-import type { HeldShard } from './held-shard.js';
+import type { HeldShardState } from './held-shard.js';
 import { applyGroupedProgress } from './apply-grouped-progress.js';
 import type { JobRun } from './job-run.js';
 
-/** A write of the group is one change for any number of jobs. At 1000 ms it took more changes than 30 jobs' records. */
+/**
+ * A write of the group is one change for any number of jobs. With 1000 ms, the group used more of the write rate than
+ * the separate records of 30 jobs.
+ */
 const GROUP_WRITE_INTERVAL_MS = 2000;
 /** Larger jobs keep their progress in their own records, as each write of the group contains all of it. */
 const MAX_TASKS_PER_GROUPED_JOB = 4000;
@@ -28,19 +31,19 @@
 /** Selects the jobs whose progress goes into the group, oldest first, up to `maxBytes`. Pure. */
 export function planGroupedProgress(runs: Iterable<JobRun>, maxBytes: number): GroupPlan {
   const jobs = new Map<JobId, BitSet>();
-  const own = new Set<JobRun>();
+  const jobsForOwnRecord = new Set<JobRun>();
   let bytes = 0;
   for (const run of runs) {
     if (run.ended || run.complete || !isAheadOfRecord(run)) continue;
     const size = groupedProgressBytes(run.id, run.spec.tasks);
     if (run.spec.tasks > MAX_TASKS_PER_GROUPED_JOB || bytes + size > maxBytes) {
-      own.add(run);
+      jobsForOwnRecord.add(run);
       continue;
     }
     bytes += size;
     jobs.set(run.id, run.done);
   }
-  return { jobs, own };
+  return { jobs, own: jobsForOwnRecord };
 }
 
 /**
@@ -52,7 +55,7 @@
   private writing = false;
   private lastAttemptAt: Millis;
 
-  constructor(private readonly held: HeldShard) {
+  constructor(private readonly held: HeldShardState) {
     this.lastAttemptAt = millis(held.since - GROUP_WRITE_INTERVAL_MS);
   }
 
@@ -67,7 +70,7 @@
   }
 
   /** Runs one round and returns the test for jobs whose progress has to go into their own records. */
-  store(now: Millis): (run: JobRun) => boolean {
+  storeDue(now: Millis): (run: JobRun) => boolean {
     const { deps } = this.held;
     const due = !this.writing && now - this.lastAttemptAt >= GROUP_WRITE_INTERVAL_MS;
     if (!deps.grouped()) {
@@ -75,11 +78,11 @@
       return isAheadOfRecord;
     }
     if (!due || !this.anyUnstoredProgress) return this.needsOwnWrite;
-    const { jobs, own } = planGroupedProgress(
+    const { jobs, own: jobsForOwnRecord } = planGroupedProgress(
       this.held.jobs.values(),
       MAX_VALUE_FILL_RATIO * deps.state.limits.maxValueBytes,
     );
-    this.own = own;
+    this.jobsForOwnRecord = jobsForOwnRecord;
     // All new progress may belong to jobs that do not fit into the group.
     if (![...jobs.keys()].some((id) => hasUnstoredProgress(this.held.jobs.get(id)))) return this.needsOwnWrite;
     this.lastAttemptAt = now;
@@ -94,8 +97,9 @@
   }
 
   /** Jobs that did not fit into the last planned group. */
-  private own: ReadonlySet<JobRun> = new Set();
-  private readonly needsOwnWrite = (run: JobRun): boolean => this.own.has(run) && run.done.count > run.stored.count;
+  private jobsForOwnRecord: ReadonlySet<JobRun> = new Set();
+  private readonly needsOwnWrite = (run: JobRun): boolean =>
+    this.jobsForOwnRecord.has(run) && run.done.count > run.stored.count;
 
   /** Writes the group and marks its tasks as stored. */
   private async write(jobs: ReadonlyMap<JobId, BitSet>): Promise<void> {
--- a/src/holder/held-machine.ts
+++ b/src/holder/held-machine.ts
@@ -16,7 +16,7 @@
 
 /** State of one machine of the block on the node that holds the shard. */
 export class HeldMachine {
-  readonly belief: WorkerTracker;
+  readonly tracker: WorkerTracker;
   readonly commandSender: CommandSender;
   /** Tasks that this holder has started or adopted here. */
   readonly active = new Map<TaskKey, { readonly run: JobRun; readonly task: ActiveTask }>();
@@ -39,7 +39,7 @@
   /** No tasks are placed here before this time, after the worker refused one as full or busy. */
   cooldownUntil: Millis;
   /** Since when it is idle; see `Booking.inUse`. */
-  emptySince: Millis;
+  idleSince: Millis;
   /** It answers commands, but no report of it has arrived for longer than a lease. */
   unreporting = false;
   /** Its lease has expired and the worker has not reported since. */
@@ -49,9 +49,9 @@
   /** Whether the warning about such tasks has been logged. */
   leftoversLogged = false;
   /** When it was last reported as lost, which makes the leader delete it. */
-  givenUpAt: Millis | null = null;
+  reportedLostAt: Millis | null = null;
   /** It is no longer in the block, but tasks of this shard may still run on it. */
-  missing = false;
+  isMissing = false;
   /**
    * Set when it is to leave the block (`to` null: to be returned): it gets no new tasks. `since` is -1 once that is
    * being written.
@@ -63,16 +63,16 @@
     base: Revision,
     runtime: Runtime,
     log: Logger,
-    mentions: TaskIndexListener,
+    taskIndex: TaskIndexListener,
     hooks: CommandSenderHooks,
     sockets: SocketBudget,
   ) {
     const now = runtime.now();
-    this.belief = new WorkerTracker(base, now, { listener: mentions, machine: info.id });
-    this.commandSender = new CommandSender(info.id, this.belief, runtime, log, hooks, sockets);
+    this.tracker = new WorkerTracker(base, now, { listener: taskIndex, machine: info.id });
+    this.commandSender = new CommandSender(info.id, this.tracker, runtime, log, hooks, sockets);
     this.commandSender.setAddress(info.address);
     this.cooldownUntil = now;
-    this.emptySince = now;
+    this.idleSince = now;
   }
 
   get id(): MachineId {
--- a/src/holder/held-shard.ts
+++ b/src/holder/held-shard.ts
@@ -32,32 +32,32 @@
  * State of a shard on the node that holds it: its open jobs and its block of machines, with the desired state (from the
  * state service) and the observed state (from the workers). The components of `ShardHolder` reconcile the two.
  */
-export class HeldShard {
+export class HeldShardState {
   readonly members: BlockMembers;
   readonly jobs = new Map<JobId, JobRun>();
-  /** Machines by task and job: scanning a block instead would mean hundreds of machines and thousands of tasks. */
+  /** Index of machines by task and job, because a scan of a block would visit hundreds of machines and thousands of tasks. */
   readonly taskIndex = new TaskIndex();
   /** Ended jobs whose tasks may still be on a machine. */
   readonly endedRuns = new Set<JobRun>();
   /** Jobs whose records only a later release can read: their running tasks are left running, and none is started. */
-  private readonly foreign = new Set<JobId>();
+  private readonly unreadableJobs = new Set<JobId>();
   /**
    * Jobs whose dependencies are not known to be done. After a claim their tasks may nevertheless be running, started by
-   * the earlier holder, so listed tasks are left running.
+   * the previous holder, so listed tasks are left running.
    */
   readonly waiting = new Set<JobId>();
   /** Machines that list tasks which have to be stopped. */
   readonly machinesWithStops = new Set<HeldMachine>();
   /** Whether something that the placement plan depends on has changed since the last plan. */
-  replan = true;
+  planOutdated = true;
   /** Machines of the block at the claim that have not acknowledged this holder's token: they may run unknown tasks. */
   readonly unfencedMachines = new Set<MachineId>();
-  /** When all earlier holders were known to have stopped sending commands; null while one may still send them. */
-  predecessorsStoppedAt: Millis | null;
-  /** Earlier holders that may still command workers. */
-  readonly earlier: Map<NodeName, PreviousHolder>;
+  /** When all previous holders were known to have stopped sending commands; null while one may still send them. */
+  previousHoldersStoppedAt: Millis | null;
+  /** Previous holders that may still command workers. */
+  readonly previousHolders: Map<NodeName, PreviousHolder>;
   /** Set while the shard is being released: no rounds run, and reports are refused. */
-  frozen = false;
+  releasing = false;
   /** When this node took over the shard, on its own clock. */
   readonly since: Millis;
   /** Set once this node no longer holds the shard. */
@@ -74,13 +74,13 @@
   ) {
     const now = deps.runtime.now();
     this.since = now;
-    this.earlier = new Map(previous.map((holder) => [holder.node, holder]));
-    this.predecessorsStoppedAt = previous.length === 0 ? now : null;
+    this.previousHolders = new Map(previous.map((holder) => [holder.node, holder]));
+    this.previousHoldersStoppedAt = previous.length === 0 ? now : null;
     this.members = new BlockMembers(shard, claimedAt, deps, {
       createMachine: (info, base) => this.createMachine(info, base),
       isFenced: (machine) => !this.unfencedMachines.has(machine.id),
-      release: (machine, why) => {
-        this.releaseAll(machine, why);
+      onMachineDeparted: (machine, why) => {
+        this.recordAllAttemptsGone(machine, why);
         this.markFenced(machine.id);
         this.machinesWithStops.delete(machine);
       },
@@ -104,20 +104,21 @@
   }
 
   /**
-   * Records that an earlier holder no longer commands workers. After the last one, unanswered workers' leases count
+   * Records that a previous holder no longer commands workers. After the last one, unanswered workers' leases count
    * from now.
    */
   confirmStopped(node: NodeName): void {
-    if (!this.earlier.delete(node) || this.earlier.size > 0 || this.predecessorsStoppedAt !== null) return;
+    if (!this.previousHolders.delete(node) || this.previousHolders.size > 0 || this.previousHoldersStoppedAt !== null)
+      return;
     const now = this.deps.runtime.now();
-    this.predecessorsStoppedAt = now;
-    for (const id of this.unfencedMachines) this.machines.get(id)?.belief.answered(now);
-    this.deps.log.info({ shard: this.shard }, 'all earlier holders are known to have stopped');
+    this.previousHoldersStoppedAt = now;
+    for (const id of this.unfencedMachines) this.machines.get(id)?.tracker.recordLeaseRenewal(now);
+    this.deps.log.info({ shard: this.shard }, 'all previous holders are known to have stopped');
   }
 
-  /** Earlier holders that must be known to have stopped before a silent worker's lease can be considered expired. */
+  /** Previous holders that must be known to have stopped before a silent worker's lease can be considered expired. */
   get unconfirmedHolders(): PreviousHolder[] {
-    return this.unfencedMachines.size > 0 ? [...this.earlier.values()] : [];
+    return this.unfencedMachines.size > 0 ? [...this.previousHolders.values()] : [];
   }
 
   /** Records that nothing unknown can run on the machine any more. */
@@ -135,7 +136,7 @@
 
   /** Handles a change of the shard's stored machines. */
   onShard(value: ShardValue, source: ChangeSource): void {
-    this.members.follow(value, source);
+    this.members.applyStored(value, source);
     this.deps.requestRound();
   }
 
@@ -155,7 +156,7 @@
 
   /** Requests a reconcile round with a new placement plan. */
   requestReplan(): void {
-    this.replan = true;
+    this.planOutdated = true;
     this.deps.requestRound();
   }
 
@@ -169,7 +170,7 @@
   onJob(change: Change): void {
     const id = jobId(change.key.slice(JOBS_PREFIX.length));
     const run = this.jobs.get(id);
-    if (change.removed || !isNewerJobFormat(change.value)) this.foreign.delete(id);
+    if (change.removed || !isNewerJobFormat(change.value)) this.unreadableJobs.delete(id);
     else return this.ignoreUnreadableJob(id, run);
     if (change.removed || (isObject(change.value) && change.value['shard'] !== this.shard)) {
       this.onJobEnded(id);
@@ -220,8 +221,8 @@
 
   /** Stops managing a job whose record is in a format of a later release. */
   private ignoreUnreadableJob(id: JobId, run: JobRun | undefined): void {
-    if (this.foreign.has(id)) return;
-    this.foreign.add(id);
+    if (this.unreadableJobs.has(id)) return;
+    this.unreadableJobs.add(id);
     this.deps.log.error(
       { job: id },
       "job record has a format that this release can't read: its tasks are left as they are",
@@ -258,12 +259,12 @@
    * dependencies are not known to be done yet.
    */
   isUnmanaged(id: JobId): boolean {
-    return this.foreign.has(id) || this.waiting.has(id);
+    return this.unreadableJobs.has(id) || this.waiting.has(id);
   }
 
   /**
    * Handles that a job has ended. Ended jobs never reopen, so the record is not read again: a read that failed while
-   * the state service refused only this node would lose the peer's message for good (found by the region test `gap`).
+   * the state service refused only this node would lose the peer's message for good.
    */
   onJobEnded(id: JobId): void {
     const run = this.jobs.get(id);
@@ -286,46 +287,47 @@
     const now = this.deps.runtime.now();
     if (!machine || this.dropped) return { status: 421, body: encodeRedirect(null) };
     // The next holder counts the worker's lease from the write that hands the shard or the machine over.
-    if (this.frozen || (machine.leaving?.since ?? 0) < 0)
-      return { status: 503, body: { error: 'the shard changes hands' } };
+    if (this.releasing || (machine.leaving?.since ?? 0) < 0)
+      return { status: 503, body: { error: 'the shard or the machine is being handed over' } };
     // Another node may hold the shard by now, so this worker's lease must not be renewed.
-    if (this.deps.standing() === 'nothing') return { status: 503, body: { error: 'nobody is heard' } };
-    const { generation, fenced } = machine.belief;
-    const verdict = machine.belief.applyReport(message, now);
-    if (verdict === 'superseded') {
+    if (this.deps.standing() === 'nothing')
+      return { status: 503, body: { error: 'ownership of the shard is not confirmed' } };
+    const { generation, fenced } = machine.tracker;
+    const outcome = machine.tracker.applyReport(message, now);
+    if (outcome === 'superseded') {
       this.superseded(machine);
       return { status: 421, body: encodeRedirect(null) };
     }
     machine.commandSender.setAddress(message.address);
-    if (verdict === 'taken') {
+    if (outcome === 'applied') {
       const noticed = (message.noticeS === null) !== (machine.noticeUntil === null);
       machine.noticeUntil = message.noticeS === null ? null : millis(now + message.noticeS * 1000);
       if (noticed && message.noticeS !== null)
         this.deps.trail?.record({ kind: 'notice', machine: machine.id, leftS: message.noticeS });
-      if (generation !== machine.belief.generation || machine.lost || noticed || fenced !== machine.belief.fenced) {
+      if (generation !== machine.tracker.generation || machine.lost || noticed || fenced !== machine.tracker.fenced) {
         machine.lost = false;
         this.applyWorkerState(machine);
         this.requestReplan();
       }
-    } else if (message.session < machine.belief.session || !machine.belief.heard) {
-      return { status: 503, body: { error: 'an old report' } };
+    } else if (message.session < machine.tracker.session || !machine.tracker.hasMessage) {
+      return { status: 503, body: { error: 'the report is stale' } };
     }
     const leftovers = leftoverStops(this, machine, now);
-    if (leftovers === null) return { status: 503, body: { error: 'it lists tasks of jobs that are over' } };
-    machine.belief.answered(now);
+    if (leftovers === null) return { status: 503, body: { error: 'the worker lists tasks of ended jobs' } };
+    machine.tracker.recordLeaseRenewal(now);
     const forgotten = forgetOrders(machine, this.findRun, (id) => this.isUnmanaged(id));
-    return { status: 200, body: encodeReply(machine.belief.token, [...forgotten, ...leftovers]) };
+    return { status: 200, body: encodeReply(machine.tracker.token, [...forgotten, ...leftovers]) };
   }
 
-  /** Applies the tasks that a worker lists: progress, exits, and tasks that an earlier holder started. */
+  /** Applies the tasks that a worker lists: progress, exits, and tasks that a previous holder started. */
   private applyWorkerState(machine: HeldMachine): void {
     const now = this.deps.runtime.now();
-    if (machine.belief.fenced) this.markFenced(machine.id);
-    for (const [key, listed] of machine.belief.tasks) {
+    if (machine.tracker.fenced) this.markFenced(machine.id);
+    for (const [key, listed] of machine.tracker.tasks) {
       const run = this.jobs.get(listed.job);
       if (this.isUnmanaged(listed.job)) continue;
       if (!run) {
-        // The job was cancelled while the earlier holder was down, so only this holder can stop the task.
+        // The job was cancelled while the previous holder was down, so only this holder can stop the task.
         if (listed.state !== 'exited') this.machinesWithStops.add(machine);
         continue;
       }
@@ -339,7 +341,7 @@
       } else if (isCurrentAttempt) {
         this.onTaskState(machine, run, active, listed, now);
       } else if (!active && !run.done.has(listed.index)) {
-        // An earlier holder started this task: it is adopted and kept running.
+        // A previous holder started this task: it is adopted and kept running.
         const adopted: ActiveTask = {
           index: listed.index,
           machine: machine.id,
@@ -357,10 +359,10 @@
         this.machinesWithStops.add(machine);
     }
     for (const key of machine.processedExits.keys())
-      if (!machine.belief.tasks.has(key)) machine.processedExits.delete(key);
-    for (const key of machine.stopSentAt.keys()) if (!machine.belief.tasks.has(key)) machine.stopSentAt.delete(key);
+      if (!machine.tracker.tasks.has(key)) machine.processedExits.delete(key);
+    for (const key of machine.stopSentAt.keys()) if (!machine.tracker.tasks.has(key)) machine.stopSentAt.delete(key);
     for (const [key, { run, task }] of machine.active) {
-      if (!machine.belief.mayHaveTask(key)) this.release(machine, run, task, 'not there any more');
+      if (!machine.tracker.mayHaveTask(key)) this.recordAttemptGone(machine, run, task, 'not there any more');
     }
     this.bookingOf(machine, now);
   }
@@ -376,10 +378,10 @@
     const type = this.deps.types().get(machine.info.type);
     if (!type) return null;
     const known = machine.booking;
-    const current = known?.generation === machine.belief.generation && known.type === type;
+    const current = known?.generation === machine.tracker.generation && known.type === type;
     if (known && current && (now - known.at < BOOKING_VALID_MS || known.running.length === 0)) return known;
-    const booking = bookingOf(machine.belief, type, this.findRun, now);
-    if (booking.inUse || known?.inUse === true) machine.emptySince = now;
+    const booking = bookingOf(machine.tracker, type, this.findRun, now);
+    if (booking.inUse || known?.inUse === true) machine.idleSince = now;
     machine.booking = booking;
     return booking;
   }
@@ -388,7 +390,7 @@
 
   /** Whether tasks keep the machine from being idle; see `Booking.inUse`. */
   inUse(machine: HeldMachine): boolean {
-    return this.bookingOf(machine, this.deps.runtime.now())?.inUse ?? !machine.belief.empty;
+    return this.bookingOf(machine, this.deps.runtime.now())?.inUse ?? !machine.tracker.empty;
   }
 
   /** Updates a tracked attempt from what its worker lists. */
@@ -407,7 +409,7 @@
   }
 
   /** Records that an attempt is no longer on its machine. */
-  release(machine: HeldMachine, run: JobRun, active: ActiveTask, why: string): void {
+  recordAttemptGone(machine: HeldMachine, run: JobRun, active: ActiveTask, why: string): void {
     run.noteRunning(active, this.deps.runtime.now());
     run.active.delete(active.index);
     machine.active.delete(taskKey(run.id, active.index));
@@ -423,8 +425,8 @@
   }
 
   /** Records that none of the tracked tasks is on the machine any more. */
-  releaseAll(machine: HeldMachine, why: string): void {
-    for (const { run, task } of [...machine.active.values()]) this.release(machine, run, task, why);
+  recordAllAttemptsGone(machine: HeldMachine, why: string): void {
+    for (const { run, task } of [...machine.active.values()]) this.recordAttemptGone(machine, run, task, why);
   }
 
   /** Marks a task to be stopped; the next round sends the order. */
--- a/src/holder/job-run.ts
+++ b/src/holder/job-run.ts
@@ -24,7 +24,7 @@
   readonly attempt: Attempt;
   /** When the start was planned, or the task was adopted. */
   readonly orderedAt: Millis;
-  /** Whether an earlier holder started it. Its start time and so its run time are unknown. */
+  /** Whether a previous holder started it. Its start time and so its run time are unknown. */
   readonly adopted: boolean;
   /** State that its worker last listed; 'ordered' until then. */
   state: TaskState | 'ordered';
@@ -36,8 +36,8 @@
 
 /** How long a job avoids a machine on which a task of it failed or was restarted. */
 const AVOID_MACHINE_MS = 60_000;
-/** Number of machines on which a job has to fail before it is considered at fault. */
-const SUSPECT_AFTER_MACHINES = 3;
+/** Number of machines on which a job has to fail before the job itself is considered at fault. */
+const FAILS_EVERYWHERE_AFTER_MACHINES = 3;
 /** A task that ran this long shows that its job does not fail at the start. */
 const STABLE_RUN_MS = 10_000;
 /** Retry backoff of a job that fails on every machine. */
@@ -89,12 +89,12 @@
   lastMoveAttemptAt: Millis | null = null;
   /** Its completion is not written before this time, after a write that failed. */
   finishNotBefore: Millis;
-  /** All tasks with a lower index are done. */
-  private cursor = 0;
+  /** Lower bound of the first index that is not done: all tasks below it are done. */
+  private firstUndoneIndex = 0;
   /** Whether its dependents will miss their deadline unless it runs now: it then takes on their full priority. */
   usesInheritedPriority = false;
   /** The last result of `spec` and its inputs. */
-  private asked: {
+  private cachedSpec: {
     readonly inherited: InheritedConstraints;
     readonly stored: JobSpec;
     readonly usesInheritedPriority: boolean;
@@ -105,7 +105,7 @@
     public record: JobRecord,
     public version: Revision,
     /** Revision at which the job was created; rewrites and moves of the record keep it. */
-    readonly born: Revision,
+    readonly createdAtRevision: Revision,
     /** When this holder learned of the job. */
     readonly seenAt: Millis,
     private readonly pipelines: Pick<Pipelines, 'inherited' | 'readyAt'> = NO_PIPELINES,
@@ -125,15 +125,15 @@
   get spec(): JobSpec {
     const inherited = this.pipelines.inherited(this.id);
     if (!inherited) return this.record.spec;
-    const { asked, usesInheritedPriority } = this;
+    const { cachedSpec, usesInheritedPriority } = this;
     if (
-      asked?.inherited === inherited &&
-      asked.stored === this.record.spec &&
-      asked.usesInheritedPriority === usesInheritedPriority
+      cachedSpec?.inherited === inherited &&
+      cachedSpec.stored === this.record.spec &&
+      cachedSpec.usesInheritedPriority === usesInheritedPriority
     )
-      return asked.spec;
+      return cachedSpec.spec;
     const spec = withInheritedConstraints(this.record, inherited, usesInheritedPriority);
-    this.asked = { inherited, stored: this.record.spec, usesInheritedPriority, spec };
+    this.cachedSpec = { inherited, stored: this.record.spec, usesInheritedPriority, spec };
     return spec;
   }
 
@@ -185,7 +185,7 @@
    * while. Such a job is retried with backoff, and only with capacity that no other job needs.
    */
   get failsEverywhere(): boolean {
-    return !this.hasRunStably && this.errorMachines.size >= SUSPECT_AFTER_MACHINES && this.done.count === 0;
+    return !this.hasRunStably && this.errorMachines.size >= FAILS_EVERYWHERE_AFTER_MACHINES && this.done.count === 0;
   }
 
   /** Records that a task has run long enough to show that the job does not fail at the start. */
@@ -219,16 +219,16 @@
   /** The lowest task indices, at most `most`, that are neither done nor possibly on a machine. */
   ready(most: number): number[] {
     const { tasks } = this.spec;
-    while (this.cursor < tasks && this.done.has(this.cursor)) this.cursor += 1;
+    while (this.firstUndoneIndex < tasks && this.done.has(this.firstUndoneIndex)) this.firstUndoneIndex += 1;
     const ready: number[] = [];
-    for (let index = this.cursor; index < tasks && ready.length < most; index++) {
+    for (let index = this.firstUndoneIndex; index < tasks && ready.length < most; index++) {
       if (!this.done.has(index) && !this.active.has(index)) ready.push(index);
     }
     return ready;
   }
 
   /** Number of tasks that are neither done nor possibly on a machine. */
-  get missing(): number {
+  get unstartedCount(): number {
     return this.spec.tasks - this.done.count - this.active.size;
   }
 
--- a/src/holder/leftover-stops.ts
+++ b/src/holder/leftover-stops.ts
@@ -20,7 +20,7 @@
  */
 export function leftoverStops(held: LeftoverContext, machine: HeldMachine, now: Millis): Order[] | null {
   const orders: Order[] = [];
-  for (const [key, { job, attempt, state }] of held.machinesWithStops.has(machine) ? machine.belief.tasks : []) {
+  for (const [key, { job, attempt, state }] of held.machinesWithStops.has(machine) ? machine.tracker.tasks : []) {
     if (state !== 'exited' && !held.isUnmanaged(job) && held.jobs.get(job)?.ended !== false)
       orders.push({ op: 'stop', key, attempt, graceS: 0 });
   }
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -1,4 +1,4 @@
-import type { HeldShard } from './held-shard.js';
+import type { HeldShardState } from './held-shard.js';
 import type { RecordStore } from './record-store.js';
 import { encodeJobRecord } from '../jobs/index.js';
 import { isObject, millis, type MachineId, type Millis, type NodeName, type ShardName } from '../kernel/index.js';
@@ -37,8 +37,8 @@
   lastJobMoveAt: Millis;
 
   constructor(
-    private readonly held: HeldShard,
-    private readonly store: RecordStore,
+    private readonly held: HeldShardState,
+    private readonly recordStore: RecordStore,
   ) {
     this.lastJobMoveAt = millis(held.since - MOVE_INTERVAL_MS);
   }
@@ -54,16 +54,16 @@
     run.moving = true;
     const key = jobKey(run.id);
     const done = run.done.copy();
-    const value = { ...(encodeJobRecord({ ...run.record, done, shard: to }) as object), born: run.born };
-    const own = this.held.deps.mirror.get(shardKey(this.held.shard));
-    if (!own) {
+    const value = { ...(encodeJobRecord({ ...run.record, done, shard: to }) as object), born: run.createdAtRevision };
+    const ownEntry = this.held.deps.mirror.get(shardKey(this.held.shard));
+    if (!ownEntry) {
       run.moving = false;
       return;
     }
     // Guarded by the shard's version too: a node that has claimed the shard may have started the job without a write.
     const guards = [
       { key, version: run.version as number },
-      { key: shardKey(this.held.shard), version: own.version as number },
+      { key: shardKey(this.held.shard), version: ownEntry.version as number },
     ];
     void this.held.deps.state
       .txn(Urgency.shard, guards, [{ put: key, value }])
@@ -84,9 +84,9 @@
             this.held.deps.mirror,
             this.held.deps.runtime,
             () => !this.held.dropped && !run.ended,
-            (stored) => (isObject(stored) ? { ...stored, born: run.born } : stored),
+            (stored) => (isObject(stored) ? { ...stored, born: run.createdAtRevision } : stored),
           );
-        await this.store.reread(run);
+        await this.recordStore.reread(run);
       })
       .finally(() => {
         run.moving = false;
@@ -105,7 +105,7 @@
   transfer(id: MachineId, to: ShardName | null): void {
     const machine = this.held.members.findPresent(id);
     if (!machine || machine.leaving) return;
-    if (!machine.belief.empty && this.held.inUse(machine)) return;
+    if (!machine.tracker.empty && this.held.inUse(machine)) return;
     machine.leaving = { to, since: this.held.deps.runtime.now() };
     // A machine with idle accelerators leaves even if arrays use its CPUs: those tasks save and start again elsewhere.
     for (const { run, task } of [...machine.active.values()]) this.held.stopWithGang(run, task, 'drain');
@@ -126,9 +126,9 @@
         this.held.requestReplan();
         continue;
       }
-      const { belief } = machine;
+      const { tracker } = machine;
       // It leaves only when it is empty, no task may be there, and no exit that is listed there remains to be stored.
-      if (!belief.fenced || !belief.empty || belief.tasks.size > 0 || !machine.commandSender.idle) continue;
+      if (!tracker.fenced || !tracker.empty || tracker.tasks.size > 0 || !machine.commandSender.idle) continue;
       const to = leaving.to as ShardName | null;
       const list = ready.get(to);
       if (list) list.push(machine);
@@ -159,7 +159,7 @@
     for (const machine of batch) if (!taken.includes(machine)) machine.leaving = null;
     if (taken.length === 0) return;
     const ids = new Set(taken.map((machine) => machine.id));
-    const earlier = [...this.held.earlier.values()];
+    const earlier = [...this.held.previousHolders.values()];
     const [left] = removeMachines(this.held.shard, { ...own, value: { ...own.value, earlier } }, ids);
     if (!left) return;
     // From here on their reports are not answered, because the next holder counts their leases from this write.
@@ -186,15 +186,16 @@
    * Whether the shard can change holders without disruption: its machines are all fenced, heard recently and have no
    * pending orders.
    */
-  get quiet(): boolean {
+  get canBeHandedOver(): boolean {
     if (!this.held.fenced) return false;
     const now = this.held.deps.runtime.now();
     for (const machine of this.held.machines.values()) {
-      if (!machine.belief.fenced || !machine.commandSender.idle || machine.belief.pendingStarts.size > 0) return false;
+      if (!machine.tracker.fenced || !machine.commandSender.idle || machine.tracker.pendingStarts.size > 0)
+        return false;
       if (
-        machine.missing ||
+        machine.isMissing ||
         machine.leaving ||
-        now - machine.belief.lastMessageAt > 2 * this.held.deps.settings.workers.reportMs
+        now - machine.tracker.lastMessageAt > 2 * this.held.deps.settings.workers.reportMs
       )
         return false;
     }
@@ -214,8 +215,8 @@
    */
   async releaseShard(why: string, to: NodeName | null = null): Promise<boolean> {
     // The next holder would not know of machines that are missing from the block.
-    if (this.held.frozen || this.held.members.missing > 0) return false;
-    this.held.frozen = true;
+    if (this.held.releasing || this.held.members.missing > 0) return false;
+    this.held.releasing = true;
     // Progress is written all the time: no new writes begin, and the pending ones complete first.
     for (
       const until = this.held.deps.runtime.now() + PENDING_WRITES_TIMEOUT_MS;
@@ -223,20 +224,20 @@
       await this.held.deps.runtime.sleep(20)
     ) {
       if (this.held.deps.runtime.now() < until) continue;
-      this.held.frozen = false;
+      this.held.releasing = false;
       return false;
     }
-    const own = this.held.deps.directory.all.get(this.held.shard);
-    const value = own?.value;
-    if (this.held.dropped || !own || !value || value.holder !== this.held.deps.self) {
-      this.held.frozen = false;
+    const ownEntry = this.held.deps.directory.all.get(this.held.shard);
+    const value = ownEntry?.value;
+    if (this.held.dropped || !ownEntry || !value || value.holder !== this.held.deps.self) {
+      this.held.releasing = false;
       return false;
     }
-    const next = encodeShard({ ...value, earlier: [...this.held.earlier.values()], released: true, next: to });
+    const next = encodeShard({ ...value, earlier: [...this.held.previousHolders.values()], released: true, next: to });
     // No commands are sent until this write completes, so it must not queue behind users' submissions.
     const result = await this.held.deps.state.txn(
       Urgency.session,
-      [{ key: shardKey(this.held.shard), version: own.version }],
+      [{ key: shardKey(this.held.shard), version: ownEntry.version }],
       [{ put: shardKey(this.held.shard), value: next }],
     );
     if (result.kind === 'ok') {
@@ -257,7 +258,7 @@
         this.held.deps.runtime,
         () => !this.held.dropped,
       );
-    if (!this.held.dropped) this.held.frozen = false;
+    if (!this.held.dropped) this.held.releasing = false;
     return false;
   }
 }
--- a/src/holder/record-store.ts
+++ b/src/holder/record-store.ts
@@ -1,5 +1,5 @@
 import { GroupedProgress } from './grouped-progress.js';
-import type { HeldShard } from './held-shard.js';
+import type { HeldShardState } from './held-shard.js';
 import { decodeJobRecord, encodeJobRecord } from '../jobs/index.js';
 import { millis, type Millis } from '../kernel/index.js';
 import { Urgency, jobKey, reread } from '../state/index.js';
@@ -18,7 +18,7 @@
   /** Progress that is stored for all jobs of the shard in one record. */
   readonly grouped: GroupedProgress;
 
-  constructor(private readonly held: HeldShard) {
+  constructor(private readonly held: HeldShardState) {
     this.grouped = new GroupedProgress(held);
   }
 
@@ -26,14 +26,14 @@
    * Writes completions at once, and progress with the remaining write rate, the longest unsaved job first. Losing
    * progress costs little, so no other write ever waits for it.
    */
-  store(now: Millis): void {
-    const own = this.grouped.store(now);
+  storeDue(now: Millis): void {
+    const needsOwnWrite = this.grouped.storeDue(now);
     const unsaved: JobRun[] = [];
     for (const run of this.held.jobs.values()) {
       if (run.ended || run.storeInProgress || run.moving) continue;
       if (run.complete) {
         if (now >= run.finishNotBefore) void this.trackStore(run, () => this.finish(run));
-      } else if (own(run) && now - run.lastStoredAt >= PROGRESS_WRITE_INTERVAL_MS) unsaved.push(run);
+      } else if (needsOwnWrite(run) && now - run.lastStoredAt >= PROGRESS_WRITE_INTERVAL_MS) unsaved.push(run);
     }
     if (unsaved.length === 0 || this.progressWrites >= MAX_CONCURRENT_PROGRESS_WRITES) return;
     unsaved.sort((a, b) => a.lastStoredAt - b.lastStoredAt);
@@ -78,7 +78,7 @@
   private async storeProgress(run: JobRun): Promise<void> {
     const done = run.done.copy();
     const record = { ...run.record, done };
-    const value = { ...(encodeJobRecord(record) as object), born: run.born };
+    const value = { ...(encodeJobRecord(record) as object), born: run.createdAtRevision };
     const key = jobKey(run.id);
     const result = await this.held.deps.state.txn(
       Urgency.progress,
--- a/src/holder/shard-holder.ts
+++ b/src/holder/shard-holder.ts
@@ -1,6 +1,6 @@
 import { TeamQuotaTracker } from './team-quotas.js';
 import { TaskEvictor } from './evictions.js';
-import { HeldShard } from './held-shard.js';
+import { HeldShardState } from './held-shard.js';
 import { missingMachineEmptyAt } from './block-members.js';
 import { Moves } from './moves.js';
 import { TaskPlacer } from './task-placer.js';
@@ -24,10 +24,10 @@
 /** Interval of the checks that depend on time alone, such as lease expiry, regardless of the reports in between. */
 const SWEEP_INTERVAL_MS = 250;
 /** After a claim, unfenced machines may be given up early when they are fewer than one in this many machines. */
-const MIN_MACHINES_PER_SILENT = 10;
-/** Failed commands, and time since the claim, after which such a machine is given up. */
-const SILENT_AFTER_FAILED_COMMANDS = 3;
-const SILENT_AFTER_MS = 3000;
+const MIN_MACHINES_PER_UNFENCED = 10;
+/** Failed commands, and time since the claim, after which an unfenced machine may be given up early. */
+const GIVE_UP_AFTER_FAILED_COMMANDS = 3;
+const GIVE_UP_AFTER_MS = 3000;
 /** A stop order is repeated at this interval until the worker lists the task as saving or exited. */
 const STOP_RESEND_INTERVAL_MS = 2500;
 
@@ -35,24 +35,24 @@
  * Holds one shard: each round reconciles the desired and the observed state. A restart and a takeover follow the same
  * steps: claim the shard, fence every machine, resume.
  */
-export class ShardHolder extends HeldShard {
+export class ShardHolder extends HeldShardState {
   private lastSweepAt: Millis;
   private lastStragglerCheckAt: Millis;
-  private readonly store: RecordStore;
+  private readonly recordStore: RecordStore;
   private readonly evictor: TaskEvictor;
   private readonly moves: Moves;
-  private readonly starts: TaskPlacer;
+  private readonly placer: TaskPlacer;
   private readonly teamQuotas: TeamQuotaTracker;
 
-  constructor(...args: ConstructorParameters<typeof HeldShard>) {
+  constructor(...args: ConstructorParameters<typeof HeldShardState>) {
     super(...args);
     this.lastStragglerCheckAt = this.since;
     this.lastSweepAt = millis(this.since - SWEEP_INTERVAL_MS);
-    this.store = new RecordStore(this);
+    this.recordStore = new RecordStore(this);
     this.evictor = new TaskEvictor(this);
-    this.moves = new Moves(this, this.store);
+    this.moves = new Moves(this, this.recordStore);
     this.teamQuotas = new TeamQuotaTracker(this);
-    this.starts = new TaskPlacer(this, this.moves, this.teamQuotas);
+    this.placer = new TaskPlacer(this, this.moves, this.teamQuotas);
   }
 
   /** Starts to move a machine to another shard, or to return it if `to` is null; see `Moves.transfer`. */
@@ -60,14 +60,14 @@
     this.moves.transfer(id, to);
   }
 
-  /** Whether the shard can change holders without disruption; see `Moves.quiet`. */
+  /** Whether the shard can change holders without disruption; see `Moves.canBeHandedOver`. */
   get quiet(): boolean {
-    return this.moves.quiet;
+    return this.moves.canBeHandedOver;
   }
 
   /** Handles a change of the record that stores the progress of this shard's jobs as a group. */
   onProgress(change: Change): void {
-    this.store.grouped.onChange(change);
+    this.recordStore.grouped.onChange(change);
   }
 
   /** Releases the shard by a write; see `Moves.releaseShard`. */
@@ -77,7 +77,7 @@
 
   /** Runs one reconcile round. */
   reconcile(): void {
-    if (this.dropped || this.frozen) return;
+    if (this.dropped || this.releasing) return;
     const now = this.deps.runtime.now();
     const sweep = now - this.lastSweepAt >= SWEEP_INTERVAL_MS;
     if (sweep) {
@@ -86,20 +86,20 @@
       this.evictor.evictForDrainsAndNotices(now);
     }
     this.pruneEndedRuns();
-    this.store.store(now);
+    this.recordStore.storeDue(now);
     if (now - this.lastStragglerCheckAt >= 1000) {
       this.lastStragglerCheckAt = now;
       this.evictor.restartStragglers(now);
     }
     const orders = new Map<MachineId, Order[]>();
     this.collectStops(orders, now);
-    if (sweep || this.replan) {
-      this.replan = false;
-      this.starts.place(orders, now);
+    if (sweep || this.planOutdated) {
+      this.planOutdated = false;
+      this.placer.place(orders, now);
     }
     if (sweep) {
       if (this.deps.quotas.isReturning())
-        this.teamQuotas.relocateForeignWork((run) => this.moves.moveJobIfDue(run, now));
+        this.teamQuotas.relocateWorkAccountedElsewhere((run) => this.moves.moveJobIfDue(run, now));
       for (const [id, machine] of this.machines) this.sendOrders(machine, orders.get(id) ?? [], now);
       this.moves.transferEmptyMachines(now);
       return;
@@ -115,23 +115,23 @@
     const { leaseMs, reportMs } = this.deps.settings.workers;
     for (const machine of this.machines.values()) {
       if (machine.lost) continue;
-      if (this.unfencedMachines.has(machine.id) && this.predecessorsStoppedAt === null) continue;
-      const at = machine.missing
+      if (this.unfencedMachines.has(machine.id) && this.previousHoldersStoppedAt === null) continue;
+      const at = machine.isMissing
         ? missingMachineEmptyAt(machine, leaseMs, reportMs)
-        : machine.belief.leaseExpiresAt(leaseMs);
+        : machine.tracker.leaseExpiresAt(leaseMs);
       // Only this holder's answers can have renewed the worker's lease if no other node can have claimed the shard
       // until `at`.
       if (now < at || this.deps.exclusiveUntil() < at) continue;
-      if (machine.missing) {
+      if (machine.isMissing) {
         this.members.expire(machine);
         continue;
       }
       machine.lost = true;
-      machine.belief.expireLease();
+      machine.tracker.expireLease();
       this.markFenced(machine.id);
       this.deps.trail?.record({ kind: 'lost', machine: machine.id });
       this.deps.log.info({ machine: machine.id }, 'worker lost: it is silent and its lease has expired');
-      this.releaseAll(machine, 'lease over');
+      this.recordAllAttemptsGone(machine, 'lease over');
     }
   }
 
@@ -150,7 +150,7 @@
     for (const machine of this.machinesWithStops) {
       const list: Order[] = [];
       let hasStops = false;
-      for (const [key, listed] of machine.belief.tasks) {
+      for (const [key, listed] of machine.tracker.tasks) {
         if (listed.state === 'exited') continue;
         const grace = this.stopGraceS(machine, listed, now);
         if (grace === null) continue;
@@ -166,15 +166,15 @@
     }
   }
 
-  /** Sends orders to a worker, or an empty command as a probe when it is unfenced, doubted or silent. */
+  /** Sends orders to a worker, or an empty command as a probe when it is unfenced, silent or sends only stale messages. */
   private sendOrders(machine: HeldMachine, orders: Order[], now: Millis): void {
-    const { belief, commandSender } = machine;
-    if (machine.missing) return;
-    const silent = now - belief.lastMessageAt > 1.4 * this.deps.settings.workers.reportMs;
-    if (orders.length === 0 && belief.fenced && !belief.needsProbe && !(silent && !machine.lost)) return;
+    const { tracker, commandSender } = machine;
+    if (machine.isMissing) return;
+    const silent = now - tracker.lastMessageAt > 1.4 * this.deps.settings.workers.reportMs;
+    if (orders.length === 0 && tracker.fenced && !tracker.needsProbe && !(silent && !machine.lost)) return;
     if (!commandSender.ready()) return;
     for (const order of orders) {
-      if (order.op === 'start') belief.recordStart(order.key, order.attempt);
+      if (order.op === 'start') tracker.recordStart(order.key, order.attempt);
       else machine.stopSentAt.set(order.key, now);
     }
     this.logOrders(machine, orders);
@@ -184,7 +184,7 @@
       const spec = this.specOf(parseTaskKey(o.key)?.job ?? jobId(''));
       return gpus <= 0 || !spec || keepsGpuMachineInUse(spec);
     };
-    if (orders.some(startsKeepInUse)) machine.emptySince = now;
+    if (orders.some(startsKeepInUse)) machine.idleSince = now;
     void commandSender.send(orders);
   }
 
@@ -193,7 +193,7 @@
     const { deps, shard, claimedAt } = this;
     if (orders.length === 0 || !deps.log.isLevelEnabled('debug')) return;
     const named = orders.map(({ op, key, attempt }) => ({ op, key, attempt }));
-    const { token, session } = machine.belief;
+    const { token, session } = machine.tracker;
     const authority = { claimedAt, standing: deps.standing(), seenUpTo: deps.mirror.seenUpTo };
     deps.log.debug(
       { shard, machine: machine.id, token, session, ...authority, orders: named },
@@ -209,8 +209,8 @@
   private isGivenUp(machine: HeldMachine, now: Millis): boolean {
     const heldMs = now - this.since;
     if (heldMs > this.deps.settings.workers.leaseMs + 2000) return true;
-    const few = this.unfencedMachines.size * MIN_MACHINES_PER_SILENT < this.machines.size;
-    return few && machine.commandSender.failures >= SILENT_AFTER_FAILED_COMMANDS && heldMs > SILENT_AFTER_MS;
+    const few = this.unfencedMachines.size * MIN_MACHINES_PER_UNFENCED < this.machines.size;
+    return few && machine.commandSender.failures >= GIVE_UP_AFTER_FAILED_COMMANDS && heldMs > GIVE_UP_AFTER_MS;
   }
 
   /** Number of tasks of unknown jobs. Above 0, they keep teams with a limit from starting anything. */
@@ -220,17 +220,17 @@
 
   /** Whether all tasks that may be on the machines are known and the shard is not changing holders. */
   get settled(): boolean {
-    return this.fenced && !this.frozen && !this.dropped && this.deps.isExclusiveHolder();
+    return this.fenced && !this.releasing && !this.dropped && this.deps.isExclusiveHolder();
   }
 
   /** What teams with a limit use and wait for in this shard. */
   teamNeeds(): ReadonlyMap<string, TeamNeed> {
-    return this.teamQuotas.needs(this.starts.shareBound);
+    return this.teamQuotas.needs(this.placer.shareBound);
   }
 
   /** Whether it has open jobs of teams with a limit whose whole limit is assigned to another shard. */
   get hasForeignWork(): boolean {
-    return this.teamQuotas.hasForeignWork;
+    return this.teamQuotas.hasWorkAccountedElsewhere;
   }
 
   /** Summary of the shard's machines and demand for the peers and the leader. */
@@ -240,22 +240,22 @@
     const { reportMs, leaseMs } = this.deps.settings.workers;
     let heardLately = 0;
     let reportedLately = 0;
-    const present = [...this.machines.values()].filter(({ missing }) => !missing);
-    for (const { belief } of present) {
-      if (now - belief.lastMessageAt < 2.5 * reportMs) heardLately += 1;
-      if (now - belief.lastReportAt < 2.5 * reportMs) reportedLately += 1;
+    const present = [...this.machines.values()].filter(({ isMissing }) => !isMissing);
+    for (const { tracker } of present) {
+      if (now - tracker.lastMessageAt < 2.5 * reportMs) heardLately += 1;
+      if (now - tracker.lastReportAt < 2.5 * reportMs) reportedLately += 1;
     }
     for (const machine of present) {
       const booking = this.bookingOf(machine, now);
-      const silentMs = now - machine.belief.lastMessageAt;
+      const silentMs = now - machine.tracker.lastMessageAt;
       // It has not acknowledged the token since the claim: it may run cancelled tasks, and earlier jobs wait for it.
       const unknown = this.unfencedMachines.has(machine.id) && this.isGivenUp(machine, now);
-      // It neither reports nor answers commands. As most other machines of the block do, this node's own network is not
-      // the cause.
+      // It neither reports nor answers commands. Most other machines of the block do report or answer, so this node's
+      // own network is not the cause.
       const unreachable =
         machine.commandSender.failures >= 2 && silentMs > 2 * reportMs + 1500 && heardLately * 2 > present.length;
       // It answers commands but its reports reach no controller, while most other machines' do: its leases expire.
-      const unreportedMs = now - machine.belief.lastReportAt;
+      const unreportedMs = now - machine.tracker.lastReportAt;
       const respondsToCommands = silentMs < 2.5 * reportMs;
       const unreporting =
         respondsToCommands && unreportedMs > leaseMs + 2 * reportMs && reportedLately * 2 > present.length;
@@ -267,7 +267,7 @@
         this.deps.log.info({ machine: machine.id }, what);
       }
       const lost = machine.lost || unreachable || unreporting || unknown;
-      if (lost) machine.givenUpAt = now;
+      if (lost) machine.reportedLostAt = now;
       machines.push({
         id: machine.id,
         type: machine.info.type,
@@ -278,10 +278,10 @@
         freeMemoryGb: booking?.freeMemoryGb ?? 0,
         yieldCpus: booking?.yieldCpus ?? 0,
         yieldMemoryGb: booking?.yieldMemoryGb ?? 0,
-        idleMs: this.inUse(machine) ? 0 : now - machine.emptySince,
-        empty: machine.belief.empty,
+        idleMs: this.inUse(machine) ? 0 : now - machine.idleSince,
+        empty: machine.tracker.empty,
         // Peers move jobs and machines based on this. If it were true of unusable machines, jobs would move in circles.
-        usable: booking?.known === true && this.starts.acceptsTasks(machine, now),
+        usable: booking?.known === true && this.placer.acceptsTasks(machine, now),
         lost,
         faulty: machine.faulty(now),
         images: machine.imageList,
@@ -290,6 +290,6 @@
     const running = [...this.jobs.values()]
       .filter((run) => !run.ended)
       .map((run) => ({ job: run.id, running: run.runningCount, done: run.done.count }));
-    return { shard: this.shard, holder: this.deps.self, machines, demand: this.starts.demand, running };
+    return { shard: this.shard, holder: this.deps.self, machines, demand: this.placer.demand, running };
   }
 }
--- a/src/holder/task-placer.ts
+++ b/src/holder/task-placer.ts
@@ -1,5 +1,5 @@
 import type { TeamQuotaTracker } from './team-quotas.js';
-import type { HeldShard } from './held-shard.js';
+import type { HeldShardState } from './held-shard.js';
 import type { Moves } from './moves.js';
 import {
   attempt,
@@ -57,7 +57,7 @@
   private lastPlanEventAt: Millis | null = null;
 
   constructor(
-    private readonly held: HeldShard,
+    private readonly held: HeldShardState,
     private readonly moves: Moves,
     private readonly teamQuotas: TeamQuotaTracker,
   ) {}
@@ -69,19 +69,19 @@
 
   /** Whether the machine accepts new tasks, regardless of a command in flight or a cooldown. */
   acceptsTasks(machine: HeldMachine, now: Millis): boolean {
-    const { belief } = machine;
+    const { tracker } = machine;
     const operator = this.held.deps.operator();
     return (
-      belief.fenced &&
-      belief.heard &&
+      tracker.fenced &&
+      tracker.hasMessage &&
       !machine.lost &&
-      !machine.missing &&
+      !machine.isMissing &&
       !machine.leaving &&
       machine.noticeUntil === null &&
       machine.commandSender.failures === 0 &&
       // A worker that answers commands but reaches no controller loses its lease, and the tasks started there, again
       // and again.
-      now - Math.min(belief.lastMessageAt, belief.lastReportAt) <
+      now - Math.min(tracker.lastMessageAt, tracker.lastReportAt) <
         2.5 * this.held.deps.settings.workers.reportMs + 500 &&
       !machine.faulty(now) &&
       !operator.cordoned.has(machine.id) &&
@@ -130,13 +130,13 @@
     const { runtime, settings } = this.held.deps;
     const wall = runtime.wall();
     const sinceS = (wall - run.submittedAt) / 1000;
-    const aimsFrom = { sinceS: (wall - run.objectivesFrom) / 1000, always: run.hasDependents };
+    const objectiveTiming = { sinceS: (wall - run.objectivesFrom) / 1000, always: run.hasDependents };
     if (run.hasDependents) {
       const { deadlineS } = run.spec;
       run.usesInheritedPriority =
         deadlineS !== null && deadlineS - sinceS - run.expectedRunS < INHERIT_PRIORITY_SLACK_S;
     }
-    return slackOf(run.spec, sinceS, run.expectedRunS, settings.objectives, aimsFrom);
+    return slackOf(run.spec, sinceS, run.expectedRunS, settings.objectives, objectiveTiming);
   }
 
   /** Remaining work of the job, in cpu-seconds. */
@@ -160,14 +160,17 @@
     const teams = this.teamQuotas.use();
     const pending: PendingJob[] = [];
     for (const run of this.held.jobs.values()) {
-      if (run.missing <= 0 || run.ended || run.moving || run.complete || now < run.notBefore) continue;
-      // After a claim, tasks that the earlier holder may have started are not started before all machines are fenced.
+      if (run.unstartedCount <= 0 || run.ended || run.moving || run.complete || now < run.notBefore) continue;
+      // After a claim, tasks that the previous holder may have started are not started before all machines are fenced.
       // Teams with a limit wait as well, because their use is not known until then.
-      if (this.held.unfencedMachines.size > 0 && (run.born <= this.held.claimedAt || teams.has(run.spec.team)))
+      if (
+        this.held.unfencedMachines.size > 0 &&
+        (run.createdAtRevision <= this.held.claimedAt || teams.has(run.spec.team))
+      )
         continue;
       // This node accepted the job, possibly after another node's claim that the watch has not delivered yet: the
       // claimant starts the job at once, while this node might still command the shard's machines.
-      if (!this.held.deps.isExclusiveHolder() && run.born > this.held.deps.mirror.seenUpTo) continue;
+      if (!this.held.deps.isExclusiveHolder() && run.createdAtRevision > this.held.deps.mirror.seenUpTo) continue;
       if (run.spec.kind === 'gang' && run.active.size > 0) continue;
       const most = run.failsEverywhere ? 1 : MAX_READY_TASKS;
       const ready = run.ready(run.spec.kind === 'gang' ? run.spec.tasks : most);
@@ -191,7 +194,7 @@
     }
     this.shareBound = [];
     if (pending.length === 0) {
-      this.noteDemand([], now);
+      this.updateDemandAndMoveJobs([], now);
       return;
     }
     const views: MachineView[] = [];
@@ -245,7 +248,7 @@
     }
     this.shareBound = plan.shareBound;
     if (plan.shareBound.length > 0) this.held.deps.quotas.reportWaitingWork();
-    this.noteDemand(plan.unplaced, now);
+    this.updateDemandAndMoveJobs(plan.unplaced, now);
   }
 
   /** Records a summary of the plan in the trail, at most every `PLAN_EVENT_INTERVAL_MS`. */
@@ -266,7 +269,7 @@
   /** Whether a task may be on a machine of the shard. A task may be started only if it is not. */
   private mayBeOnAnyMachine(key: TaskKey): boolean {
     for (const id of this.held.taskIndex.machinesOfTask(key))
-      if (this.held.machines.get(id)?.belief.mayHaveTask(key)) return true;
+      if (this.held.machines.get(id)?.tracker.mayHaveTask(key)) return true;
     return false;
   }
 
@@ -284,7 +287,10 @@
   }
 
   /** Updates the demand from the tasks that found no capacity, and moves waiting jobs to other shards. */
-  private noteDemand(unplaced: readonly { readonly job: JobId; readonly count: number }[], now: Millis): void {
+  private updateDemandAndMoveJobs(
+    unplaced: readonly { readonly job: JobId; readonly count: number }[],
+    now: Millis,
+  ): void {
     let moveAttempts = 0;
     const waiting = new Set(unplaced.map((u) => u.job));
     for (const run of this.held.jobs.values()) {
@@ -300,7 +306,7 @@
       run.unplacedSince ??= now;
       // A short wait is due to a command in flight, not to a lack of machines.
       if (now - run.unplacedSince < 150) continue;
-      const missing = run.spec.kind === 'gang' ? count : Math.max(count, run.missing);
+      const missing = run.spec.kind === 'gang' ? count : Math.max(count, run.unstartedCount);
       if (!run.waitEventRecorded && now - run.unplacedSince >= WAIT_EVENT_AFTER_MS) {
         run.waitEventRecorded = true;
         this.held.deps.trail?.record({ kind: 'waits', job, missing });
--- a/src/holder/team-needs.ts
+++ b/src/holder/team-needs.ts
@@ -7,7 +7,7 @@
 export interface WaitingJob {
   readonly spec: JobSpec;
   /** Number of tasks that are neither done nor possibly on a machine. */
-  readonly missing: number;
+  readonly unstartedCount: number;
   readonly waitedMs: Millis;
 }
 
@@ -28,12 +28,12 @@
     if (cpus > 0 || gpus > 0) needs.set(team, { ...NO_NEED, use: { cpus, gpus } });
   for (const job of waiting) {
     const { team, priority } = job.spec;
-    if (!use.has(team) || job.missing <= 0) continue;
+    if (!use.has(team) || job.unstartedCount <= 0) continue;
     const known = needs.get(team) ?? NO_NEED;
     const first = known.unit === NO_NEED.unit || comesBefore(job, known);
     needs.set(team, {
       use: known.use,
-      waiting: add(known.waiting, times(job.spec, job.missing)),
+      waiting: add(known.waiting, times(job.spec, job.unstartedCount)),
       ...(first
         ? { unit: startUnit(job), priority, waitedMs: job.waitedMs }
         : { unit: known.unit, priority: known.priority, waitedMs: known.waitedMs }),
--- a/src/holder/team-quotas.ts
+++ b/src/holder/team-quotas.ts
@@ -1,7 +1,7 @@
 import { millis, type JobId } from '../kernel/index.js';
 import { limitOf, type TeamNeed } from '../quota/index.js';
 import type { TeamUse } from '../placement/index.js';
-import type { HeldShard } from './held-shard.js';
+import type { HeldShardState } from './held-shard.js';
 import type { JobRun } from './job-run.js';
 import { computeTeamNeeds, type WaitingJob } from './team-needs.js';
 import { computeTeamUse } from './team-use.js';
@@ -17,7 +17,7 @@
   /** Number of tasks of unknown jobs. Above 0, they keep teams with a limit from starting anything. */
   blockingUnknownTasks = 0;
 
-  constructor(private readonly held: HeldShard) {}
+  constructor(private readonly held: HeldShardState) {}
 
   /** Possible current use of each team with a limit, against the share of its limit that this shard may use. */
   use(): ReadonlyMap<string, TeamUse> {
@@ -64,13 +64,13 @@
       const run = this.held.jobs.get(job);
       if (!run || run.ended || run.complete) continue;
       const waitedMs = millis(Math.max(0, wall - run.objectivesFrom));
-      waiting.push({ spec: run.spec, missing: Math.min(count, run.missing), waitedMs });
+      waiting.push({ spec: run.spec, unstartedCount: Math.min(count, run.unstartedCount), waitedMs });
     }
     return computeTeamNeeds(this.useUnderFullLimits(), waiting);
   }
 
   /** Whether this shard has open jobs of teams with a limit whose whole limit is assigned to another shard. */
-  get hasForeignWork(): boolean {
+  get hasWorkAccountedElsewhere(): boolean {
     for (const run of this.held.jobs.values()) if (!run.ended && this.isAccountedElsewhere(run.spec.team)) return true;
     return false;
   }
@@ -82,7 +82,7 @@
   }
 
   /** Stops the work of teams whose limit is assigned elsewhere, once limits are not shared, and moves it there. */
-  relocateForeignWork(move: (run: JobRun) => void): void {
+  relocateWorkAccountedElsewhere(move: (run: JobRun) => void): void {
     for (const run of this.held.jobs.values()) {
       if (run.ended || run.complete || !this.isAccountedElsewhere(run.spec.team)) continue;
       for (const task of run.active.values()) this.held.stop(run, task, 'drain');
--- a/src/holder/team-use.ts
+++ b/src/holder/team-use.ts
@@ -6,7 +6,7 @@
 
 /** Tasks that may be on a machine, and those that its holder has started or adopted there. */
 export interface MachineTasks {
-  readonly belief: Pick<WorkerTracker, 'tasks' | 'pendingStarts'>;
+  readonly tracker: Pick<WorkerTracker, 'tasks' | 'pendingStarts'>;
   readonly active: ReadonlyMap<TaskKey, unknown>;
 }
 
@@ -34,12 +34,12 @@
     if (cpusMax > 0 || gpusMax > 0) use.set(name, { cpus: 0, gpus: 0, cpusMax, gpusMax });
   if (use.size === 0) return { use, unknown: 0 };
   let unknown = 0;
-  for (const { belief, active } of machines) {
-    const keys = new Set<TaskKey>(belief.pendingStarts.keys());
+  for (const { tracker, active } of machines) {
+    const keys = new Set<TaskKey>(tracker.pendingStarts.keys());
     // These include tasks that are planned but whose command is not sent yet. Without them, a share that such a start
-    // was already using was given away (found by the region simulation, when shares were evaluated in between).
+    // was already using was given away when shares were computed between planning and sending.
     for (const key of active.keys()) keys.add(key);
-    for (const [key, listed] of belief.tasks) if (listed.state !== 'exited') keys.add(key);
+    for (const [key, listed] of tracker.tasks) if (listed.state !== 'exited') keys.add(key);
     for (const key of keys) {
       const parsed = parseTaskKey(key);
       const spec = parsed && specOf(parsed.job);
--- a/src/placement/fit.ts
+++ b/src/placement/fit.ts
@@ -15,8 +15,8 @@
  * machines, so that a stream of new jobs can't starve it. Gangs of eight waited 700 s without this rule, because a gang
  * stopped accumulating once its objectives were missed.
  */
-export const STARVED_AFTER_S = 150;
-const isStarved = (job: PendingJob): boolean => (job.waitedS ?? 0) >= STARVED_AFTER_S;
+export const JOB_STARVED_AFTER_S = 150;
+const isStarved = (job: PendingJob): boolean => (job.waitedS ?? 0) >= JOB_STARVED_AFTER_S;
 
 /**
  * Rank of a job within its priority; the lowest goes first. Under overload, earliest-deadline-first makes every job
@@ -155,12 +155,12 @@
   m: Pick<MachineView, 'type' | 'zone' | 'spot'>,
   free: Pick<MachineView, 'freeCpus' | 'freeGpus' | 'freeMemoryGb'>,
 ) => boolean {
-  const kinds = [...new Map(specs.map((spec) => [equivalenceClassOf(spec), spec])).values()];
+  const classSpecs = [...new Map(specs.map((spec) => [equivalenceClassOf(spec), spec])).values()];
   const allowed = new Map<string, JobSpec[]>();
   return (m, free) => {
     const key = `${m.type}|${m.zone}|${m.spot}`;
     let here = allowed.get(key);
-    if (!here) allowed.set(key, (here = kinds.filter((spec) => allowsMachine(spec, m))));
+    if (!here) allowed.set(key, (here = classSpecs.filter((spec) => allowsMachine(spec, m))));
     return here.some(
       (spec) =>
         spec.kind !== 'array' ||
@@ -198,7 +198,7 @@
   }
 
   /** Rescores the machine that a task was just placed on, and the others that the placement may have affected. */
-  taken(machine: PlanMachine, isAffected: (machine: PlanMachine) => boolean): void {
+  rescoreAfterPlacement(machine: PlanMachine, isAffected: (machine: PlanMachine) => boolean): void {
     for (const [i, other] of this.machines.entries()) {
       if (other === machine || isAffected(other)) this.scores[i] = this.scoreOf(other);
     }
@@ -243,10 +243,10 @@
   const free = candidates.filter((machine) => fits(job.spec, machine));
   const inZone = new Map<string, number>();
   for (const { view } of free) inZone.set(view.zone, (inZone.get(view.zone) ?? 0) + 1);
-  const most = [...inZone].sort((a, b) => b[1] - a[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
-  const here = job.spec.oneZone ? free.filter(({ view }) => view.zone === most) : free;
+  const bestZone = [...inZone].sort((a, b) => b[1] - a[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
+  const here = job.spec.oneZone ? free.filter(({ view }) => view.zone === bestZone) : free;
   for (const machine of here.slice(0, job.ready.length)) accumulated.add(machine);
 }
 
-/** For {@link ScoredMachines.taken}: the placement affects no other machine. */
+/** For {@link ScoredMachines.rescoreAfterPlacement}: the placement affects no other machine. */
 export const noOtherMachine = (): boolean => false;
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -68,7 +68,7 @@
   const shareBound: UnplacedTasks[] = [];
   const stopped = new Set<string>();
   /** Late replicas without room, which are placed on GPU machines at the end. */
-  const left: LateReplicas[] = [];
+  const lateReplicas: LateReplicas[] = [];
 
   /** Whether `count` more tasks fit in what the team may use here. */
   const withinLimit = (spec: JobSpec, count: number): boolean => {
@@ -81,9 +81,9 @@
   const isShared = (spec: JobSpec): boolean => teams.get(spec.team)?.wholeLeft !== undefined;
   /** Whether the tasks fit in what is left of the team's whole limit, so that a larger share would let them start. */
   const withinWholeLimit = (spec: JobSpec, count: number): boolean => {
-    const left = teams.get(spec.team)?.wholeLeft;
-    if (!left) return withinLimit(spec, count);
-    return spec.cpus * count <= left.cpus + EPSILON && spec.gpus * count <= left.gpus + EPSILON;
+    const remaining = teams.get(spec.team)?.wholeLeft;
+    if (!remaining) return withinLimit(spec, count);
+    return spec.cpus * count <= remaining.cpus + EPSILON && spec.gpus * count <= remaining.gpus + EPSILON;
   };
   /** Counts one started task against its team's limit. */
   const chargeTeam = (spec: JobSpec): void => {
@@ -94,24 +94,24 @@
   };
 
   // Free room only shrinks while a plan is made: once a job finds none, no other job of its equivalence class will.
-  const exhaustedKinds = new Set<string>();
+  const exhaustedClasses = new Set<string>();
   /** Equivalence classes for which preemption found no room either. */
-  const unplaceableKinds = new Set<string>();
+  const unplaceableClasses = new Set<string>();
   /** By equivalence class of gangs, the size of the smallest gang that found no room. */
   const smallestUnplaceableGang = new Map<string, number>();
   /** Machines held for gangs that accumulate. Arrays without GPUs may use them meanwhile. */
   const accumulated = new Set<PlanMachine>();
   for (const job of [...input.pending].sort(comparePending)) {
     const { spec } = job;
-    const kind = equivalenceClassOf(spec);
+    const equivalenceClass = equivalenceClassOf(spec);
     const isUnplaceable =
       spec.kind === 'gang'
-        ? job.ready.length >= (smallestUnplaceableGang.get(kind) ?? Infinity)
-        : unplaceableKinds.has(kind);
+        ? job.ready.length >= (smallestUnplaceableGang.get(equivalenceClass) ?? Infinity)
+        : unplaceableClasses.has(equivalenceClass);
     if (isUnplaceable) {
       if (withinWholeLimit(spec, spec.kind === 'gang' ? job.ready.length : 1)) {
         unplaced.push({ job: spec.id, count: job.ready.length });
-        if (hasLateReplicas(job)) left.push({ job, indices: job.ready });
+        if (hasLateReplicas(job)) lateReplicas.push({ job, indices: job.ready });
       }
       continue;
     }
@@ -139,7 +139,10 @@
         unplaced.push({ job: spec.id, count: job.ready.length });
         if (accumulates(job)) accumulateFor(job, candidates, accumulated);
         if (!placed && job.avoid.size === 0 && !spec.spread)
-          smallestUnplaceableGang.set(kind, Math.min(job.ready.length, smallestUnplaceableGang.get(kind) ?? Infinity));
+          smallestUnplaceableGang.set(
+            equivalenceClass,
+            Math.min(job.ready.length, smallestUnplaceableGang.get(equivalenceClass) ?? Infinity),
+          );
       }
       continue;
     }
@@ -147,8 +150,8 @@
     const cpuOnlyService = spec.kind === 'service' && spec.gpus <= 0 && candidates.some((c) => c.view.gpus <= 0);
     const zoneUse = new Map(job.zoneUse);
     const machineUse = new Map(job.machineUse);
-    let missing = 0;
-    const free = exhaustedKinds.has(kind) ? [] : candidates;
+    let unplacedCount = 0;
+    const free = exhaustedClasses.has(equivalenceClass) ? [] : candidates;
     const scored = new ScoredMachines(free, (machine) => {
       if (!fits(spec, machine) || !allowsZone(spec, machine.view.zone, zoneUse)) return Infinity;
       if (cpuOnlyService && machine.view.gpus > 0) return Infinity;
@@ -169,8 +172,8 @@
       }
       const best = scored.best();
       if (!best) {
-        missing = job.ready.length - position;
-        if (job.avoid.size === 0 && !spec.spread && !spec.oneZone) exhaustedKinds.add(kind);
+        unplacedCount = job.ready.length - position;
+        if (job.avoid.size === 0 && !spec.spread && !spec.oneZone) exhaustedClasses.add(equivalenceClass);
         break;
       }
       const { zone, id } = best.view;
@@ -179,29 +182,29 @@
       zoneUse.set(zone, (zoneUse.get(zone) ?? 0) + 1);
       machineUse.set(id, (machineUse.get(id) ?? 0) + 1);
       // Under a spread or one-zone constraint, a start can rule out other machines as well.
-      scored.taken(best, spec.spread || spec.oneZone ? (): boolean => true : noOtherMachine);
+      scored.rescoreAfterPlacement(best, spec.spread || spec.oneZone ? (): boolean => true : noOtherMachine);
       starts.push({ job: spec.id, index, machine: id });
     }
-    if (missing > 0) {
+    if (unplacedCount > 0) {
       // GPU machines are left out: tasks beside gangs were preempted again and again for replicas that may not go
       // there.
       const allowed = cpuOnlyService ? candidates.filter((c) => c.view.gpus <= 0) : candidates;
-      const waiting = preempt(job, missing, allowed, zoneUse, stopped, stops);
-      if (cpuOnlyService && missing > waiting && hasLateReplicas(job))
-        left.push({ job, indices: job.ready.slice(job.ready.length - (missing - waiting)) });
-      if (waiting === 0 && exhaustedKinds.has(kind)) unplaceableKinds.add(kind);
-      if (missing - waiting > 0) unplaced.push({ job: spec.id, count: missing - waiting });
+      const madeRoomFor = preempt(job, unplacedCount, allowed, zoneUse, stopped, stops);
+      if (cpuOnlyService && unplacedCount > madeRoomFor && hasLateReplicas(job))
+        lateReplicas.push({ job, indices: job.ready.slice(job.ready.length - (unplacedCount - madeRoomFor)) });
+      if (madeRoomFor === 0 && exhaustedClasses.has(equivalenceClass)) unplaceableClasses.add(equivalenceClass);
+      if (unplacedCount - madeRoomFor > 0) unplaced.push({ job: spec.id, count: unplacedCount - madeRoomFor });
     }
   }
-  const lateStarts = placeOnGpuMachines(left, machines, input, withinLimit, chargeTeam);
+  const lateStarts = placeOnGpuMachines(lateReplicas, machines, input, withinLimit, chargeTeam);
   const startedJobs = new Set(starts.map(({ job }) => job));
   const most = input.maxStarts - starts.length - lateStarts.length;
   lateStarts.push(...planFirstTasks(input, machines, startedJobs, withinLimit, chargeTeam, most));
   starts.push(...lateStarts);
-  const found = new Map<JobId, number>();
-  for (const start of lateStarts) found.set(start.job, (found.get(start.job) ?? 0) + 1);
+  const lateStartCounts = new Map<JobId, number>();
+  for (const start of lateStarts) lateStartCounts.set(start.job, (lateStartCounts.get(start.job) ?? 0) + 1);
   const stillUnplaced = unplaced
-    .map(({ job, count }) => ({ job, count: count - (found.get(job) ?? 0) }))
+    .map(({ job, count }) => ({ job, count: count - (lateStartCounts.get(job) ?? 0) }))
     .filter(({ count }) => count > 0);
   return { starts, stops, unplaced: stillUnplaced, shareBound };
 }
--- a/src/placement/preempt.ts
+++ b/src/placement/preempt.ts
@@ -37,14 +37,14 @@
  * minutes.
  */
 export function placeOnGpuMachines(
-  left: readonly LateReplicas[],
+  lateReplicas: readonly LateReplicas[],
   machines: readonly PlanMachine[],
   input: PlanInput,
   withinLimit: (spec: JobSpec, count: number) => boolean,
   chargeTeam: (spec: JobSpec) => void,
 ): PlannedStart[] {
   const starts: PlannedStart[] = [];
-  for (const { job, indices } of left) {
+  for (const { job, indices } of lateReplicas) {
     const { spec } = job;
     const here = machines.filter((c) => c.view.gpus > 0 && allowsMachine(spec, c.view) && !job.avoid.has(c.view.id));
     const scored = new ScoredMachines(here, (machine) =>
@@ -59,7 +59,7 @@
       if (!best) break;
       allocate(spec, best);
       chargeTeam(spec);
-      scored.taken(best, noOtherMachine);
+      scored.rescoreAfterPlacement(best, noOtherMachine);
       starts.push({ job: spec.id, index, machine: best.view.id });
     }
   }
@@ -91,7 +91,7 @@
       best.gpus -= spec.gpus;
       best.memoryGb -= spec.memoryGb;
       zoneUse.set(best.view.zone, (zoneUse.get(best.view.zone) ?? 0) + 1);
-      scored.taken(best, spec.spread ? (): boolean => true : noOtherMachine);
+      scored.rescoreAfterPlacement(best, spec.spread ? (): boolean => true : noOtherMachine);
       placed.push({ index, machine });
     }
     if (placed.length === job.ready.length) return placed;
@@ -122,7 +122,7 @@
     while (satisfied < missing && allowsZone(spec, machine.view.zone, zoneUse)) {
       const victims = victimsFor(spec, machine, stopped);
       if (!victims) break;
-      evict(victims, spec, machine, stopped, stops, spec.kind === 'service');
+      planPreemption(victims, spec, machine, stopped, stops, spec.kind === 'service');
       zoneUse.set(machine.view.zone, (zoneUse.get(machine.view.zone) ?? 0) + 1);
       satisfied += 1;
     }
@@ -154,7 +154,7 @@
 }
 
 /** Plans to stop the victims and allocates one task of the job in the room that they leave. */
-export function evict(
+export function planPreemption(
   victims: readonly PreemptableTask[],
   spec: JobSpec,
   machine: PlanMachine,
@@ -202,7 +202,7 @@
       while (placed < job.ready.length && allowsZone(spec, machine.view.zone, zoneUse)) {
         const victims = victimsFor(spec, machine, trialStopped);
         if (!victims) break;
-        evict(victims, spec, machine, trialStopped, trialStops, false);
+        planPreemption(victims, spec, machine, trialStopped, trialStops, false);
         zoneUse.set(machine.view.zone, (zoneUse.get(machine.view.zone) ?? 0) + 1);
         placed += 1;
       }
--- a/src/placement/slack.ts
+++ b/src/placement/slack.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from '../jobs/index.js';
 
 /** How much longer an array's slowest task runs than the median; the array ends with its slowest task. */
-const STRAGGLER_FACTOR = 1.3;
+const SLOWEST_TASK_FACTOR = 1.3;
 /** Time allowed for arrays without a deadline or an objective. */
 const DEFAULT_ARRAY_OBJECTIVE_S = 900;
 /** Time allowed for other jobs without a deadline or an objective. */
@@ -42,28 +42,28 @@
 /**
  * Seconds until the job misses its next and its last objective, by its deadline and the objectives of its class. A
  * deadline counts from the submission, `sinceS` seconds ago; objectives count from when the job could start (see
- * `from`). A deadline replaces the objectives unless `from.always` is set.
+ * `timing`). A deadline replaces the objectives unless `timing.always` is set.
  */
 export function slackOf(
   spec: JobSpec,
   sinceS: number,
   expectedRunS: number,
-  aims: readonly ClassObjective[],
-  from: ObjectiveTiming = { sinceS, always: false },
+  objectives: readonly ClassObjective[],
+  timing: ObjectiveTiming = { sinceS, always: false },
 ): Slack {
-  const runS = expectedRunS * (spec.kind === 'array' && spec.tasks > 1 ? STRAGGLER_FACTOR : 1);
+  const runS = expectedRunS * (spec.kind === 'array' && spec.tasks > 1 ? SLOWEST_TASK_FACTOR : 1);
   const left: number[] = [];
   if (spec.deadlineS !== null) left.push(spec.deadlineS - runS - sinceS);
-  if (spec.deadlineS === null || from.always) {
-    for (const aim of aims) {
-      if (aim.jobClass !== spec.jobClass || aim.withinS === null) continue;
-      if (aim.kind === 'wait') left.push(aim.withinS - from.sinceS);
-      if (aim.kind === 'finished') left.push(aim.withinS - runS - from.sinceS);
+  if (spec.deadlineS === null || timing.always) {
+    for (const objective of objectives) {
+      if (objective.jobClass !== spec.jobClass || objective.withinS === null) continue;
+      if (objective.kind === 'wait') left.push(objective.withinS - timing.sinceS);
+      if (objective.kind === 'finished') left.push(objective.withinS - runS - timing.sinceS);
     }
   }
   const aimed = left.length > 0;
   // Arrays without a deadline or an objective use idle machines; all other jobs are to start soon.
-  if (!aimed) left.push((spec.kind === 'array' ? DEFAULT_ARRAY_OBJECTIVE_S : DEFAULT_OBJECTIVE_S) - from.sinceS);
+  if (!aimed) left.push((spec.kind === 'array' ? DEFAULT_ARRAY_OBJECTIVE_S : DEFAULT_OBJECTIVE_S) - timing.sinceS);
   const ahead = left.filter((t) => t >= 0);
   const lastSlackS = Math.max(...left);
   return { slackS: ahead.length > 0 ? Math.min(...ahead) : lastSlackS, lastSlackS, aimed };
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -8,7 +8,7 @@
   type SocketBudget,
 } from '../kernel/index.js';
 import type { WorkerTracker } from './worker-tracker.js';
-import { decodeMessage, encodeCommands, type Order, type WorkerMessage } from './wire.js';
+import { decodeWorkerMessage, encodeCommands, type Order, type WorkerMessage } from './wire.js';
 
 const COMMAND_TIMEOUT_MS = 2500;
 /** Timeout of a command without orders, which only asks whether the worker answers. */
@@ -19,9 +19,9 @@
 
 /** Callbacks of a command sender. */
 export interface CommandSenderHooks {
-  /** The worker answered, and its token is not above ours. */
+  /** Called when the worker has answered with a token not above this holder's. */
   heard(message: WorkerMessage): void;
-  /** The worker has acknowledged a higher token: another holder has the machine. */
+  /** Called when the worker has acknowledged a higher token: another holder has the machine. */
   superseded(): void;
 }
 
@@ -96,7 +96,7 @@
         body: encodeCommands(this.tracker.token, this.tracker.session, batch),
         timeoutMs: batch.length > 0 ? COMMAND_TIMEOUT_MS : PROBE_TIMEOUT_MS,
       });
-      const message = answer.kind === 'answered' ? decodeMessage(answer.body) : null;
+      const message = answer.kind === 'answered' ? decodeWorkerMessage(answer.body) : null;
       if (answer.kind === 'failed' || !message || (answer.status !== 200 && answer.status !== 409)) {
         // A lack of local sockets says nothing about the worker.
         const localError = answer.kind === 'failed' && LOCAL_SOCKET_ERROR.test(answer.reason);
--- a/src/workers/prober.ts
+++ b/src/workers/prober.ts
@@ -1,5 +1,5 @@
 import { HttpClient, parseAddress, type Runtime } from '../kernel/index.js';
-import { decodeMessage } from './wire.js';
+import { decodeWorkerMessage } from './wire.js';
 
 const PROBE_TIMEOUT_MS = 1000;
 
@@ -12,7 +12,7 @@
       const client = new HttpClient(address, 1, runtime);
       const answer = await client.call({ method: 'GET', path: '/status', timeoutMs: PROBE_TIMEOUT_MS });
       client.close();
-      return answer.kind === 'answered' && decodeMessage(answer.body) ? 1 : 0;
+      return answer.kind === 'answered' && decodeWorkerMessage(answer.body) ? 1 : 0;
     }),
   );
   return answers.reduce((sum, n) => sum + n, 0);
--- a/src/workers/task-index.ts
+++ b/src/workers/task-index.ts
@@ -3,9 +3,9 @@
 /** Receives from each machine's tracker which tasks are listed or pending there. */
 export interface TaskIndexListener {
   /** The machine lists the task, or a start of it is pending there. */
-  enter(key: TaskKey, machine: MachineId): void;
+  add(key: TaskKey, machine: MachineId): void;
   /** The task is neither listed nor pending on the machine any more. */
-  leave(key: TaskKey, machine: MachineId): void;
+  remove(key: TaskKey, machine: MachineId): void;
 }
 
 const NO_MACHINES: ReadonlySet<MachineId> = new Set();
@@ -17,7 +17,7 @@
 export class TaskIndex implements TaskIndexListener {
   private readonly jobs = new Map<JobId, Map<TaskKey, Set<MachineId>>>();
 
-  enter(key: TaskKey, machine: MachineId): void {
+  add(key: TaskKey, machine: MachineId): void {
     const job = parseTaskKey(key)?.job;
     if (job === undefined) return;
     let tasks = this.jobs.get(job);
@@ -27,7 +27,7 @@
     else tasks.set(key, new Set([machine]));
   }
 
-  leave(key: TaskKey, machine: MachineId): void {
+  remove(key: TaskKey, machine: MachineId): void {
     const job = parseTaskKey(key)?.job;
     const tasks = job === undefined ? undefined : this.jobs.get(job);
     const machines = tasks?.get(key);
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -86,7 +86,7 @@
   | { readonly op: 'forget'; readonly key: TaskKey; readonly attempt: Attempt };
 
 /** Decodes a worker's message; null when it is malformed. */
-export function decodeMessage(body: unknown): WorkerMessage | null {
+export function decodeWorkerMessage(body: unknown): WorkerMessage | null {
   if (!isObject(body)) return null;
   const machine = asString(body['drifter']);
   const tide = asNonNegativeInteger(body['tide']);
--- a/src/workers/worker-tracker.ts
+++ b/src/workers/worker-tracker.ts
@@ -37,7 +37,7 @@
 }
 
 /** What became of a message: applied, ignored as old, or evidence that another holder has a higher token. */
-export type MessageOutcome = 'taken' | 'stale' | 'superseded';
+export type MessageOutcome = 'applied' | 'stale' | 'superseded';
 
 /** The newest message that was known of a worker at some moment. */
 export interface MessagePosition {
@@ -81,7 +81,7 @@
   /** Stale messages since the last newer one. */
   private staleMessages = 0;
   /** Reports with a lower token are ignored: they are copies from before the worker restarted. */
-  private floor = fencingToken(0);
+  private minReportToken = fencingToken(0);
 
   constructor(
     /** The revision of the shard key from which the token is derived. */
@@ -101,17 +101,17 @@
   }
 
   /** Removes a task from the index unless it is still listed or pending. */
-  private drop(key: TaskKey): void {
-    if (!this.names(key)) this.index?.listener.leave(key, this.index.machine);
+  private removeFromIndex(key: TaskKey): void {
+    if (!this.isListedOrPending(key)) this.index?.listener.remove(key, this.index.machine);
   }
 
   /** Adds a task to the index. */
   private addToIndex(key: TaskKey): void {
-    this.index?.listener.enter(key, this.index.machine);
+    this.index?.listener.add(key, this.index.machine);
   }
 
   /** True when the task is listed, exited tasks included, or a start of it is pending. */
-  private names(key: TaskKey): boolean {
+  private isListedOrPending(key: TaskKey): boolean {
     return this.starts.has(key) || this.listedTasks.has(key);
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** True once a message of the worker's present life has been applied. */
-  get heard(): boolean {
+  get hasMessage(): boolean {
     return this.at.session > 0;
   }
 
@@ -172,13 +172,13 @@
   /** Records a start. Must be called before the command is sent. */
   recordStart(key: TaskKey, attempt: Attempt): void {
     this.changes += 1;
-    if (!this.names(key)) this.addToIndex(key);
+    if (!this.isListedOrPending(key)) this.addToIndex(key);
     this.starts.set(key, { attempt, token: this.token, session: this.at.session });
   }
 
   /** Settles the starts of an answered command: from now on the worker's list alone says which of them are there. */
   settleStarts(keys: readonly TaskKey[]): void {
-    for (const key of keys) if (this.starts.delete(key)) this.drop(key);
+    for (const key of keys) if (this.starts.delete(key)) this.removeFromIndex(key);
     this.changes += 1;
   }
 
@@ -218,15 +218,15 @@
     this.ackedToken = fencingToken(0);
     // Delayed copies of messages from before the restart have lower tokens than any report that is valid from now on.
     this.raiseToken();
-    this.floor = this.token;
-    this.answered(now);
+    this.minReportToken = this.token;
+    this.recordLeaseRenewal(now);
   }
 
   /** Applies a report, or another message that may be a delayed copy. */
   applyReport(message: WorkerMessage, now: Millis): MessageOutcome {
-    if (message.token >= this.floor && !this.omitsLiveTask(message)) {
+    if (message.token >= this.minReportToken && !this.omitsLiveTask(message)) {
       const outcome = this.applyIfNewer(message, now);
-      if (outcome === 'taken') this.lastReportAt = now;
+      if (outcome === 'applied') this.lastReportAt = now;
       return outcome;
     }
     this.staleMessages += 1;
@@ -238,8 +238,8 @@
    * stays listed until the worker is told to forget it, so the message is from another life of the worker, and the
    * worker has to be probed.
    */
-  private omitsLiveTask({ session: of, tasks }: WorkerMessage): boolean {
-    if (of !== this.at.session || this.listsSameTasks(tasks)) return false;
+  private omitsLiveTask({ session: messageSession, tasks }: WorkerMessage): boolean {
+    if (messageSession !== this.at.session || this.listsSameTasks(tasks)) return false;
     const listed = new Set(tasks.map(({ key }) => key));
     for (const [key, { state }] of this.listedTasks) {
       if (state === 'exited' || listed.has(key)) continue;
@@ -261,25 +261,25 @@
     this.staleMessages = 0;
     // The lease of a new session began no later than now, whichever controller answers its reports. Without this, the
     // lease of a session known only from a command's answer would be considered over while tasks run in the session.
-    if (message.session > this.at.session) this.answered(now);
+    if (message.session > this.at.session) this.recordLeaseRenewal(now);
     this.at = { session: message.session, sequence: message.sequence };
     this.ackedToken = message.token;
     this.lastMessageAt = now;
-    if (this.starts.size === 0 && this.listsSameTasks(message.tasks)) return 'taken';
+    if (this.starts.size === 0 && this.listsSameTasks(message.tasks)) return 'applied';
     const before = this.listedTasks;
     this.listedTasks = new Map(message.tasks.map((task) => [task.key, task]));
     for (const key of this.listedTasks.keys()) if (!before.has(key) && !this.starts.has(key)) this.addToIndex(key);
-    for (const key of before.keys()) this.drop(key);
+    for (const key of before.keys()) this.removeFromIndex(key);
     for (const [key, start] of this.starts) {
       const listed = this.listedTasks.get(key);
       const settled =
         (listed !== undefined && listed.attempt === start.attempt) ||
         message.token > start.token ||
         message.session > start.session;
-      if (settled && this.starts.delete(key)) this.drop(key);
+      if (settled && this.starts.delete(key)) this.removeFromIndex(key);
     }
     this.changes += 1;
-    return 'taken';
+    return 'applied';
   }
 
   /** True when the tasks are those already listed, as in most reports; such a message changes nothing. */
@@ -292,7 +292,7 @@
   }
 
   /** Records that the worker's lease may have been renewed now. */
-  answered(now: Millis): void {
+  recordLeaseRenewal(now: Millis): void {
     if (now > this.lastAnswerAt) this.lastAnswerAt = now;
   }
 
@@ -307,7 +307,7 @@
     this.listedTasks.clear();
     this.starts.clear();
     this.expiredSession = this.at.session;
-    for (const key of before) this.drop(key);
+    for (const key of before) this.removeFromIndex(key);
     this.changes += 1;
   }
 }
--- a/test/team-use.test.ts
+++ b/test/team-use.test.ts
@@ -27,9 +27,9 @@
 ]);
 const specOf = (id: JobId) => SPECS.get(id) ?? null;
 
-/** The belief about a machine whose worker has acknowledged the current holder's token and lists these tasks. */
-function beliefListing(...tasks: readonly [string, number, ListedTask['state']][]): WorkerTracker {
-  const belief = new WorkerTracker(revision(7), millis(0));
+/** The tracker of a machine whose worker has acknowledged the current holder's token and lists these tasks. */
+function trackerListing(...tasks: readonly [string, number, ListedTask['state']][]): WorkerTracker {
+  const tracker = new WorkerTracker(revision(7), millis(0));
   const message = {
     ...{ machine: machineId('m'), type: 's', zone: 'z', spot: false, address: '', noticeS: null },
     ...{ session: session(1), sequence: sequence(1), token: fencingTokenOf(revision(7), 0) },
@@ -38,24 +38,24 @@
       ...{ why: null, saved: false },
     })),
   };
-  assert.equal(belief.applyReport(message, millis(1)), 'taken');
-  return belief;
+  assert.equal(tracker.applyReport(message, millis(1)), 'applied');
+  return tracker;
 }
 
-const onMachine = (belief: WorkerTracker) => ({ belief, active: new Map<TaskKey, unknown>() });
+const onMachine = (tracker: WorkerTracker) => ({ tracker, active: new Map<TaskKey, unknown>() });
 
 test('a planned task counts before its command is sent, and is not counted twice afterwards', () => {
-  const belief = beliefListing(['j-tight', 0, 'running']);
+  const tracker = trackerListing(['j-tight', 0, 'running']);
   const key = taskKey(jobId('j-tight'), 1);
-  const machine = { belief, active: new Map([[key, 'planned']]) };
+  const machine = { tracker, active: new Map([[key, 'planned']]) };
   assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
-  belief.recordStart(key, attempt(2));
+  tracker.recordStart(key, attempt(2));
   assert.equal(computeTeamUse(TEAMS, [machine], specOf).use.get('tight')?.cpus, 2);
 });
 
 /** How many of eight tasks of the limited team a plan starts on a machine that has capacity for all of them. */
-function countStarts(...beliefs: WorkerTracker[]): number {
-  const { use } = computeTeamUse(TEAMS, beliefs.map(onMachine), specOf);
+function countStarts(...trackers: WorkerTracker[]): number {
+  const { use } = computeTeamUse(TEAMS, trackers.map(onMachine), specOf);
   const of = SPECS.get(jobId('j-tight'));
   assert.ok(of);
   const machine = {
@@ -78,24 +78,24 @@
 }
 
 test('tasks that may be on a machine count against a team limit; exited tasks and other teams do not', () => {
-  const belief = beliefListing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
-  belief.recordStart(taskKey(jobId('j-tight'), 2), attempt(2));
-  const { use, unknown } = computeTeamUse(TEAMS, [onMachine(belief)], specOf);
+  const tracker = trackerListing(['j-tight', 0, 'running'], ['j-tight', 1, 'exited'], ['j-free', 0, 'running']);
+  tracker.recordStart(taskKey(jobId('j-tight'), 2), attempt(2));
+  const { use, unknown } = computeTeamUse(TEAMS, [onMachine(tracker)], specOf);
   assert.deepEqual([...use], [['tight', { cpus: 2, gpus: 0, cpusMax: 4, gpusMax: 0 }]]);
   assert.equal(unknown, 0);
-  assert.equal(countStarts(belief), 2);
-  assert.equal(countStarts(beliefListing()), 4);
+  assert.equal(countStarts(tracker), 2);
+  assert.equal(countStarts(trackerListing()), 4);
 });
 
 test('teams with a limit start nothing while a task of an unknown job, of any team and size, may be running', () => {
   // The job was cancelled before the claim. The worker acknowledged the new token but hung before executing the stop.
-  const stuck = beliefListing(['j-cancelled', 0, 'running']);
+  const stuck = trackerListing(['j-cancelled', 0, 'running']);
   assert.equal(countStarts(stuck), 0);
-  assert.equal(countStarts(beliefListing(), stuck), 0);
-  const pending = beliefListing();
+  assert.equal(countStarts(trackerListing(), stuck), 0);
+  const pending = trackerListing();
   pending.recordStart(taskKey(jobId('j-cancelled'), 0), attempt(3));
   assert.equal(countStarts(pending), 0);
-  assert.equal(countStarts(beliefListing(['j-cancelled', 0, 'exited'])), 4);
+  assert.equal(countStarts(trackerListing(['j-cancelled', 0, 'exited'])), 4);
   // Its lease has expired, so no task is on the machine.
   stuck.expireLease();
   assert.equal(countStarts(stuck), 4);
--- a/test/worker-tracker.test.ts
+++ b/test/worker-tracker.test.ts
@@ -86,7 +86,7 @@
     const tracker = this.trackers[machine];
     assert.ok(tracker);
     if (this.missing.has(machine)) return;
-    if (tracker.applyReport(message, millis(this.now)) === 'taken') this.lost.delete(machine);
+    if (tracker.applyReport(message, millis(this.now)) === 'applied') this.lost.delete(machine);
     if (tracker.fenced) this.unfenced.delete(machine);
   }
 
@@ -134,7 +134,7 @@
     const starts = packet.orders.filter((o) => o.op === 'start').map((o) => o.key);
     // As in CommandSender.send.
     const verdict = tracker.applyAnswer(answer.message, packet.sent, millis(this.now));
-    if (verdict === 'taken') this.lost.delete(packet.machine);
+    if (verdict === 'applied') this.lost.delete(packet.machine);
     if (verdict !== 'stale') tracker.settleStarts(starts);
     else if (starts.length > 0) tracker.raiseToken();
     if (tracker.fenced) this.unfenced.delete(packet.machine);
@@ -167,7 +167,7 @@
     }
     this.take(machine, message);
     worker.onReply(tracker.token, []);
-    tracker.answered(millis(this.now));
+    tracker.recordLeaseRenewal(millis(this.now));
     this.answeredAt[machine] = this.now;
   }
 
@@ -282,7 +282,7 @@
   const tracker = new WorkerTracker(revision(5), millis(0));
   worker.onReply(tracker.token, []);
   tracker.applyReport(worker.report(), millis(1));
-  tracker.answered(millis(1));
+  tracker.recordLeaseRenewal(millis(1));
   // Cut off for three leases: the worker's sessions expire and begin without the holder's knowledge. Then a command
   // reaches the worker.
   worker.expire();
@@ -305,7 +305,7 @@
   const tracker = new WorkerTracker(revision(5), millis(0));
   const first = worker.report();
   worker.onReply(tracker.token, [{ op: 'start', key: KEYS[0] as TaskKey, attempt: attempt(1) }]);
-  assert.equal(tracker.applyReport(worker.report(), millis(1)), 'taken');
+  assert.equal(tracker.applyReport(worker.report(), millis(1)), 'applied');
   assert.equal(tracker.applyReport(first, millis(2)), 'stale');
   assert.ok(tracker.mayHaveTask(KEYS[0] as TaskKey));
   worker.onReply(new WorkerTracker(revision(6), millis(0)).token, []);
