--- a/src/holder/held-shard.ts
+++ b/src/holder/held-shard.ts
@@ -35,7 +35,10 @@
 export class HeldShardState {
   readonly members: BlockMembers;
   readonly jobs = new Map<JobId, JobRun>();
-  /** Index of machines by task and job, because a scan of a block would visit hundreds of machines and thousands of tasks. */
+  /**
+   * Index of machines by task and job, because a scan of a block would visit hundreds of machines and thousands of
+   * tasks.
+   */
   readonly taskIndex = new TaskIndex();
   /** Ended jobs whose tasks may still be on a machine. */
   readonly endedRuns = new Set<JobRun>();
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -183,7 +183,7 @@
   }
 
   /**
-   * Whether the shard can change holders without disruption: its machines are all fenced, heard recently and have no
+   * Whether the shard can change holders without disruption: its machines are all fenced, sent a message recently and have no
    * pending orders.
    */
   get canBeHandedOver(): boolean {
--- a/src/holder/shard-holder.ts
+++ b/src/holder/shard-holder.ts
@@ -166,7 +166,9 @@
     }
   }
 
-  /** Sends orders to a worker, or an empty command as a probe when it is unfenced, silent or sends only stale messages. */
+  /**
+   * Sends orders to a worker, or an empty command as a probe when it is unfenced or silent or sends only stale messages.
+   */
   private sendOrders(machine: HeldMachine, orders: Order[], now: Millis): void {
     const { tracker, commandSender } = machine;
     if (machine.isMissing) return;
