--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Whether the shard can change holders without disruption: its machines are all fenced, sent a message recently and have no
-   * pending orders.
+   * Whether the shard can change holders without disruption: its machines are all fenced, have sent a message recently
+   * and have no pending orders.
    */
   get canBeHandedOver(): boolean {
     if (!this.held.fenced) return false;
