--- a/src/admin/settings.ts
+++ b/src/admin/settings.ts
@@ -8,7 +8,7 @@
  * Settings that operators change at run time. Stored in the state service; every node follows them through its watch.
  */
 export interface OperatorSettings {
-  /** Parameters of the speculation threshold. */
+  /** Parameters of the straggler threshold. */
   readonly tunables: Tunables;
   /** Ids of machines on which no task is started. */
   readonly cordoned: ReadonlySet<string>;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -136,7 +136,7 @@
   .description('show team limits: how they are divided between shards, and what each shard uses and waits for')
   .action((options: { node: string }) => sendRequest(options.node, { method: 'GET', path: '/admin/v1/quotas' }));
 withNode(admin.command('tune'))
-  .description('set tunables of the speculation threshold, such as alpha=0.4 mu=0.6')
+  .description('set tunables of the straggler threshold, such as alpha=0.4 mu=0.6')
   .argument('<assignments...>')
   .action((assignments: string[], options: { node: string }) => {
     const body = Object.fromEntries(
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -112,8 +112,11 @@
     readonly reportMs: number;
     /** Duration of a worker's lease. */
     readonly leaseMs: number;
+    /** Until its gang has started, a member waits this long for the other members and then exits. */
     readonly gangWaitMs: number;
+    /** After a member of a running gang is lost or stopped, the other members exit within this time. */
     readonly gangPeerMs: number;
+    /** A cancelled job must be off all machines within this time after its user was told of the cancellation. */
     readonly cancelMs: number;
   };
   /** Limits of the state service. */
--- a/src/kernel/branded-types.ts
+++ b/src/kernel/branded-types.ts
@@ -21,7 +21,7 @@
 /** Revision of the state service; a key's version is the revision of its last change. */
 export type Revision = Brand<number, 'Revision'>;
 /** Fencing token of a machine. */
-export type FencingToken = Brand<number, 'Token'>;
+export type FencingToken = Brand<number, 'FencingToken'>;
 /** Attempt number of a task. */
 export type Attempt = Brand<number, 'Attempt'>;
 /** Number of a worker's session. */
--- a/src/kernel/socket-budget.ts
+++ b/src/kernel/socket-budget.ts
@@ -5,9 +5,10 @@
 }
 
 /**
- * Limits the number of connections that a process has open to many machines at once. Beyond `most`, the connection that
- * has been idle longest is closed for a new one; while none is idle, callers must not open one. Without the limit, a
- * controller that takes over the machines of its peers runs out of sockets and treats healthy machines as unresponsive.
+ * Limits the number of connections that a process has open to many machines at once. Beyond `maxOpen`, the connection
+ * that has been idle longest is closed for a new one; while none is idle, callers must not open one. Without the limit,
+ * a controller that takes over the machines of its peers runs out of sockets and treats healthy machines as
+ * unresponsive.
  */
 export class SocketBudget {
   private openCount = 0;
@@ -16,18 +17,18 @@
 
   constructor(
     /** Maximum number of open connections. */
-    readonly most: number,
+    readonly maxOpen: number,
   ) {}
 
   /** True when another connection may be opened now. */
   get hasRoom(): boolean {
-    return this.openCount < this.most || this.idle.size > 0;
+    return this.openCount < this.maxOpen || this.idle.size > 0;
   }
 
   /** Counts a new connection and closes the longest idle one when the budget is exceeded. */
   recordOpened(): void {
     this.openCount += 1;
-    if (this.openCount <= this.most) return;
+    if (this.openCount <= this.maxOpen) return;
     const [longestIdle] = this.idle;
     longestIdle?.end('closed to stay within the socket budget');
   }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -85,7 +85,7 @@
 export interface PeerCondition {
   /** The node gets responses from the state service. */
   readonly stateOk: boolean;
-  /** The node reaches the workers, as far as it knows. */
+  /** The node can reach the workers, as far as it knows. */
   readonly fit: boolean;
   /** The node is draining: its operator is about to stop it, and it accepts no new work. */
   readonly leaving: boolean;
@@ -141,7 +141,7 @@
     }
   /** Acknowledges 'withdrawn': this incarnation of the sender starts no more tasks of the job and stops running ones. */
   | { readonly kind: 'heard'; readonly job: JobId; readonly incarnation: Incarnation }
-  /** Periodic message to one peer, see `PeerSync`. */
+  /** Periodic heartbeat to one peer, see `Heartbeat`. */
   | ({ readonly kind: 'word' } & PeerSync)
   /** Usage and demand of teams with a limit in a shard, from which the shares of the limits are computed. */
   | {
@@ -181,7 +181,7 @@
 }
 
 /**
- * Periodic message to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can date
+ * Periodic heartbeat to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can date
  * the message: it was sent after the echoed time and counts as no newer than that, however late it arrives.
  */
 export interface PeerSync {
@@ -236,7 +236,8 @@
 function encodeFields(m: PeerMessage, w: FrameWriter): FrameWriter {
   switch (m.kind) {
     case 'hello':
-      // Version 2 has no flag for leaving. A node that is not fit gets no work either, so it is announced as not fit.
+      // Version 2 has no flag for leaving. A leaving node is announced as one that can't reach the workers, because
+      // such a node gets no work either.
       if (!w.supportsExtensions)
         return w
           .text(m.node)
--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -24,7 +24,10 @@
   type Op,
 } from './wire.js';
 
-/** Priority of a queued write while the rate of changes is limited; the lowest value is sent first. */
+/**
+ * Priority of a queued write while the rate of changes is limited; the lowest value is sent first. The most urgent
+ * writes are those of membership: the node lease, the election, and claims and releases of shards.
+ */
 export const Urgency = { session: 0, final: 1, accept: 2, shard: 3, progress: 4 } as const;
 export type Urgency = (typeof Urgency)[keyof typeof Urgency];
 
@@ -98,14 +101,14 @@
 
   constructor(
     address: Address,
-    facts: StateServiceLimits,
+    configured: StateServiceLimits,
     private readonly log: Logger,
     private readonly runtime: Runtime,
   ) {
     this.http = new HttpClient(address, 8, runtime);
     this.watchHttp = new HttpClient(address, 2, runtime);
-    this.limits = new EffectiveStateLimits(facts);
-    this.allowance = facts.writeRps / 2;
+    this.limits = new EffectiveStateLimits(configured);
+    this.allowance = configured.writeRps / 2;
     this.allowanceUpdatedAt = runtime.now();
     this.lastSuccessAt = runtime.now();
   }
@@ -126,7 +129,7 @@
     return this.lastSuccessAt;
   }
 
-  /** Reads a key. Calls for the same key share one request as oversized as that request has not been sent. */
+  /** Reads a key. Calls for the same key share one request as long as that request has not been sent. */
   async get(key: string): Promise<ReadResult> {
     const shared = this.reads.get(key);
     if (shared) return shared;
@@ -198,7 +201,7 @@
   ): Promise<{ changes: Change[]; revision: Revision } | 'gone' | null> {
     const answer = await this.watchHttp.call({
       method: 'GET',
-      path: requestPaths.follow(prefix, after, waitMs),
+      path: requestPaths.watch(prefix, after, waitMs),
       timeoutMs: waitMs + 4000,
       maxResponseBytes: 32 * 1024 * 1024,
     });
@@ -317,7 +320,7 @@
         if (this.allowance >= 0) this.limits.recordRateRefusal(this.runtime.now());
         if (this.limits.fallen && !before) this.logLowerLimits();
         this.allowance = Math.min(this.allowance, 0);
-        // Staggered retries: session and final writes are sent before the others.
+        // Staggered retries: membership and final writes are sent before the others.
         await this.runtime.sleep(queued.urgency <= Urgency.final ? 100 : 200);
         continue;
       }
@@ -329,7 +332,7 @@
   /** Switches to the lower limits, after this node or a peer has noticed that they are in force. */
   fallen(): void {
     if (this.limits.fallen) return;
-    this.limits.lower();
+    this.limits.applyLowerLimits();
     if (this.limits.fallen) this.logLowerLimits();
   }
 
--- a/src/state/limits.ts
+++ b/src/state/limits.ts
@@ -23,40 +23,40 @@
  */
 export class EffectiveStateLimits {
   private refusals: Millis[] = [];
-  private lowered = false;
+  private lowerInForce = false;
 
-  constructor(private readonly facts: StateServiceLimits) {}
+  constructor(private readonly configured: StateServiceLimits) {}
 
   /** True once the lower limits are known to be in force. */
   get fallen(): boolean {
-    return this.lowered;
+    return this.lowerInForce;
   }
 
   /** Requests per second. */
   get rps(): number {
-    return this.facts.rps;
+    return this.configured.rps;
   }
 
   /** Changes per second, over all controllers. */
   get writeRps(): number {
-    const { writeRps, next } = this.facts;
-    return this.lowered && next ? Math.min(writeRps, next.writeRps) : writeRps;
+    const { writeRps, next } = this.configured;
+    return this.lowerInForce && next ? Math.min(writeRps, next.writeRps) : writeRps;
   }
 
   /** Largest value in bytes that is valid under the current and the lower limits. */
   get maxValueBytes(): number {
-    return 1024 * Math.min(this.currentMaxValueKb, this.facts.next?.valueKb ?? Infinity);
+    return 1024 * Math.min(this.currentMaxValueKb, this.configured.next?.valueKb ?? Infinity);
   }
 
   /** Largest value in KiB under the current limits, for records that older releases must read. */
   get currentMaxValueKb(): number {
-    const { valueKb = Infinity, next } = this.facts;
-    return this.lowered && next ? Math.min(valueKb, next.valueKb) : valueKb;
+    const { valueKb = Infinity, next } = this.configured;
+    return this.lowerInForce && next ? Math.min(valueKb, next.valueKb) : valueKb;
   }
 
   /** Changes per transaction that are valid under the current and the lower limits. */
   get txnOps(): number {
-    return Math.min(this.facts.txnOps ?? Infinity, this.facts.next?.txnOps ?? Infinity);
+    return Math.min(this.configured.txnOps ?? Infinity, this.configured.next?.txnOps ?? Infinity);
   }
 
   /** Guards per transaction that are valid under the current and the lower limits. */
@@ -67,11 +67,11 @@
   /** Counts a 429 for changes that were within this process's share; several in the window lower the limits. */
   recordRateRefusal(now: Millis): void {
     this.refusals = [...this.refusals.filter((at) => now - at < REFUSAL_WINDOW_MS), now].slice(-REFUSALS_TO_LOWER);
-    if (this.refusals.length >= REFUSALS_TO_LOWER) this.lower();
+    if (this.refusals.length >= REFUSALS_TO_LOWER) this.applyLowerLimits();
   }
 
   /** Applies the lower limits: the service refused a value or transaction of valid size, or a peer has noticed. */
-  lower(): void {
-    if (this.facts.next) this.lowered = true;
+  applyLowerLimits(): void {
+    if (this.configured.next) this.lowerInForce = true;
   }
 }
--- a/src/state/mirror.ts
+++ b/src/state/mirror.ts
@@ -26,7 +26,7 @@
   /** Number of changes applied to each directory. */
   private readonly generations = new Map<string, number>();
   /** The watch has shown every change up to this revision; undefined before the first load. */
-  private at: Revision | undefined;
+  private seenRevision: Revision | undefined;
   private stopped = false;
   private readonly watchLag: WatchLag;
   private waiters: { readonly upTo: Revision; readonly resolve: (fresh: boolean) => void }[] = [];
@@ -47,12 +47,12 @@
 
   /** True once the first list is complete. */
   get loaded(): boolean {
-    return this.at !== undefined;
+    return this.seenRevision !== undefined;
   }
 
-  /** The watch has shown every change up to this revision, in order. */
+  /** The watch has shown every change up to this revision, in order; 0 before the first load. */
   get seenUpTo(): Revision {
-    return this.at ?? revision(0);
+    return this.seenRevision ?? revision(0);
   }
 
   /** The entry of a key, if the mirror has one. */
@@ -72,7 +72,7 @@
 
   /** Waits until the watch has shown every change up to a revision; false when that takes longer than `withinMs`. */
   reach(upTo: Revision, withinMs: number): Promise<boolean> {
-    if (this.at !== undefined && this.at >= upTo) return Promise.resolve(true);
+    if (this.seenRevision !== undefined && this.seenRevision >= upTo) return Promise.resolve(true);
     this.watchLag.observe(upTo, this.runtime.now());
     return new Promise((resolve) => {
       const waiter = {
@@ -92,13 +92,13 @@
 
   /** Updates the lag and resolves the waiters whose revision has been reached. */
   private onRevisionReached(): void {
-    const { at } = this;
-    if (at === undefined) return;
-    this.watchLag.advance(at, this.runtime.now());
+    const { seenRevision } = this;
+    if (seenRevision === undefined) return;
+    this.watchLag.advance(seenRevision, this.runtime.now());
     if (this.waiters.length === 0) return;
-    const reached = this.waiters.filter((w) => w.upTo <= at);
+    const reached = this.waiters.filter((w) => w.upTo <= seenRevision);
     if (reached.length === 0) return;
-    this.waiters = this.waiters.filter((w) => w.upTo > at);
+    this.waiters = this.waiters.filter((w) => w.upTo > seenRevision);
     for (const waiter of reached) waiter.resolve(true);
   }
 
@@ -116,7 +116,7 @@
       listed.entries.map((e) => ({ key: e.key, value: e.value, removed: false, version: e.version })),
     );
     // Set only after everything is applied: `loaded` promises a complete mirror.
-    this.at = listed.revision;
+    this.seenRevision = listed.revision;
     this.onRevisionReached();
     return true;
   }
@@ -139,7 +139,7 @@
    * applying it would restore a job that users have been told is over.
    */
   apply(change: Change): void {
-    if (this.at !== undefined && change.version <= this.at) return;
+    if (this.seenRevision !== undefined && change.version <= this.seenRevision) return;
     this.watchLag.observe(change.version, this.runtime.now());
     this.applyIfNewer(change);
   }
@@ -175,14 +175,14 @@
     }
   }
 
-  /** Loads the mirror and follows the watch until `stop` is called. Reloads when the watch is too far behind. */
+  /** Loads the mirror and applies changes from the watch until `stop`. Reloads when the watch is too far behind. */
   async run(): Promise<void> {
     while (!this.stopped) {
-      if (this.at === undefined) {
+      if (this.seenRevision === undefined) {
         if (!(await this.load())) await this.runtime.sleep(300);
         continue;
       }
-      const page = await this.client.follow(this.prefix, this.at, 10_000);
+      const page = await this.client.follow(this.prefix, this.seenRevision, 10_000);
       if (page === 'gone') {
         this.log.info('the watch is too far behind, listing all keys again');
         if (!(await this.load())) await this.runtime.sleep(300);
@@ -193,9 +193,9 @@
         continue;
       }
       await this.applyAll(page.changes);
-      if (page.revision > this.at) this.at = page.revision;
+      if (page.revision > this.seenRevision) this.seenRevision = page.revision;
       this.onRevisionReached();
-      for (const [key, at] of this.tombstones) if (at <= this.at) this.tombstones.delete(key);
+      for (const [key, removedAt] of this.tombstones) if (removedAt <= this.seenRevision) this.tombstones.delete(key);
       if (page.changes.length > 0) await this.runtime.sleep(WATCH_REOPEN_DELAY_MS);
     }
   }
--- a/src/state/watch-lag.ts
+++ b/src/state/watch-lag.ts
@@ -20,7 +20,7 @@
   /** The first known revision that the watch has not shown, and since when it is known. */
   private firstMissing: { readonly revision: number; readonly since: Millis } | null = null;
   /** True from a logged warning until the watch shows the first missing revision. */
-  private told = false;
+  private warned = false;
 
   constructor(private readonly log: Pick<Logger, 'info' | 'warn'>) {}
 
@@ -29,8 +29,8 @@
     this.newest = Math.max(this.newest, revision);
     if (revision > this.seenUpTo) this.firstMissing ??= { revision, since: now };
     const status = this.status(now);
-    if (this.told || status.behindMs < WARN_AFTER_MS) return;
-    this.told = true;
+    if (this.warned || status.behindMs < WARN_AFTER_MS) return;
+    this.warned = true;
     this.log.warn(status, 'the watch of the state service is behind: this node works on stale data');
   }
 
@@ -40,8 +40,8 @@
     if (this.firstMissing === null || this.firstMissing.revision > this.seenUpTo) return;
     const { behindMs } = this.status(now);
     this.firstMissing = this.newest > this.seenUpTo ? { revision: this.newest, since: now } : null;
-    if (!this.told) return;
-    this.told = false;
+    if (!this.warned) return;
+    this.warned = false;
     this.log.info(
       { seenUpTo: this.seenUpTo, newest: this.newest, behindMs },
       'the watch of the state service is advancing again',
--- a/src/state/wire.ts
+++ b/src/state/wire.ts
@@ -102,12 +102,12 @@
   return id ?? null;
 }
 
-/** Request requestPaths of the state service. */
+/** Request paths of the state service. */
 export const requestPaths = {
   get: (key: string): string => `/store/${key}`,
   list: (prefix: string, after: string): string =>
     `/store?under=${encodeURIComponent(prefix)}&most=500${after === '' ? '' : `&after=${encodeURIComponent(after)}`}`,
-  follow: (prefix: string, after: number, waitMs: number): string =>
+  watch: (prefix: string, after: number, waitMs: number): string =>
     `/follow?under=${encodeURIComponent(prefix)}&after=${after}&wait_ms=${waitMs}`,
   txn: '/txn',
   leases: '/leases',
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -113,7 +113,7 @@
   });
 }
 
-test('a hello of version 2 announces a leaving node as not fit, so that peers give it no work', () => {
+test('a hello of version 2 announces a leaving node as unable to reach the workers, so that peers give it no work', () => {
   const [leaving] = version3Examples;
   assert.ok(leaving?.kind === 'hello');
   const read = decodeMessage(encodeMessage(leaving, OLDEST_FRAME_VERSION).subarray(4));
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -278,7 +278,7 @@
   assert.ok(tooLong.kind === 'malformed' && tooLong.reason.includes('too long'));
 });
 
-test('a refused write reveals lowered limits, and the client then sends no value that is too large', async () => {
+test('a refused write reveals that the lower limits are in force, and the client then sends no value that is too large', async () => {
   const runtime = lab.process(`10.0.0.${++nodeCount}`);
   const facts = { rps: 1000, writeRps: 40, valueKb: 4, txnOps: 16, next: { writeRps: 20, valueKb: 1, txnOps: 5 } };
   const client = new StateClient(address, facts, log, runtime);
