--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -107,8 +107,8 @@
   /** Sent first on a new connection, then periodically and when the condition changes. */
   | ({ readonly kind: 'hello'; readonly node: NodeName; readonly incarnation: Incarnation } & PeerCondition)
   /**
-   * Sent by the accepting side in response to the first hello: the latest frame version that it reads. Programs that know
-   * only version 2 never read from a connection that they opened.
+   * Sent by the accepting side in response to the first hello: the latest frame version that it reads. Programs that
+   * know only version 2 never read from a connection that they opened.
    */
   | { readonly kind: 'welcome'; readonly node: NodeName; readonly incarnation: Incarnation; readonly frames: number }
   /** Periodic report of a shard holder. */
