--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -294,19 +294,10 @@
     this.readFrames(socket, from, (message) => {
       if (message.kind === 'hello') {
         if (from === undefined) socket.write(encodeMessage(this.welcomeMessage(), FRAME_VERSION));
-        const {
-          node,
-          incarnation: senderIncarnation,
-          stateOk,
-          fit,
-          leaving,
-          release,
-          features,
-          limitsFallen,
-        } = message;
+        const { node, incarnation, stateOk, fit, leaving, release, features, limitsFallen } = message;
         const condition = {
           node,
-          incarnation: senderIncarnation,
+          incarnation,
           stateOk,
           fit,
           leaving,
