--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -53,7 +53,7 @@
   readonly cloud: CloudClient;
   readonly runtime: Runtime;
   readonly log: Logger;
-  /** Event log of this node; null when events are not recorded. */
+  /** Event trail of this node; null when events are not recorded. */
   readonly trail: Trail | null;
   /** How far the cloud's list of machines may lag behind its actual state, in milliseconds. */
   readonly listLagMs: number;
@@ -62,7 +62,7 @@
   leaderTerm(): Revision | null;
   /** Returns the latest summary that each shard's holder has sent. */
   summaries(): readonly ShardSummary[];
-  /** Returns jobs whose prerequisites are expected to finish soon. */
+  /** Returns jobs whose dependencies are expected to be done soon. */
   upcomingJobs(): readonly UpcomingJob[];
   /** Returns the machine types that the cloud offers, by name. */
   types(): ReadonlyMap<string, MachineType>;
@@ -87,17 +87,17 @@
   listedAt: Millis | null;
   phase: Rental['phase'];
   /** Its deletion has been requested, so it must not be leased. */
-  doomed: boolean;
+  deletionRequested: boolean;
 }
 
 const LIST_INTERVAL_MS = 2500;
 /** How long a kind of machine is not rented again after the cloud could not supply all that were requested. */
-const REFUSED_KIND_BACKOFF_MS = 15_000;
+const SOLD_OUT_KIND_BACKOFF_MS = 15_000;
 /** Minimum time between two transfer requests for the same machine. */
 const TRANSFER_RETRY_MS = 3000;
 /** How long a round waits for the watch to catch up before the round is skipped. */
 const CATCH_UP_TIMEOUT_MS = 1500;
-const MAX_PAGES_PER_TXN = 4;
+const MAX_PAGES_PER_REMOVAL_TXN = 4;
 /** Written in place of a page that does not exist yet. Its epoch 0 is one that no head record refers to. */
 const EMPTY_PAGE = encodePage(0, []);
 
@@ -110,9 +110,9 @@
   /** Machines known in this term, whether in a block or not. */
   private readonly known = new Map<MachineId, KnownMachine>();
   /** When the cloud last could not supply all requested machines of a kind, by the key of the kind. */
-  private readonly refused = new Map<string, Millis>();
+  private readonly soldOutKinds = new Map<string, Millis>();
   /** When a transfer or release of a machine was last requested from its holder, or a lost machine was deleted. */
-  private readonly asked = new Map<MachineId, Millis>();
+  private readonly lastRequestAt = new Map<MachineId, Millis>();
   /** When the holder was asked to release an idle machine that is to be returned to the cloud. */
   private readonly releaseAskedAt = new Map<MachineId, Millis>();
   /**
@@ -122,7 +122,7 @@
   private term: Revision | null = null;
   private lastListAt = millis(-1e9);
   /** Number of rent calls made by this process. */
-  private requests = 0;
+  private rentCalls = 0;
   /** When the current term was first seen here. */
   private startedAt: Millis;
   private listInFlight = false;
@@ -156,7 +156,7 @@
         address: '',
         listedAt: null,
         phase: 'booting',
-        doomed: false,
+        deletionRequested: false,
       };
       this.known.set(id, known);
     }
@@ -198,18 +198,23 @@
 
     const unleasedMachines: UnleasedMachine[] = [];
     for (const known of this.known.values()) {
-      if (this.isLeased(known.id) || known.doomed || known.phase === 'failed' || this.releaseAskedAt.has(known.id))
+      if (
+        this.isLeased(known.id) ||
+        known.deletionRequested ||
+        known.phase === 'failed' ||
+        this.releaseAskedAt.has(known.id)
+      )
         continue;
       const up = known.reportedAt !== null && now - known.reportedAt < 10_000;
       unleasedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
     }
-    for (const [key, at] of this.refused) if (now - at > REFUSED_KIND_BACKOFF_MS) this.refused.delete(key);
+    for (const [key, at] of this.soldOutKinds) if (now - at > SOLD_OUT_KIND_BACKOFF_MS) this.soldOutKinds.delete(key);
     const plan = planLeases({
       shards: summaries,
       unleased: unleasedMachines,
       types: this.deps.types(),
       specOf: this.specOf,
-      refused: new Set(this.refused.keys()),
+      refused: new Set(this.soldOutKinds.keys()),
       headroom: this.serviceHeadroom(),
       upcoming: this.deps.upcomingJobs(),
       ...LEASE_POLICY,
@@ -262,8 +267,8 @@
     shards: ReadonlyMap<ShardName, KnownShard>,
     now: Millis,
   ): void {
-    if (now - (this.asked.get(machine) ?? -1e9) < TRANSFER_RETRY_MS) return;
-    this.asked.set(machine, now);
+    if (now - (this.lastRequestAt.get(machine) ?? -1e9) < TRANSFER_RETRY_MS) return;
+    this.lastRequestAt.set(machine, now);
     const holder = shards.get(from)?.value.holder;
     if (holder !== undefined) this.deps.sendToPeer(holder, { kind: 'transfer', machine, to });
   }
@@ -404,7 +409,7 @@
     for (const id of ids) {
       this.markDeleted(id);
       this.deps.trail?.record({ kind: 'returned', machine: id, why: 'lost or faulty' });
-      this.asked.set(id, now);
+      this.lastRequestAt.set(id, now);
     }
     await this.removeFromBlocks(new Set(ids));
   }
@@ -419,7 +424,7 @@
       if (changes.length === 0) return;
       // Whole records are written one per transaction: several of them may exceed the transaction's size limit.
       const whole = changes.some(({ ops }) => ops.some((op) => 'put' in op && !op.put.startsWith(PAGES_PREFIX)));
-      const changesPerTxn = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, MAX_PAGES_PER_TXN));
+      const changesPerTxn = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, MAX_PAGES_PER_REMOVAL_TXN));
       for (let at = 0; at < changes.length; at += changesPerTxn) {
         const term = this.deps.leaderTerm();
         if (term === null) return;
@@ -450,7 +455,7 @@
       const releaseAsked = now - (this.releaseAskedAt.get(known.id) ?? -1e9) < 60_000;
       const neverUp = known.phase === 'booting' && known.reportedAt === null && ageS > bootS * 3.5 + 10;
       const silent = known.phase === 'running' && silentS > 25;
-      if (releaseAsked || neverUp || silent || known.phase === 'failed' || known.doomed) ids.push(known.id);
+      if (releaseAsked || neverUp || silent || known.phase === 'failed' || known.deletionRequested) ids.push(known.id);
     }
     for (const [id, at] of this.releaseAskedAt) if (now - at > 60_000) this.releaseAskedAt.delete(id);
     if (ids.length === 0 || !this.deps.cloud.canCall()) return;
@@ -458,7 +463,7 @@
     // The machines may be deleted from the moment of the request, so they are not leased any more.
     for (const id of batch) {
       const known = this.known.get(id);
-      if (known) known.doomed = true;
+      if (known) known.deletionRequested = true;
     }
     if (!(await this.deps.cloud.returnMachines(batch))) return;
     this.deps.log.info({ machines: batch, term: this.term }, 'returned unleased machines to the cloud');
@@ -471,31 +476,31 @@
   }
 
   /** Rents machines from the cloud as planned, within its call rate and as long as the term lasts. */
-  private async rentMachines(wishes: readonly PlannedRent[], term: Revision): Promise<void> {
+  private async rentMachines(rents: readonly PlannedRent[], term: Revision): Promise<void> {
     if (this.rentInFlight) return;
     this.rentInFlight = true;
     try {
       // A request above the limit of one call is split into several calls. The kinds take turns, so that each gets some
       // calls when the call rate is limited.
-      for (const wish of splitIntoCalls(wishes)) {
-        if (this.refused.has(machineKindKey(wish.type, wish.zone, wish.spot))) continue;
+      for (const rent of splitIntoCalls(rents)) {
+        if (this.soldOutKinds.has(machineKindKey(rent.type, rent.zone, rent.spot))) continue;
         if (!this.deps.cloud.canCall() || this.deps.leaderTerm() !== term) return;
-        this.requests += 1;
+        this.rentCalls += 1;
         // The term is a revision and the counter only grows, so a name is never used twice.
-        const name = `w${term}-${this.requests}`;
-        const result = await this.deps.cloud.rent({ ...wish, name });
+        const name = `w${term}-${this.rentCalls}`;
+        const result = await this.deps.cloud.rent({ ...rent, name });
         const now = this.deps.runtime.now();
         if (result.kind === 'rented') {
-          const { type, zone, spot } = wish;
+          const { type, zone, spot } = rent;
           for (const id of result.ids) {
             this.getOrAddMachine(id, type, zone, spot, now);
             this.deps.trail?.record({ kind: 'rented', machine: id, type, zone, spot });
           }
-          this.deps.log.info({ ...wish, got: result.ids.length }, 'rented machines');
+          this.deps.log.info({ ...rent, got: result.ids.length }, 'rented machines');
         }
-        if (result.kind === 'no-capacity' || (result.kind === 'rented' && result.ids.length < wish.count)) {
-          this.refused.set(machineKindKey(wish.type, wish.zone, wish.spot), now);
-          const { type, zone, spot, count: wanted } = wish;
+        if (result.kind === 'no-capacity' || (result.kind === 'rented' && result.ids.length < rent.count)) {
+          this.soldOutKinds.set(machineKindKey(rent.type, rent.zone, rent.spot), now);
+          const { type, zone, spot, count: wanted } = rent;
           const got = result.kind === 'rented' ? result.ids.length : 0;
           this.deps.trail?.record({ kind: 'short', type, zone, spot, wanted, got });
         }
--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -89,7 +89,7 @@
   /** Shard that holds the job; null if none does yet. */
   readonly shard: ShardName | null;
   /** Number of tasks that still lack a slot; lowered as capacity is allocated. */
-  slots: number;
+  unplacedTasks: number;
   /** Estimated run time of one task, in seconds. */
   readonly runS: number;
   /** Seconds until the job has to start to meet its objective; negative if it is late. */
@@ -148,11 +148,11 @@
   if (!allowsMachine(demand.spec, { type: s.type.name, zone: s.zone, spot: s.spot })) return 0;
   // Machines with free accelerators are reserved for jobs that need accelerators, or that may borrow their cpus.
   if (demand.spec.gpus <= 0 && s.gpus > EPSILON && !mayUseReserve(demand.spec)) return 0;
-  const slots = Math.min(demand.slots, slotsThatFit(demand.spec, s));
+  const slots = Math.min(demand.unplacedTasks, slotsThatFit(demand.spec, s));
   s.cpus -= slots * demand.spec.cpus;
   s.gpus -= slots * demand.spec.gpus;
   s.memoryGb -= slots * demand.spec.memoryGb;
-  demand.slots -= slots;
+  demand.unplacedTasks -= slots;
   return slots;
 }
 
@@ -170,7 +170,7 @@
         // The holder knows the priority that a job inherits from the jobs that depend on it.
         spec: d.priority > spec.priority ? { ...spec, priority: d.priority as Priority } : spec,
         shard: shard.shard,
-        slots: d.missing,
+        unplacedTasks: d.missing,
         runS: Math.max(1, d.estimateS),
         slackS: d.slackS,
       });
@@ -241,7 +241,7 @@
     if (!type || !machine.empty) continue;
     const capacity = totalCapacity(type, machine.zone, machine.spot);
     for (const demand of upcoming)
-      if (demand.slots > 0 && allocateSlots(demand, capacity) > 0) keptForUpcoming.add(machine.id);
+      if (demand.unplacedTasks > 0 && allocateSlots(demand, capacity) > 0) keptForUpcoming.add(machine.id);
   }
   const uncapped = demands.map((demand) => ({ ...demand }));
   capArrayDemand([...demands, ...upcoming], input, input.backlogTimeShare);
@@ -269,8 +269,8 @@
     if (!type || machine.ageS > type.bootS * 1.8 + 5) continue;
     const capacity = totalCapacity(type, machine.zone, machine.spot);
     const uncappedCapacity = { ...capacity };
-    for (const demand of [...demands, ...upcoming]) if (demand.slots > 0) allocateSlots(demand, capacity);
-    for (const demand of uncapped) if (demand.slots > 0) allocateSlots(demand, uncappedCapacity);
+    for (const demand of [...demands, ...upcoming]) if (demand.unplacedTasks > 0) allocateSlots(demand, capacity);
+    for (const demand of uncapped) if (demand.unplacedTasks > 0) allocateSlots(demand, uncappedCapacity);
   }
 
   // Free capacity for services: capacity on any machine counts, and partly used machines are filled first.
@@ -299,16 +299,16 @@
     const needs = input.headroom.map((spec): JobDemand => ({
       spec,
       shard: null,
-      slots: spec.tasks,
+      unplacedTasks: spec.tasks,
       runS: 1,
       slackS: 0,
     }));
     for (const demand of needs)
-      for (const capacity of capacities) if (demand.slots > 0) allocateSlots(demand, capacity);
-    return needs.filter((demand) => demand.slots > 0);
+      for (const capacity of capacities) if (demand.unplacedTasks > 0) allocateSlots(demand, capacity);
+    return needs.filter((demand) => demand.unplacedTasks > 0);
   };
 
-  const waiting = [...demands, ...gangs, ...upcoming].filter((demand) => demand.slots > 0);
+  const waiting = [...demands, ...gangs, ...upcoming].filter((demand) => demand.unplacedTasks > 0);
   const released = new Set<MachineId>();
   let headroomChecks = 0;
   const longIdle = stillIdle
@@ -343,7 +343,7 @@
   capArrayDemand(uncapped, input, input.backlogTimeShare * 1.5);
   for (const demand of uncapped) {
     const left = demands.find((w) => w.spec === demand.spec);
-    demand.slots = demand.spec.kind === 'array' ? Math.min(demand.slots, left?.slots ?? 0) : 0;
+    demand.unplacedTasks = demand.spec.kind === 'array' ? Math.min(demand.unplacedTasks, left?.unplacedTasks ?? 0) : 0;
     addRents(demand, input, rentsByKind, Infinity);
   }
   return { grants, transfers, rents: [...rentsByKind.values()], releases };
@@ -357,13 +357,13 @@
  * plan for 300 machines at the start of a day with a backlog was sent as one call for 50; as 50 came, fewer than
  * planned, the kind was treated as sold out.
  */
-export function splitIntoCalls(wishes: readonly PlannedRent[]): PlannedRent[] {
+export function splitIntoCalls(rents: readonly PlannedRent[]): PlannedRent[] {
   const calls: PlannedRent[] = [];
-  const most = Math.max(0, ...wishes.map((wish) => wish.count));
+  const most = Math.max(0, ...rents.map((rent) => rent.count));
   for (let done = 0; done < most; done += MAX_MACHINES_PER_CALL) {
-    for (const wish of wishes) {
-      const count = Math.min(MAX_MACHINES_PER_CALL, wish.count - done);
-      if (count > 0) calls.push({ ...wish, count });
+    for (const rent of rents) {
+      const count = Math.min(MAX_MACHINES_PER_CALL, rent.count - done);
+      if (count > 0) calls.push({ ...rent, count });
     }
   }
   return calls;
@@ -375,9 +375,9 @@
 /** Returns the demand of arrays that will be ready about when a machine that is rented now would be up. */
 function upcomingDemand(input: LeaseInput): JobDemand[] {
   const demands: JobDemand[] = [];
-  for (const { spec, readyInS: inS, slackS } of input.upcoming ?? []) {
-    if (spec.kind !== 'array' || inS > leadTimeS(spec, input) + RENT_AHEAD_S) continue;
-    demands.push({ spec, shard: null, slots: spec.tasks, runS: Math.max(1, spec.estimateS), slackS, readyInS: inS });
+  for (const { spec, readyInS, slackS } of input.upcoming ?? []) {
+    if (spec.kind !== 'array' || readyInS > leadTimeS(spec, input) + RENT_AHEAD_S) continue;
+    demands.push({ spec, shard: null, unplacedTasks: spec.tasks, runS: Math.max(1, spec.estimateS), slackS, readyInS });
   }
   return demands;
 }
@@ -397,19 +397,19 @@
       runningCpuSeconds += (r.running * spec.cpus * spec.estimateS) / 2;
     }
   }
-  const arrays = demands.filter((demand) => demand.spec.kind === 'array' && demand.slots > 0);
+  const arrays = demands.filter((demand) => demand.spec.kind === 'array' && demand.unplacedTasks > 0);
   const backlog = arrays.map((demand) => {
     const leadS = leadTimeS(demand.spec, input);
     // Work that is late already should be under way soon after the next machine is up.
     const earliestS = Math.max(leadS + demand.runS / 2, (demand.readyInS ?? 0) + demand.runS);
     const withinS = Math.max(earliestS, (demand.slackS + demand.runS) * timeShare);
-    return { cpuSeconds: demand.slots * demand.spec.cpus * demand.runS, withinS, leadS };
+    return { cpuSeconds: demand.unplacedTasks * demand.spec.cpus * demand.runS, withinS, leadS };
   });
   let missing = missingCpus(backlog, runningCpus, runningCpuSeconds);
   for (const demand of arrays) {
-    const slots = Math.min(demand.slots, Math.ceil(missing / Math.max(0.01, demand.spec.cpus)));
+    const slots = Math.min(demand.unplacedTasks, Math.ceil(missing / Math.max(0.01, demand.spec.cpus)));
     missing = Math.max(0, missing - slots * demand.spec.cpus);
-    demand.slots = slots;
+    demand.unplacedTasks = slots;
   }
 }
 
@@ -440,7 +440,7 @@
 
 /** Lowers the demand of gangs to the tasks that need machines beyond those that finishing gangs free. */
 function capGangDemand(demands: readonly JobDemand[], input: LeaseInput): void {
-  const gangs = demands.filter((demand) => demand.spec.kind === 'gang' && demand.slots > 0);
+  const gangs = demands.filter((demand) => demand.spec.kind === 'gang' && demand.unplacedTasks > 0);
   if (gangs.length === 0) return;
   let tasksPerS = 0;
   for (const shard of input.shards) {
@@ -453,15 +453,15 @@
   // counted on.
   const acceleratorGangs = gangs.filter((demand) => demand.spec.gpus > 0);
   let shortfall = gangTasksBeyondTurnover(
-    acceleratorGangs.map((demand) => ({ tasks: demand.slots, slackS: demand.slackS })),
+    acceleratorGangs.map((demand) => ({ tasks: demand.unplacedTasks, slackS: demand.slackS })),
     tasksPerS,
   );
   // The gangs with the nearest objectives wait for slots that become free; machines rented now are up in time for the
   // others.
   for (const demand of acceleratorGangs.sort((a, b) => b.slackS - a.slackS)) {
-    const slots = Math.min(demand.slots, shortfall);
+    const slots = Math.min(demand.unplacedTasks, shortfall);
     shortfall -= slots;
-    demand.slots = slots;
+    demand.unplacedTasks = slots;
   }
 }
 
@@ -501,7 +501,7 @@
 /** Returns the shard of the first demand that the capacity can serve, or null. */
 function shardToServe(demands: readonly JobDemand[], capacity: FreeCapacity): ShardName | null {
   for (const demand of demands) {
-    if (demand.slots <= 0 || demand.shard === null) continue;
+    if (demand.unplacedTasks <= 0 || demand.shard === null) continue;
     if (!allowsMachine(demand.spec, { type: capacity.type.name, zone: capacity.zone, spot: capacity.spot })) continue;
     if (demand.spec.gpus <= 0 && capacity.gpus > EPSILON && !mayUseReserve(demand.spec)) continue;
     if (slotsThatFit(demand.spec, capacity) > 0) return demand.shard;
@@ -511,7 +511,7 @@
 
 /** Allocates capacity to the demand of one shard. */
 function allocateToShard(demands: readonly JobDemand[], capacity: FreeCapacity, shard: ShardName): void {
-  for (const demand of demands) if (demand.slots > 0 && demand.shard === shard) allocateSlots(demand, capacity);
+  for (const demand of demands) if (demand.unplacedTasks > 0 && demand.shard === shard) allocateSlots(demand, capacity);
 }
 
 /**
@@ -520,7 +520,7 @@
  */
 function addRents(demand: JobDemand, input: LeaseInput, rents: Map<string, PlannedRent>, maxPriceRatio: number): void {
   const maxCpuPrice = maxPriceRatio === Infinity ? Infinity : lowestCpuPrice(demand.spec, input) * maxPriceRatio;
-  for (let tries = 0; tries < 40 && demand.slots > 0; tries++) {
+  for (let tries = 0; tries < 40 && demand.unplacedTasks > 0; tries++) {
     let best: { type: MachineType; zone: string; spot: boolean; slots: number } | null = null;
     let bestCost = Infinity;
     for (const type of input.types.values()) {
@@ -534,7 +534,7 @@
           const price = spot ? type.spotPrice : type.price;
           if (price / type.cpus > maxCpuPrice) continue;
           const alreadyPlanned = rents.get(key)?.count ?? 0;
-          const cost = price / Math.min(slots, demand.slots) + alreadyPlanned * 1e-6 * price;
+          const cost = price / Math.min(slots, demand.unplacedTasks) + alreadyPlanned * 1e-6 * price;
           if (cost < bestCost) {
             best = { type, zone, spot, slots };
             bestCost = cost;
@@ -545,6 +545,6 @@
     if (!best) return;
     const key = machineKindKey(best.type.name, best.zone, best.spot);
     rents.set(key, { type: best.type.name, zone: best.zone, spot: best.spot, count: (rents.get(key)?.count ?? 0) + 1 });
-    demand.slots -= best.slots;
+    demand.unplacedTasks -= best.slots;
   }
 }
--- a/src/leasing/routing.ts
+++ b/src/leasing/routing.ts
@@ -18,7 +18,7 @@
   /** Free cpus on the machines that have slots for the job. */
   readonly freeCpus: number;
   /** Estimated time to work off the queue ahead of the job, in seconds. */
-  readonly waiting: number;
+  readonly queueS: number;
   /** Number of tasks of a service that could start after preempting arrays; 0 for other jobs. */
   readonly slotsAfterPreemption: number;
   /** Number of machines, busy or not, whose kind the job may use and whose size suffices for a task. */
@@ -54,15 +54,15 @@
     if (m.images.includes(spec.image) || (!slowFetch && spec.kind !== 'service')) warmSlots += slotsOnMachine;
   }
   // Queued work of the same or a higher priority, per unit of the resource that the job uses.
-  let waiting = 0;
+  let queueS = 0;
   let queued = 0;
   for (const d of summary.demand) {
     if (d.gpus > 0 !== spec.gpus > 0 || d.priority < spec.priority) continue;
     const amount = d.missing * (spec.gpus > 0 ? d.gpus : d.cpus);
     queued += amount;
-    waiting += amount * Math.max(1, d.estimateS);
+    queueS += amount * Math.max(1, d.estimateS);
   }
-  waiting /= capacity + 1;
+  queueS /= capacity + 1;
   // Capacity that other jobs wait for is free only for a moment.
   if (spec.kind === 'array' && spec.cpus > 0) slots = Math.max(0, slots - Math.ceil(queued / spec.cpus));
   return {
@@ -70,7 +70,7 @@
     slots: Math.min(slots, spec.tasks),
     warmSlots: Math.min(warmSlots, slots, spec.tasks),
     freeCpus,
-    waiting,
+    queueS,
     machines,
     slotsAfterPreemption: Math.min(slotsAfterPreemption, spec.tasks),
   };
@@ -116,7 +116,7 @@
       // would never suffice.
       (spec.kind === 'gang' && a.slots < spec.tasks ? b.machines - a.machines : 0) ||
       b.warmSlots - a.warmSlots ||
-      (a.slots === 0 ? a.waiting - b.waiting : 0) ||
+      (a.slots === 0 ? a.queueS - b.queueS : 0) ||
       b.freeCpus - a.freeCpus ||
       Number(b.shard === own) - Number(a.shard === own) ||
       (a.shard < b.shard ? -1 : 1),
@@ -142,14 +142,14 @@
   const mostSlots = fits.filter((fit) => fit.slots >= Math.min(count, spec.tasks)).sort((a, b) => b.slots - a.slots)[0];
   if (mostSlots && mostSlots.slots > 0) return mostSlots.shard;
   if (!here || spec.kind === 'service') return null;
-  const { waiting: own, machines } = fitInShard(spec, here, types);
+  const { queueS: own, machines } = fitInShard(spec, here, types);
   if (spec.kind === 'gang') {
     // With too few suitable machines in its shard, a gang would wait forever, so it moves to a shard that has enough.
     const most = fits.sort((a, b) => b.machines - a.machines)[0];
     return machines < spec.tasks && most && most.machines >= spec.tasks ? most.shard : null;
   }
-  const shortestQueue = fits.filter((fit) => fit.machines > 0).sort((a, b) => a.waiting - b.waiting)[0];
-  return shortestQueue && shortestQueue.waiting + MIN_QUEUE_REDUCTION_S < own ? shortestQueue.shard : null;
+  const shortestQueue = fits.filter((fit) => fit.machines > 0).sort((a, b) => a.queueS - b.queueS)[0];
+  return shortestQueue && shortestQueue.queueS + MIN_QUEUE_REDUCTION_S < own ? shortestQueue.shard : null;
 }
 
 /**
--- a/src/membership/block-pages.ts
+++ b/src/membership/block-pages.ts
@@ -162,15 +162,15 @@
 
 /**
  * Guards for turning a record into the head of the pages that were staged for it. `existing` are all pages of the
- * shard, as staged. Guards beyond `maxConditions` are dropped, last pages first: a record that may no longer be a
+ * shard, as staged. Guards beyond `maxGuards` are dropped, last pages first: a record that may no longer be a
  * single value has to be moved to pages however many it takes.
  */
 export const moveToPagesGuards = (
   shard: ShardName,
   version: Revision,
   existing: Iterable<PageVersion>,
-  maxConditions: number,
-): Guard[] => blockGuards(shard, version, [...existing]).slice(0, maxConditions);
+  maxGuards: number,
+): Guard[] => blockGuards(shard, version, [...existing]).slice(0, maxGuards);
 
 /**
  * Returns the writes that stage a record's machines in pages, one for each page that doesn't hold its machines yet, or
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -41,7 +41,7 @@
   /**
    * Reads from the state service whether this node still holds its shards. Needed whenever its lease may have lapsed.
    */
-  verify(): Promise<boolean>;
+  verifyOwnership(): Promise<boolean>;
   /** False while another node is better suited to hold shards. */
   mayClaim(): boolean;
   /** False while another node should be the leader. */
@@ -78,9 +78,9 @@
   /** The version of each shard's record at which a refused claim was last logged. */
   private readonly loggedRefusals = new Map<ShardName, number>();
   /** Version of the leader's key when this node last checked, or null if it was not the leader then. */
-  private term: Revision | null = null;
+  private loggedTerm: Revision | null = null;
   /** Send time of the last renewal that proved that this node still holds its shards. */
-  private leaseProvenAt: Millis;
+  private ownershipProofSentAt: Millis;
   private readonly startedAt: Millis;
 
   constructor(
@@ -96,7 +96,7 @@
   ) {
     this.paging = new Paging({ state, mirror, directory, log });
     this.startedAt = clock.now();
-    this.leaseProvenAt = millis(-1);
+    this.ownershipProofSentAt = millis(-1);
   }
 
   /** True while this node's key is known to be in the state service. */
@@ -106,7 +106,7 @@
 
   /** The latest time at which this node's shards certainly hadn't been claimed by another node. */
   get ownershipProvenAt(): Millis {
-    return this.leaseProvenAt;
+    return this.ownershipProofSentAt;
   }
 
   /**
@@ -114,7 +114,7 @@
    * ours.
    */
   get leaseValid(): boolean {
-    return this.clock.now() < this.leaseProvenAt + NODE_LEASE_MS / 1.002;
+    return this.clock.now() < this.ownershipProofSentAt + NODE_LEASE_MS / 1.002;
   }
 
   /** The incarnation in a node's key, or null if the node has no key and therefore no valid lease. */
@@ -145,7 +145,7 @@
   get leaderTerm(): Revision | null {
     const entry = this.mirror.get(LEADER_KEY);
     if (!entry || !isObject(entry.value) || entry.value['incarnation'] !== this.incarnation) return null;
-    return this.clock.now() - this.leaseProvenAt < NODE_LEASE_MS ? entry.version : null;
+    return this.clock.now() - this.ownershipProofSentAt < NODE_LEASE_MS ? entry.version : null;
   }
 
   /** Interval at which the lease has to be renewed. */
@@ -160,8 +160,8 @@
       const renewed = await this.state.renewLease(this.lease);
       if (renewed === 'ok') {
         // After a lapse, others may have claimed our shards: the lease proves nothing until that has been read.
-        this.ownershipVerified ||= await this.hooks.verify();
-        if (this.ownershipVerified) this.leaseProvenAt = sentAt;
+        this.ownershipVerified ||= await this.hooks.verifyOwnership();
+        if (this.ownershipVerified) this.ownershipProofSentAt = sentAt;
         return;
       }
       if (renewed === 'unavailable') return;
@@ -183,7 +183,7 @@
     if (result.kind === 'ok') {
       this.nodeVersion = result.revision;
       this.mirror.apply({ key, value, removed: false, version: result.revision });
-      this.ownershipVerified = await this.hooks.verify();
+      this.ownershipVerified = await this.hooks.verifyOwnership();
       this.log.info({ incarnation: this.incarnation }, 'registered with the state service');
     } else if (result.kind === 'no-lease') this.lease = undefined;
   }
@@ -213,21 +213,22 @@
 
   /** Logs when this node starts or stops being the leader, whatever the cause. */
   private logTermChange(): void {
-    const { leaderTerm: leading, term } = this;
-    if (leading === term) return;
-    this.term = leading;
+    const { leaderTerm, loggedTerm } = this;
+    if (leaderTerm === loggedTerm) return;
+    this.loggedTerm = leaderTerm;
     const { seenUpTo } = this.mirror;
-    if (term !== null) this.log.info({ term, leader: this.leader, seenUpTo }, 'this node is no longer the leader');
-    if (leading !== null) this.log.info({ term: leading, seenUpTo }, 'this node is the leader');
+    if (loggedTerm !== null)
+      this.log.info({ term: loggedTerm, leader: this.leader, seenUpTo }, 'this node is no longer the leader');
+    if (leaderTerm !== null) this.log.info({ term: leaderTerm, seenUpTo }, 'this node is the leader');
   }
 
   /** Gives up leadership by removing the leader's key, which guards every write of the leader. */
   private async stepDown(): Promise<void> {
-    const { leaderTerm: leading } = this;
-    if (leading === null) return;
+    const { leaderTerm } = this;
+    if (leaderTerm === null) return;
     const result = await this.state.txn(
       Urgency.session,
-      [{ key: LEADER_KEY, version: leading }],
+      [{ key: LEADER_KEY, version: leaderTerm }],
       [{ remove: LEADER_KEY }],
     );
     if (result.kind !== 'ok') return;
@@ -289,16 +290,16 @@
     if ((shard as string) === (this.self as string)) return 0;
     // The previous holder has handed the shard over to this node.
     if (value?.released === true && value.next === this.self) return 0;
-    const namesake = shard as unknown as NodeName;
+    const homeNode = shard as unknown as NodeName;
     // A shard that was never claimed waits for the first start of the node that it is named after.
     if (!exists) return Math.max(0, FIRST_START_GRACE_MS - (now - this.startedAt)) + CLAIM_DELAY_STEP_MS;
-    const namesakeAlive = this.liveIncarnationOf(namesake) !== null;
+    const homeNodeAlive = this.liveIncarnationOf(homeNode) !== null;
     const rank = this.others.filter(
-      (n) => n !== namesake && this.liveIncarnationOf(n) !== null && n < this.self,
+      (n) => n !== homeNode && this.liveIncarnationOf(n) !== null && n < this.self,
     ).length;
     const heldCount = this.hooks.held().length;
     return (
-      (namesakeAlive ? 3 * CLAIM_DELAY_STEP_MS : 0) +
+      (homeNodeAlive ? 3 * CLAIM_DELAY_STEP_MS : 0) +
       (value?.released === true ? CLAIM_DELAY_STEP_MS : 0) +
       rank * 150 +
       Math.max(0, heldCount - 1) * CLAIM_DELAY_STEP_MS
@@ -358,10 +359,10 @@
   }
 
   /** Logs a failed claim, but only once for each version of the record, because the claim is retried every round. */
-  private logRefusedClaim(shard: ShardName, over: number, why: TxnResult['kind']): void {
-    if (this.loggedRefusals.get(shard) === over) return;
-    this.loggedRefusals.set(shard, over);
-    this.log.info({ shard, over, seenUpTo: this.mirror.seenUpTo, why }, 'claim of a shard failed');
+  private logRefusedClaim(shard: ShardName, recordVersion: number, why: TxnResult['kind']): void {
+    if (this.loggedRefusals.get(shard) === recordVersion) return;
+    this.loggedRefusals.set(shard, recordVersion);
+    this.log.info({ shard, over: recordVersion, seenUpTo: this.mirror.seenUpTo, why }, 'claim of a shard failed');
   }
 
   /** The holders of a shard before our latest claim that may still send commands. */
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -20,7 +20,7 @@
 }
 
 /** Limit on the pages that are written in one transaction. */
-const MAX_PAGES_PER_TXN = 8;
+const MAX_STAGED_PAGES_PER_TXN = 8;
 
 /** Merges the changes of several pages into one transaction; guards that they share are listed once. */
 function mergeChanges(changes: readonly BlockChange[]): BlockChange {
@@ -43,7 +43,7 @@
     const { limits } = state;
     const changes = stageChanges(shard, known, directory.pagesOf(shard), limits.maxValueBytes);
     if (changes === null) return false;
-    const pagesPerTxn = Math.min(limits.txnOps, MAX_PAGES_PER_TXN);
+    const pagesPerTxn = Math.min(limits.txnOps, MAX_STAGED_PAGES_PER_TXN);
     for (let start = 0; start < changes.length; start += pagesPerTxn) {
       const { guards, ops } = mergeChanges(changes.slice(start, start + pagesPerTxn));
       const result = await state.txn(urgency, guards, ops);
@@ -60,12 +60,12 @@
     return true;
   }
 
-  /** Guards for turning a record into the head of its staged pages; `otherConditions`: guards that the caller adds. */
-  moveToPagesGuards(shard: ShardName, version: Revision, otherConditions = 0): Guard[] {
+  /** Guards for turning a record into the head of its staged pages; `otherGuards`: guards that the caller adds. */
+  moveToPagesGuards(shard: ShardName, version: Revision, otherGuards = 0): Guard[] {
     const { state, directory } = this.deps;
     const pages: PageVersion[] = [];
     for (const page of directory.pagesOf(shard).values()) if (page) pages.push(page);
-    return moveToPagesGuards(shard, version, pages, state.limits.maxGuards - otherConditions);
+    return moveToPagesGuards(shard, version, pages, state.limits.maxGuards - otherGuards);
   }
 
   /**
--- a/src/pipelines/dependency-tracker.ts
+++ b/src/pipelines/dependency-tracker.ts
@@ -94,7 +94,7 @@
 export class DependencyTracker {
   private readonly graph: JobGraph;
   private readonly readQueue = new JobWorkQueue((id) => this.readFinal(id));
-  private readonly cancelQueue = new JobWorkQueue((id) => this.cancelDoomed(id));
+  private readonly cancelQueue = new JobWorkQueue((id) => this.cancelDependent(id));
 
   constructor(private readonly deps: DependencyTrackerDeps) {
     this.graph = new JobGraph((spec) => deps.fetchS(spec));
@@ -114,8 +114,8 @@
     const awaits = dependenciesOf(change.value);
     const record = awaits.length > 0 ? decodeJobRecord(change.value) : null;
     if (!record) return;
-    const doomed = this.graph.add(id, { spec: record.spec, submittedAt: record.submittedAt, awaits });
-    for (const dependent of doomed) this.scheduleCancellation(dependent, awaits[0] ?? dependent);
+    const toCancel = this.graph.add(id, { spec: record.spec, submittedAt: record.submittedAt, awaits });
+    for (const dependent of toCancel) this.scheduleCancellation(dependent, awaits[0] ?? dependent);
     for (const dependency of awaits) {
       const final = this.deps.registry.cachedFinalOf(dependency);
       if (final) this.onJobFinal(dependency, final);
@@ -125,15 +125,15 @@
 
   /** Handles the final state of a job when this node first learns of it. */
   onJobFinal(id: JobId, { phase, at }: JobFinal): void {
-    const { ready, doomed } = this.graph.recordFinal(id, phase, at ?? this.deps.runtime.wall());
+    const { ready, toCancel } = this.graph.recordFinal(id, phase, at ?? this.deps.runtime.wall());
     for (const dependent of ready) {
       this.deps.log.info({ job: dependent, last: id }, 'all dependencies of the job are done: it may start');
       this.deps.ready(dependent);
     }
-    for (const dependent of doomed) this.scheduleCancellation(dependent, id);
+    for (const dependent of toCancel) this.scheduleCancellation(dependent, id);
   }
 
-  /** Queues the cancellation of a doomed job: at once for the shard's holder, after a delay for other nodes. */
+  /** Queues the cancellation of a dependent job: at once for the shard's holder, after a delay for other nodes. */
   private scheduleCancellation(id: JobId, cause: JobId): void {
     this.deps.log.info({ job: id, with: cause }, 'the job has to be cancelled because a dependency was cancelled');
     const shard = this.shardOf(id);
@@ -160,9 +160,9 @@
     this.deps.runtime.after(RETRY_DELAY_MS, () => this.readQueue.add(id));
   }
 
-  /** Stores the cancellation of a doomed job; retries until the job is over. */
-  private async cancelDoomed(id: JobId): Promise<void> {
-    if (!this.graph.isDoomed(id) || (await this.deps.registry.cancelDependent(id))) return;
+  /** Stores the cancellation of a job whose dependency was cancelled; retries until the job is over. */
+  private async cancelDependent(id: JobId): Promise<void> {
+    if (!this.graph.mustBeCancelled(id) || (await this.deps.registry.cancelDependent(id))) return;
     this.deps.runtime.after(RETRY_DELAY_MS, () => this.cancelQueue.add(id));
   }
 
@@ -181,7 +181,7 @@
 
   /** The dependencies that the job still waits for; null when the job has to be cancelled. */
   awaits(id: JobId): readonly JobId[] | null {
-    return this.graph.isDoomed(id) ? null : this.graph.pendingOf(id);
+    return this.graph.mustBeCancelled(id) ? null : this.graph.pendingOf(id);
   }
 
   /** Returns the jobs that are expected to be ready soon, by their owners' estimates. Used to rent machines in time. */
@@ -190,18 +190,18 @@
     const wall = runtime.wall();
     const upcoming: UpcomingJob[] = [];
     for (const { id, job, pending } of this.graph.upcomingJobs(MAX_UPCOMING_JOBS)) {
-      let inS = 0;
+      let readyInS = 0;
       for (const dependency of pending) {
         const spec = decodeJobSpec(mirror.get(jobKey(dependency))?.value);
         if (!spec) continue;
         const durationS = stepDurationS(spec, this.deps.fetchS(spec));
         // The progress of a running job is not known, so it is assumed to be halfway, as it is on average.
-        inS = Math.max(inS, this.deps.hasStarted(dependency) ? durationS / 2 : durationS);
+        readyInS = Math.max(readyInS, this.deps.hasStarted(dependency) ? durationS / 2 : durationS);
       }
       const spec = withInheritedConstraints(job, this.graph.inheritedOf(id), false);
-      const aimsFrom = { sinceS: -inS, always: true };
-      const { slackS } = slackOf(spec, (wall - job.submittedAt) / 1000, spec.estimateS, objectives, aimsFrom);
-      upcoming.push({ spec, readyInS: inS, slackS });
+      const objectiveTiming = { sinceS: -readyInS, always: true };
+      const { slackS } = slackOf(spec, (wall - job.submittedAt) / 1000, spec.estimateS, objectives, objectiveTiming);
+      upcoming.push({ spec, readyInS, slackS });
     }
     return upcoming;
   }
--- a/src/pipelines/job-graph.ts
+++ b/src/pipelines/job-graph.ts
@@ -49,16 +49,16 @@
   /** When the last dependency known to be done was done, as wall-clock time in milliseconds. */
   readyAt: number;
   /** True when the job has to be cancelled because a dependency was cancelled. */
-  doomed: boolean;
+  mustBeCancelled: boolean;
 }
 
 /** What follows from a job's final state: jobs that may start now, and jobs that have to be cancelled. */
 export interface FinalEffects {
   readonly ready: readonly JobId[];
-  readonly doomed: readonly JobId[];
+  readonly toCancel: readonly JobId[];
 }
 
-const NO_EFFECTS: FinalEffects = { ready: [], doomed: [] };
+const NO_EFFECTS: FinalEffects = { ready: [], toCancel: [] };
 /** An array is done when its slowest task is: expected run time of that task as a multiple of the estimate. */
 const SLOWEST_TASK_FACTOR = 1.3;
 /**
@@ -105,7 +105,7 @@
   get counts(): { readonly waiting: number; readonly ready: number; readonly doomed: number } {
     let [waiting, ready, doomed] = [0, 0, 0];
     for (const node of this.nodes.values()) {
-      if (node.doomed) doomed += 1;
+      if (node.mustBeCancelled) doomed += 1;
       else if (node.pending.size === 0) ready += 1;
       else waiting += 1;
     }
@@ -113,13 +113,13 @@
   }
 
   /**
-   * Adds an open job with its dependencies. A job that depends on a doomed one is doomed, too, even if it is added
-   * later. Returns the jobs that are doomed by this.
+   * Adds an open job with its dependencies. A job that depends on one that has to be cancelled has to be cancelled, too,
+   * even if it is added later. Returns the jobs that have to be cancelled because of this.
    */
   add(id: JobId, job: DependentJob): readonly JobId[] {
     if (this.nodes.has(id)) return [];
     const pending = new Set(job.awaits);
-    this.nodes.set(id, { ...job, pending, readyAt: job.submittedAt, doomed: false });
+    this.nodes.set(id, { ...job, pending, readyAt: job.submittedAt, mustBeCancelled: false });
     for (const dependency of job.awaits) {
       let dependents = this.dependents.get(dependency);
       if (!dependents) this.dependents.set(dependency, (dependents = new Set()));
@@ -127,9 +127,9 @@
     }
     this.propagateInheritance(job.awaits);
     this.updateUpcoming(id);
-    const doomed: JobId[] = [];
-    if (job.awaits.some((dependency) => this.isDoomed(dependency))) this.doom(id, doomed);
-    return doomed;
+    const toCancel: JobId[] = [];
+    if (job.awaits.some((dependency) => this.mustBeCancelled(dependency))) this.markForCancellation(id, toCancel);
+    return toCancel;
   }
 
   /** Removes a job that is no longer open. Nothing follows for its dependents until its final state is known. */
@@ -154,11 +154,11 @@
     const dependents = this.dependents.get(id);
     if (!dependents) return NO_EFFECTS;
     const ready: JobId[] = [];
-    const doomed: JobId[] = [];
+    const toCancel: JobId[] = [];
     for (const dependent of dependents) {
       const node = this.nodes.get(dependent);
-      if (!node || node.doomed) continue;
-      if (phase === 'cancelled') this.doom(dependent, doomed);
+      if (!node || node.mustBeCancelled) continue;
+      if (phase === 'cancelled') this.markForCancellation(dependent, toCancel);
       else if (node.pending.delete(id)) {
         node.readyAt = Math.max(node.readyAt, at);
         if (node.pending.size === 0) {
@@ -168,21 +168,21 @@
         }
       }
     }
-    return { ready, doomed };
+    return { ready, toCancel };
   }
 
   /**
-   * Marks a job and all its direct and transitive dependents as doomed. It uses an explicit stack, because chains may
+   * Marks a job and all its direct and transitive dependents as to be cancelled and appends them to `toCancel`. It uses an explicit stack, because chains may
    * be too long for recursion.
    */
-  private doom(first: JobId, doomed: JobId[]): void {
+  private markForCancellation(first: JobId, toCancel: JobId[]): void {
     const stack = [first];
     for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
       const node = this.nodes.get(id);
-      if (!node || node.doomed) continue;
-      node.doomed = true;
+      if (!node || node.mustBeCancelled) continue;
+      node.mustBeCancelled = true;
       this.upcoming.delete(id);
-      doomed.push(id);
+      toCancel.push(id);
       stack.push(...(this.dependents.get(id) ?? []));
     }
   }
@@ -190,7 +190,7 @@
   /** Adds a job to the upcoming ones if all its pending dependencies may run. */
   private updateUpcoming(id: JobId): void {
     const node = this.nodes.get(id);
-    if (!node || node.doomed || node.pending.size === 0) return;
+    if (!node || node.mustBeCancelled || node.pending.size === 0) return;
     for (const dependency of node.pending) if ((this.nodes.get(dependency)?.pending.size ?? 0) > 0) return;
     this.upcoming.add(id);
   }
@@ -210,12 +210,12 @@
   /** Returns whether the tasks of a job may start; false for a job that is not in the graph. */
   isReady(id: JobId): boolean {
     const node = this.nodes.get(id);
-    return node !== undefined && !node.doomed && node.pending.size === 0;
+    return node !== undefined && !node.mustBeCancelled && node.pending.size === 0;
   }
 
   /** Returns whether a job has to be cancelled because one that it depends on was cancelled. */
-  isDoomed(id: JobId): boolean {
-    return this.nodes.get(id)?.doomed === true;
+  mustBeCancelled(id: JobId): boolean {
+    return this.nodes.get(id)?.mustBeCancelled === true;
   }
 
   /**
@@ -259,7 +259,7 @@
     let combined: InheritedConstraints | null = null;
     for (const dependent of this.dependents.get(id) ?? []) {
       const node = this.nodes.get(dependent);
-      if (!node || node.doomed) continue;
+      if (!node || node.mustBeCancelled) continue;
       const { spec, submittedAt } = node;
       const transitive = this.inherited.get(dependent);
       const ownDeadline = spec.deadlineS === null ? null : submittedAt + spec.deadlineS * 1000;
--- a/src/quota/allocation.ts
+++ b/src/quota/allocation.ts
@@ -149,17 +149,17 @@
   const own = surplus(self);
   const size = (a: Amount): number =>
     (Number.isFinite(limit.cpus) ? a.cpus / limit.cpus : 0) + (Number.isFinite(limit.gpus) ? a.gpus / limit.gpus : 0);
-  let before = ZERO_AMOUNT;
+  let surplusAhead = ZERO_AMOUNT;
   for (const shard of record.shares.keys()) {
     if (shard === self) continue;
     const other = surplus(shard);
-    if (size(other) > size(own) || (size(other) === size(own) && shard < self)) before = add(before, other);
+    if (size(other) > size(own) || (size(other) === size(own) && shard < self)) surplusAhead = add(surplusAhead, other);
   }
   let left = own;
   for (const { shard, need, missing } of lacking) {
     // Shards with a larger surplus give first: of two concurrent writes of one record, one fails.
-    const due = subtract(missing, before);
-    before = subtract(before, missing);
+    const due = subtract(missing, surplusAhead);
+    surplusAhead = subtract(surplusAhead, missing);
     const moved = minAmount(due, left);
     if (!isWorthTransferring(moved, shareOf(record, shard), need, limit)) continue;
     given.set(shard, moved);
@@ -189,9 +189,9 @@
  * its own share, never below the use there, and raises other shares only by what it gives up. Only the account shard
  * takes the part of the limit that no shard has. Pure.
  */
-export function nextShares(at: AllocationInput): QuotaRecord | null {
-  const { limit, record, self, account, returning } = at;
-  const use = limitedPart(limit, at.use);
+export function nextShares(input: AllocationInput): QuotaRecord | null {
+  const { limit, record, self, account, returning } = input;
+  const use = limitedPart(limit, input.use);
   const share = shareOf(record, self);
   // Unknown use is infinite and can't be stored as a share, so nothing is declared as used and nothing is given away.
   if (!isFiniteAmount(use)) return null;
@@ -216,7 +216,7 @@
       [account, add(shareOf(record, account), spare)],
     ]);
   }
-  const given = planTransfers(at);
+  const given = planTransfers(input);
   if (given.size === 0) return null;
   const raised = [...given].map(([shard, amount]) => [shard, add(shareOf(record, shard), amount)] as const);
   return withShares(record, [[self, subtract(share, sum(given.values()))], ...raised]);
--- a/src/quota/amount.ts
+++ b/src/quota/amount.ts
@@ -52,10 +52,10 @@
 };
 
 /** A team's limit, infinite for a resource without one; null if the team has no limit at all. */
-export function limitOf(facts: Pick<TeamQuota, 'cpusMax' | 'gpusMax'> | undefined): Amount | null {
-  if (!facts || (facts.cpusMax <= 0 && facts.gpusMax <= 0)) return null;
+export function limitOf(quota: Pick<TeamQuota, 'cpusMax' | 'gpusMax'> | undefined): Amount | null {
+  if (!quota || (quota.cpusMax <= 0 && quota.gpusMax <= 0)) return null;
   const limit = (most: number): number => (most > 0 ? most : Number.POSITIVE_INFINITY);
-  return { cpus: limit(facts.cpusMax), gpus: limit(facts.gpusMax) };
+  return { cpus: limit(quota.cpusMax), gpus: limit(quota.gpusMax) };
 }
 
 /** `amount` with the resources that `limit` does not restrict set to zero: they are not divided and not counted. */
--- a/src/quota/demand.ts
+++ b/src/quota/demand.ts
@@ -1,4 +1,4 @@
-// The latest demand reported for each shard.
+// The latest needs reported for each shard.
 
 import type { Millis, Revision, ShardName } from '../kernel/index.js';
 import type { Amount } from './amount.js';
@@ -8,7 +8,7 @@
  * What a shard's holder reports about all teams with a limit; a team that is not listed uses nothing there and waits
  * for nothing.
  */
-export interface ShardDemand {
+export interface ShardNeeds {
   readonly shard: ShardName;
   /** Revision of the claim by which the sender holds the shard. */
   readonly claimedAt: Revision;
@@ -16,26 +16,26 @@
 }
 
 /** Reports older than this are ignored. */
-const DEMAND_VALID_MS = 3000;
+const NEEDS_VALID_MS = 3000;
 
 /** The latest report for each shard. */
-export class DemandReports {
-  private readonly heard = new Map<ShardName, { readonly demand: ShardDemand; readonly at: Millis }>();
+export class NeedReports {
+  private readonly latest = new Map<ShardName, { readonly needs: ShardNeeds; readonly at: Millis }>();
 
   /** Records a report, unless a later holder of the shard has already reported. */
-  record(demand: ShardDemand, now: Millis): void {
-    const known = this.heard.get(demand.shard);
+  record(needs: ShardNeeds, now: Millis): void {
+    const known = this.latest.get(needs.shard);
     // Messages of a holder that has been replaced may still arrive.
-    if (known && known.demand.claimedAt > demand.claimedAt) return;
-    this.heard.set(demand.shard, { demand, at: now });
+    if (known && known.needs.claimedAt > needs.claimedAt) return;
+    this.latest.set(needs.shard, { needs, at: now });
   }
 
   /** The need of a team in each shard with a recent report. */
   needsOf(team: string, now: Millis): Map<ShardName, TeamNeed> {
-    const needs = new Map<ShardName, TeamNeed>();
-    for (const [shard, { demand, at }] of this.heard)
-      if (now - at < DEMAND_VALID_MS) needs.set(shard, demand.teams.get(team) ?? NO_NEED);
-    return needs;
+    const needsByShard = new Map<ShardName, TeamNeed>();
+    for (const [shard, { needs, at }] of this.latest)
+      if (now - at < NEEDS_VALID_MS) needsByShard.set(shard, needs.teams.get(team) ?? NO_NEED);
+    return needsByShard;
   }
 
   /**
@@ -43,12 +43,12 @@
    * is safe: a shard without a share starts nothing, so its use can only have decreased.
    */
   lastUseOf(team: string, shard: ShardName): Amount | null {
-    const heard = this.heard.get(shard);
-    return heard ? (heard.demand.teams.get(team) ?? NO_NEED).use : null;
+    const report = this.latest.get(shard);
+    return report ? (report.needs.teams.get(team) ?? NO_NEED).use : null;
   }
 
   /** Forgets all reports, because they may become wrong while limits are not divided. */
   clear(): void {
-    this.heard.clear();
+    this.latest.clear();
   }
 }
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -14,12 +14,12 @@
 } from '../state/index.js';
 import { isFiniteAmount, isZero, subtract, limitOf, ZERO_AMOUNT, minAmount, sum, type Amount } from './amount.js';
 import { capOf, initialShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './allocation.js';
-import { DemandReports, type ShardDemand } from './demand.js';
+import { NeedReports, type ShardNeeds } from './demand.js';
 import { decodeQuota, encodeQuota, shareOf, type QuotaRecord } from './record.js';
 
 /**
- * 'shared': limits are divided between shards; 'returning': shares are being returned to the account shards; 'whole': a
- * team's account shard has its whole limit.
+ * 'shared': limits are divided between shards; 'returning': the division is being reverted, and shares are being returned
+ * to the account shards; 'whole': a team's account shard has its whole limit.
  */
 export type QuotaMode = 'shared' | 'returning' | 'whole';
 
@@ -53,22 +53,22 @@
   sealed(): ReadonlyMap<ShardName, Revision>;
   /** The shards that this node holds. */
   holders(): Iterable<QuotaHolder>;
-  /** Sends a shard's demand to the other controllers. */
-  sendDemand(demand: ShardDemand): void;
+  /** Sends a shard's needs to the other controllers. */
+  sendNeeds(needs: ShardNeeds): void;
   /**
    * Rewrites a shard's record with a guard on its version. Afterwards every earlier write that was guarded by the
    * record either is visible or can never be applied.
    */
-  fencePendingWrites(shard: ShardName): Promise<void>;
+  settlePendingWrites(shard: ShardName): Promise<void>;
 }
 
 /** Fraction of the state service's write rate that quota changes of all controllers together may use. */
 const CHANGE_RATE_FRACTION = 0.12;
 /** Size of a node's token bucket for changes, and so the largest number of changes in one transaction. */
 const MAX_BURST_CHANGES = 6;
-/** How often unchanged demand is sent again. */
+/** How often unchanged needs are sent again. */
 const RESEND_UNCHANGED_MS = 800;
-/** The shortest interval between two sends when the demand changes. */
+/** The shortest interval between two sends when the needs change. */
 const MIN_SEND_INTERVAL_MS = 150;
 
 /**
@@ -81,7 +81,7 @@
 }
 
 /** A change of one team's quota record that a shard's holder wants to write. */
-interface Change {
+interface QuotaChange {
   readonly team: string;
   readonly shard: ShardName;
   readonly key: string;
@@ -99,7 +99,7 @@
  * safety argument.
  */
 export class QuotaShares {
-  private readonly demandReports = new DemandReports();
+  private readonly needReports = new NeedReports();
   /** Shares that writes in flight lower. The lower share applies until the outcome of the write is known. */
   private readonly lowered = new Map<string, Amount>();
   /** Decoded records by team, valid while the stored value is the same object. */
@@ -109,7 +109,7 @@
   >();
   /** Shards with a write in flight. */
   private readonly shardsBeingWritten = new Set<ShardName>();
-  /** When each shard's demand was last sent, and its text for comparison. */
+  /** When each shard's needs were last sent, and their text for comparison. */
   private readonly lastSent = new Map<ShardName, { readonly at: Millis; readonly text: string }>();
   /** Teams whose unreadable record has been logged. */
   private readonly unreadable = new Set<string>();
@@ -121,13 +121,13 @@
     this.refilledAt = deps.runtime.now();
   }
 
-  /** Handles a demand report from another holder. */
-  recordDemand(demand: ShardDemand): void {
-    this.demandReports.record(demand, this.deps.runtime.now());
+  /** Handles a report of needs from another holder. */
+  recordNeeds(needs: ShardNeeds): void {
+    this.needReports.record(needs, this.deps.runtime.now());
   }
 
   /** Whether work of teams with a limit is routed to any shard, like that of other teams. */
-  get routesFreely(): boolean {
+  get limitsAreShared(): boolean {
     return this.deps.mode() === 'shared';
   }
 
@@ -137,7 +137,7 @@
   }
 
   /** The account shard of a team; null if there are no shards. */
-  account(team: string): ShardName | null {
+  accountShardOf(team: string): ShardName | null {
     return accountShardOf(team, this.deps.shards());
   }
 
@@ -160,11 +160,11 @@
    * anything.
    */
   private undividedCap(team: string, shard: ShardName, limit: Amount): Amount {
-    if (this.account(team) !== shard) return ZERO_AMOUNT;
+    if (this.accountShardOf(team) !== shard) return ZERO_AMOUNT;
     let left = limit;
     for (const other of this.deps.shards()) {
       if (other === shard) continue;
-      const use = this.demandReports.lastUseOf(team, other);
+      const use = this.needReports.lastUseOf(team, other);
       if (use) left = subtract(left, use);
       else if (!this.returning) return ZERO_AMOUNT;
     }
@@ -177,7 +177,7 @@
   leftOf(team: string): Amount | null {
     const limit = limitOf(this.deps.teams.get(team));
     if (!limit || this.deps.mode() !== 'shared') return null;
-    const needs = this.demandReports.needsOf(team, this.deps.runtime.now());
+    const needs = this.needReports.needsOf(team, this.deps.runtime.now());
     return subtract(limit, sum([...needs.values()].map(({ use }) => use)));
   }
 
@@ -185,7 +185,7 @@
   startableIn(team: string, shard: ShardName, unit: Amount): number {
     const cap = this.capOf(team, shard);
     if (!cap) return Number.POSITIVE_INFINITY;
-    const use = this.demandReports.needsOf(team, this.deps.runtime.now()).get(shard)?.use ?? ZERO_AMOUNT;
+    const use = this.needReports.needsOf(team, this.deps.runtime.now()).get(shard)?.use ?? ZERO_AMOUNT;
     return unitsIn(subtract(cap, use), unit);
   }
 
@@ -207,20 +207,20 @@
     return record;
   }
 
-  /** One reconcile pass: reports the demand of the shards held by this node and writes changes of shares. */
+  /** One reconcile pass: reports the needs of the shards held by this node and writes changes of shares. */
   reconcile(): void {
     const mode = this.deps.mode();
     if (mode === 'whole') {
-      this.demandReports.clear();
+      this.needReports.clear();
       return;
     }
     this.refill();
     for (const holder of this.deps.holders()) {
       if (!holder.settled) continue;
       const teams = holder.teamNeeds();
-      const demand: ShardDemand = { shard: holder.shard, claimedAt: holder.claimedAt, teams };
-      this.demandReports.record(demand, this.deps.runtime.now());
-      this.sendIfDue(demand);
+      const needs: ShardNeeds = { shard: holder.shard, claimedAt: holder.claimedAt, teams };
+      this.needReports.record(needs, this.deps.runtime.now());
+      this.sendIfDue(needs);
       if (!this.shardsBeingWritten.has(holder.shard)) this.writeChanges(holder.shard, teams, mode);
     }
   }
@@ -234,21 +234,21 @@
     this.refilledAt = now;
   }
 
-  /** Sends the demand soon when use or waiting work has changed, and periodically otherwise. */
-  private sendIfDue(demand: ShardDemand): void {
+  /** Sends the needs soon when use or waiting work has changed, and periodically otherwise. */
+  private sendIfDue(needs: ShardNeeds): void {
     const now = this.deps.runtime.now();
-    const text = JSON.stringify([...demand.teams].map(([team, { use, waiting }]) => [team, use, waiting]));
-    const last = this.lastSent.get(demand.shard);
+    const text = JSON.stringify([...needs.teams].map(([team, { use, waiting }]) => [team, use, waiting]));
+    const last = this.lastSent.get(needs.shard);
     if (last && now - last.at < (last.text === text ? RESEND_UNCHANGED_MS : MIN_SEND_INTERVAL_MS)) return;
-    this.lastSent.set(demand.shard, { at: now, text });
-    this.deps.sendDemand(demand);
+    this.lastSent.set(needs.shard, { at: now, text });
+    this.deps.sendNeeds(needs);
   }
 
   /**
    * Plans the changes of all teams for one shard and writes those that the token bucket allows, the longest wait first.
    */
   private writeChanges(shard: ShardName, needs: ReadonlyMap<string, TeamNeed>, mode: QuotaMode): void {
-    const changes: Change[] = [];
+    const changes: QuotaChange[] = [];
     for (const team of this.deps.teams.keys()) {
       const change = this.planChange(team, shard, needs.get(team), mode);
       if (change) changes.push(change);
@@ -263,11 +263,11 @@
   }
 
   /**
-   * The changes that go into one transaction: at most `most`, and no more distinct guards than it may have conditions.
-   * A transaction may have four conditions for each change.
+   * The changes that go into one transaction: at most `most`, and no more distinct guards than it may have.
+   * A transaction may have four guards for each change.
    */
-  private selectBatch(changes: readonly Change[], most: number): Change[] {
-    const batch: Change[] = [];
+  private selectBatch(changes: readonly QuotaChange[], most: number): QuotaChange[] {
+    const batch: QuotaChange[] = [];
     const keys = new Set<string>();
     for (const change of changes) {
       if (batch.length >= most) break;
@@ -280,24 +280,24 @@
   }
 
   /** The change that this shard's holder makes to a team's record; null if there is none. */
-  private planChange(team: string, shard: ShardName, need: TeamNeed | undefined, mode: QuotaMode): Change | null {
+  private planChange(team: string, shard: ShardName, need: TeamNeed | undefined, mode: QuotaMode): QuotaChange | null {
     const { teams, mirror, runtime } = this.deps;
     const limit = limitOf(teams.get(team));
-    const account = this.account(team);
+    const account = this.accountShardOf(team);
     const record = this.recordOf(team);
     const own = mirror.get(shardKey(shard));
     if (!limit || account === null || record === 'foreign' || !own) return null;
     const key = quotaKey(team);
-    const all = this.demandReports.needsOf(team, runtime.now());
+    const all = this.needReports.needsOf(team, runtime.now());
     const waitedMs = Math.max(0, ...[...all.values()].map((other) => other.waitedMs));
-    const held = { key: shardKey(shard), version: own.version as number };
+    const shardGuard = { key: shardKey(shard), version: own.version as number };
     if (!record) {
       if (mode !== 'shared' || account !== shard) return null;
-      return this.planInitialDivision(team, shard, limit, all, held, waitedMs);
+      return this.planInitialDivision(team, shard, limit, all, shardGuard, waitedMs);
     }
     const entry = mirror.get(key);
     const returning = mode === 'returning';
-    const guards = [{ key, version: entry?.version ?? 0 }, held, ...(returning ? [] : this.rolloutGuards)];
+    const guards = [{ key, version: entry?.version ?? 0 }, shardGuard, ...(returning ? [] : this.rolloutGuards)];
     if (returning && account === shard && [...record.shares.keys()].every((other) => other === shard))
       return { team, shard, key, guards, next: null, waitedMs };
     const use = need?.use ?? ZERO_AMOUNT;
@@ -332,9 +332,9 @@
     shard: ShardName,
     limit: Amount,
     needs: ReadonlyMap<ShardName, TeamNeed>,
-    held: Guard,
+    shardGuard: Guard,
     waitedMs: number,
-  ): Change | null {
+  ): QuotaChange | null {
     const { shards, sealed } = this.deps;
     const usedElsewhere = [...needs].some(
       ([other, { use, waiting }]) => other !== shard && !(isZero(use) && isZero(waiting)),
@@ -352,13 +352,13 @@
     const use = needs.get(shard)?.use ?? ZERO_AMOUNT;
     const next = nextShares({ ...{ limit, record: first, self: shard, use, needs, account: shard, returning: false } });
     const key = quotaKey(team);
-    const guards = [{ key, version: 0 }, held, ...this.rolloutGuards, ...seals];
+    const guards = [{ key, version: 0 }, shardGuard, ...this.rolloutGuards, ...seals];
     const initial = next ?? first;
     return this.isStorable(team, initial) ? { team, shard, key, guards, next: initial, waitedMs } : null;
   }
 
   /** Writes changes in one transaction. After a conflict or an unknown outcome, the records are read again. */
-  private async write(shard: ShardName, changes: readonly Change[]): Promise<void> {
+  private async write(shard: ShardName, changes: readonly QuotaChange[]): Promise<void> {
     const { state, mirror, log } = this.deps;
     this.shardsBeingWritten.add(shard);
     for (const { team, next } of changes) if (next) this.lowered.set(loweredKey(team, shard), shareOf(next, shard));
@@ -370,7 +370,7 @@
         mirror.wrote(ops, result.revision);
         log.info({ shard, teams: changes.map(({ team }) => team) }, 'changed quota shares');
       } else {
-        if (result.kind === 'unknown') await this.deps.fencePendingWrites(shard);
+        if (result.kind === 'unknown') await this.deps.settlePendingWrites(shard);
         if (result.kind !== 'refused') await this.reread(changes);
       }
     } finally {
@@ -380,7 +380,7 @@
   }
 
   /** Reads the records again after another write came first or the outcome is unknown: the stored value decides. */
-  private async reread(changes: readonly Change[]): Promise<void> {
+  private async reread(changes: readonly QuotaChange[]): Promise<void> {
     const { state, mirror } = this.deps;
     for (const { key } of changes) await reread(state, mirror, key);
   }
@@ -389,17 +389,17 @@
   overview(): QuotaOverview[] {
     const now = this.deps.runtime.now();
     const overview: QuotaOverview[] = [];
-    for (const [team, facts] of this.deps.teams) {
-      const whole = limitOf(facts);
+    for (const [team, quota] of this.deps.teams) {
+      const whole = limitOf(quota);
       if (!whole) continue;
       const record = this.recordOf(team);
       const shares = record && record !== 'foreign' ? Object.fromEntries(record.shares) : {};
-      const all = this.demandReports.needsOf(team, now);
+      const all = this.needReports.needsOf(team, now);
       const needs = [...all].filter(([, { use, waiting }]) => !(isZero(use) && isZero(waiting)));
       overview.push({
         team,
-        limit: { cpus: facts.cpusMax, gpus: facts.gpusMax },
-        account: this.account(team),
+        limit: { cpus: quota.cpusMax, gpus: quota.gpusMax },
+        account: this.accountShardOf(team),
         heldBackBy: heldBackBy(whole, all),
         form: record === 'foreign' ? 'unreadable' : record ? 'shared' : 'whole',
         shares,
--- a/src/rollout/release.ts
+++ b/src/rollout/release.ts
@@ -40,14 +40,14 @@
 export const PAGED_BLOCKS = 'paged-blocks';
 /**
  * A cancellation is confirmed to its user only after the shard holders have acknowledged it, and a holder that its
- * peers no longer confirm stops starting tasks and answering users in time (docs/cancel-design.md). No record changes
+ * peers no longer confirm stops starting tasks and answering workers in time (docs/cancel-design.md). No record changes
  * its format, and controllers of an earlier release are only notified, as before.
  */
 export const CARRIED_CANCELLATIONS = 'carried-cancellations';
 /**
  * The limits of teams are divided between shards (docs/quota-design.md). Shard records are sealed while the feature is
- * on, so that a controller of an earlier release that comes back cannot hold a shard. Without newer controllers beside
- * it, it could do nothing. The feature therefore requires an operator's approval, and an operator has to revert it
+ * on, so that a controller of an earlier release that comes back cannot hold a shard. If only controllers of earlier
+ * releases were running, none of them could hold a sealed shard. The feature therefore requires an operator's approval, and an operator has to revert it
  * before going back to such a release.
  */
 export const QUOTA_SHARES = 'quota-shares';
--- a/src/rollout/replacement.ts
+++ b/src/rollout/replacement.ts
@@ -29,13 +29,7 @@
  * the answer, since a controller may stop at any time. It indicates the cost of a rolling restart: while one controller
  * is away, the loss of a second one leaves less capacity to the remaining ones.
  */
-export function replacementBlocker({
-  now,
-  nodes,
-  shards,
-  leaving,
-  observations: watched,
-}: ReplacementSnapshot): string | null {
+export function replacementBlocker({ now, nodes, shards, leaving, observations }: ReplacementSnapshot): string | null {
   const unregistered = nodes.filter(({ announced }) => announced === null).map(({ node }) => node);
   if (unregistered.length > 0) return `not registered: ${unregistered.join(', ')}`;
   if (leaving.length > 0) return `leaving: ${leaving.join(', ')}`;
@@ -46,7 +40,7 @@
   // A shard has the name of the controller that holds it by default.
   const displaced = shards.find(({ shard, holder }) => (shard as string) !== (holder as string));
   if (displaced) return `shard ${displaced.shard} is still held by ${displaced.holder ?? 'no controller'}`;
-  if (watched.stableSince === null || now - watched.stableSince < MIN_STABLE_BEFORE_REPLACEMENT_MS)
+  if (observations.stableSince === null || now - observations.stableSince < MIN_STABLE_BEFORE_REPLACEMENT_MS)
     return 'the set of controllers changed too recently';
   return null;
 }
--- a/src/rollout/rollout-records.ts
+++ b/src/rollout/rollout-records.ts
@@ -5,7 +5,7 @@
 export const ROLLOUT_FORMAT = 1;
 
 /**
- * `off`: not in use. `on`: in use. `returning`: no longer in use, while the records that it wrote are converted back to
+ * `off`: not in use. `on`: in use. `returning`: being reverted; no longer in use, while the records that it wrote are converted back to
  * the format from before it.
  */
 export type FeatureState = 'off' | 'on' | 'returning';
--- a/src/service/peer-messages.ts
+++ b/src/service/peer-messages.ts
@@ -3,7 +3,7 @@
 import type { PeerTransport, ReceivedMessage } from '../peers/index.js';
 import type { QuotaShares } from '../quota/index.js';
 import type { StateClient } from '../state/index.js';
-import { decodeDemand } from './quota-shares.js';
+import { decodeNeeds } from './quota-shares.js';
 import type { ShardRouter } from './shard-router.js';
 import type { ShardOwnership } from './shard-ownership.js';
 import type { UserRequestHandler } from './user-requests.js';
@@ -45,7 +45,7 @@
       for (const holder of ownership.holders.values()) holder.transfer(message.machine, message.to);
       break;
     case 'quota':
-      quotas.recordDemand(decodeDemand(message));
+      quotas.recordNeeds(decodeNeeds(message));
       deps.requestQuotaRound();
       break;
     case 'ask':
--- a/src/service/quota-shares.ts
+++ b/src/service/quota-shares.ts
@@ -3,13 +3,13 @@
 import type { Logger, NodeName, Runtime, ShardName } from '../kernel/index.js';
 import { fencePendingShardWrites, type ShardDirectory } from '../membership/index.js';
 import type { PeerTransport, PeerMessage, TeamQuotaDemand } from '../peers/index.js';
-import { QuotaShares, type QuotaMode, type ShardDemand, type TeamNeed } from '../quota/index.js';
+import { QuotaShares, type QuotaMode, type ShardNeeds, type TeamNeed } from '../quota/index.js';
 import { QUOTA_SHARES } from '../rollout/index.js';
 import type { Mirror, StateClient } from '../state/index.js';
 
 type QuotaMessage = Extract<PeerMessage, { kind: 'quota' }>;
 
-/** Encodes the demand of one team. */
+/** Encodes the need of one team. */
 const encodeNeed = ([team, { use, waiting, unit, priority, waitedMs }]: readonly [
   string,
   TeamNeed,
@@ -18,13 +18,13 @@
   ...{ unitCpus: unit.cpus, unitGpus: unit.gpus, priority, waitedMs },
 });
 
-/** Encodes a shard's demand as a message to peers. */
-export const encodeDemand = ({ shard, claimedAt, teams }: ShardDemand): QuotaMessage => ({
+/** Encodes a shard's needs as a message to peers. */
+export const encodeNeeds = ({ shard, claimedAt, teams }: ShardNeeds): QuotaMessage => ({
   ...{ kind: 'quota', shard, claimedAt, teams: [...teams].map(encodeNeed) },
 });
 
-/** Decodes a shard's demand from a message of a peer. */
-export const decodeDemand = ({ shard, claimedAt, teams }: QuotaMessage): ShardDemand => ({
+/** Decodes a shard's needs from a message of a peer. */
+export const decodeNeeds = ({ shard, claimedAt, teams }: QuotaMessage): ShardNeeds => ({
   shard,
   claimedAt,
   teams: new Map(
@@ -40,9 +40,9 @@
   ),
 });
 
-/** Sends a shard's demand to every peer whose release supports quota shares. */
-export function sendDemandToPeers(peers: PeerTransport, demand: ShardDemand): void {
-  const message = encodeDemand(demand);
+/** Sends a shard's needs to every peer whose release supports quota shares. */
+export function sendNeedsToPeers(peers: PeerTransport, needs: ShardNeeds): void {
+  const message = encodeNeeds(needs);
   const supportsShares = (peer: NodeName): boolean => peers.statusOf(peer)?.features.includes(QUOTA_SHARES) === true;
   for (const peer of peers.peerNames) if (supportsShares(peer)) peers.send(peer, message);
 }
@@ -73,8 +73,8 @@
     shards: () => deps.shards(),
     sealed: () => directory.sealed,
     holders: () => holders.values(),
-    sendDemand: (demand) => sendDemandToPeers(peers, demand),
-    fencePendingWrites: (shard) =>
+    sendNeeds: (needs) => sendNeedsToPeers(peers, needs),
+    settlePendingWrites: (shard) =>
       fencePendingShardWrites(shard, state, mirror, runtime, () => holders.get(shard)?.dropped === false),
   });
 }
--- a/src/service/rollout-overview.ts
+++ b/src/service/rollout-overview.ts
@@ -18,8 +18,8 @@
   readonly clock: Clock;
   readonly directory: ShardDirectory;
   readonly peers: PeerTransport;
-  readonly conductor: RolloutReconciler;
-  readonly switches: FeatureGates;
+  readonly rollout: RolloutReconciler;
+  readonly featureGates: FeatureGates;
   readonly ownership: ShardOwnership;
   /** All shards. */
   shards(): readonly ShardName[];
@@ -38,13 +38,13 @@
  * whether the next node may be replaced.
  */
 export function rolloutOverview(deps: RolloutOverviewDeps): unknown {
-  const { self, peers, conductor, switches, ownership } = deps;
+  const { self, peers, rollout, featureGates, ownership } = deps;
   const peerViews = new Map(peers.recentPeers().map((view) => [view.node, view]));
   const shards = rolloutShards(deps);
   const leaving = [...peerViews.values()].filter((view) => view.leaving).map(({ node }) => node);
   if (ownership.leaving) leaving.push(self);
-  const { nodes, observations: watched, now } = conductor;
-  const why = replacementBlocker({ now, nodes, shards, leaving, observations: watched });
+  const { nodes, observations, now } = rollout;
+  const why = replacementBlocker({ now, nodes, shards, leaving, observations });
   return {
     release: RELEASE_NUMBER,
     nodes: nodes.map(({ node, announced }) => ({
@@ -59,18 +59,18 @@
       holds: shards.filter(({ holder }) => holder === node).map(({ shard }) => shard),
     })),
     features: FEATURES.map(({ name, needs }) => {
-      const stored = switches.state.features.get(name);
+      const stored = featureGates.state.features.get(name);
       return {
         ...{ name, needs, state: stored?.state ?? 'off', why: stored?.why ?? '' },
         since: stored ? new Date(stored.since).toISOString() : null,
-        // False once an operator has closed the way back, or once stored data no longer fits into the earlier format.
-        wayBack: stored?.finished !== true && conductor.recordsToRevert(name) >= 0,
-        waitsFor: conductor.waits.get(name) ?? null,
+        // False once an operator has ruled out a rollback, or once stored data no longer fits into the earlier format.
+        wayBack: stored?.finished !== true && rollout.recordsToRevert(name) >= 0,
+        waitsFor: rollout.waits.get(name) ?? null,
       };
     }),
     // Features of later releases, which this release does not support.
-    unknownFeatures: [...switches.state.features.keys()].filter((name) => !FEATURES.some((f) => f.name === name)),
-    paused: conductor.paused,
+    unknownFeatures: [...featureGates.state.features.keys()].filter((name) => !FEATURES.some((f) => f.name === name)),
+    paused: rollout.paused,
     unreadable: shards.filter(({ unreadable }) => unreadable).map(({ shard }) => shard),
     skippedFrames: peers.skippedFrames,
     next: why === null ? { mayBeReplaced: true } : { mayBeReplaced: false, why },
@@ -79,20 +79,20 @@
 
 /** The rollout operations behind the admin API. */
 export function rolloutOperations(deps: RolloutOverviewDeps): RolloutControl {
-  const { conductor, ownership, switches } = deps;
+  const { rollout, ownership, featureGates } = deps;
   return {
     clock: deps.clock,
     features: () =>
       new Map(
         FEATURES.map(({ name }) => {
-          const { state = 'off', finished = false } = switches.state.features.get(name) ?? {};
+          const { state = 'off', finished = false } = featureGates.state.features.get(name) ?? {};
           return [name, { state, finished }];
         }),
       ),
     overview: () => rolloutOverview(deps),
-    updateWishes: (how) => conductor.updateWishes(how),
+    updateWishes: (change) => rollout.updateWishes(change),
     startLeaving: () => ownership.leave(),
-    cancelLeaving: () => ownership.stay('an operator cancelled the shutdown'),
+    cancelLeaving: () => ownership.cancelLeaving('an operator cancelled the shutdown'),
     leaveStatus: () => {
       const { leaving, left, staysInMs } = ownership;
       return { leaving, left, staysInS: staysInMs === null ? null : Math.ceil(staysInMs / 1000) };
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -64,7 +64,7 @@
 const QUOTA_INTERVAL_MS = 400;
 /** Shortest interval between requested quota rounds: a round iterates over all tasks of the held shards. */
 const QUOTA_THROTTLE_MS = 250;
-/** Interval of the rounds that carry cancellations to other controllers. */
+/** Interval of the rounds that resend cancellations and send heartbeats. */
 const CANCELLATION_INTERVAL_MS = 500;
 /** After a holder round, the event loop is left to other work for this many times the length of the round. */
 const HOLDER_REST_FACTOR = 20;
@@ -99,9 +99,9 @@
   private readonly leader: Leader;
   private readonly directory: ShardDirectory;
   private readonly ownership: ShardOwnership;
-  private readonly steward: DependencyTracker;
-  private readonly conductor: RolloutReconciler;
-  private readonly switches: FeatureGates;
+  private readonly dependencyTracker: DependencyTracker;
+  private readonly rollout: RolloutReconciler;
+  private readonly featureGates: FeatureGates;
   private readonly router: ShardRouter;
   private readonly quotas: QuotaShares;
   private readonly quotaLoop: ReconcileLoop;
@@ -151,7 +151,7 @@
       runtime,
       log,
     );
-    this.switches = new FeatureGates(this.mirror, new Set(FEATURE_NAMES));
+    this.featureGates = new FeatureGates(this.mirror, new Set(FEATURE_NAMES));
     this.ownership = new ShardOwnership({
       ...{ self: settings.node, incarnation: this.incarnation, ownShard: this.ownShard, state: this.state },
       ...{ mirror: this.mirror, peers: this.peers, directory: this.directory, runtime, log, trail: this.trail },
@@ -172,11 +172,11 @@
       this.directory,
       {
         held: () => [...this.ownership.holders.keys()],
-        verify: () => this.ownership.verify(),
+        verifyOwnership: () => this.ownership.verifyOwnership(),
         mayClaim: () =>
-          this.ownership.mayTakeShards &&
-          (this.reachability.ok || !this.peers.peerNames.some((peer) => this.ownership.canTakeShards(peer))),
-        mayLead: () => this.ownership.mayTakeShards,
+          this.ownership.mayClaimShards &&
+          (this.reachability.ok || !this.peers.peerNames.some((peer) => this.ownership.isEligibleHolder(peer))),
+        mayLead: () => this.ownership.mayClaimShards,
         usesPages: () => this.storageFormats.blockFormat === 'pages',
         announcement: () => ANNOUNCEMENT,
       },
@@ -206,14 +206,14 @@
         machineTypes: () => this.machineTypes.list,
         chooseShard: (spec, waits) => this.router.chooseShardFor(spec, waits),
         supportsDependencies: () => this.storageFormats.pipelines,
-        unfinishedDependencies: (id) => this.steward.awaits(id),
+        unfinishedDependencies: (id) => this.dependencyTracker.awaits(id),
         progressOf: (id) => this.router.progressOf(id),
         awaitAcknowledgement: (id, final, version) =>
           this.cancellationPropagator.awaitAcknowledgement(id, final, version),
         onJobEnded: (id, final) => {
           const { phase, done } = final;
           this.trail?.record({ kind: 'ended', job: id, phase, done });
-          this.steward.onJobFinal(id, final);
+          this.dependencyTracker.onJobFinal(id, final);
         },
       },
       runtime,
@@ -225,13 +225,13 @@
       ...{ self: settings.node, incarnation: this.incarnation, facts: this.holderTimings, runtime, log },
       ...{ state: this.state, mirror: this.mirror, directory: this.directory, peers: this.peers },
       others: settings.seeds.map((seed) => seed.node),
-      enabled: () => this.switches.isOn(CARRIED_CANCELLATIONS),
+      enabled: () => this.featureGates.isOn(CARRIED_CANCELLATIONS),
       leaseRenewedAt: () => this.membership.ownershipProvenAt,
       held: () => [...this.ownership.holders].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
       onShardLost: (shard, version) => this.ownership.supersede(shard, version),
       onJobEnded: (id, final, version) => this.registry.recordFinal(id, final, version),
     });
-    this.steward = new DependencyTracker({
+    this.dependencyTracker = new DependencyTracker({
       ...{ registry: this.registry, mirror: this.mirror, runtime, log },
       holds: (shard) => this.ownership.holders.has(shard),
       ready: (id) => {
@@ -244,7 +244,7 @@
       },
       fetchS: (spec) => this.machineTypes.imageFetchS(spec),
     });
-    this.conductor = new RolloutReconciler({
+    this.rollout = new RolloutReconciler({
       ...{ features: FEATURES, state: this.state, mirror: this.mirror, runtime, log },
       nodes: [settings.node, ...settings.seeds.map((seed) => seed.node)].sort(),
       leaderTerm: () => this.membership.leaderTerm,
@@ -252,7 +252,7 @@
     });
     this.storageFormats = new StorageFormats({
       ...{ state: this.state, mirror: this.mirror, directory: this.directory },
-      ...{ switches: this.switches, conductor: this.conductor },
+      ...{ featureGates: this.featureGates, rollout: this.rollout },
     });
     this.settingsStore = new SettingsStore(this.state, this.mirror, runtime);
     this.userRequests = new UserRequestHandler(
@@ -273,7 +273,7 @@
       shards: this.directory,
       leaderTerm: () => this.membership.leaderTerm,
       summaries: () => this.router.currentSummaries,
-      upcomingJobs: () => this.steward.upcomingJobs(),
+      upcomingJobs: () => this.dependencyTracker.upcomingJobs(),
       types: () => this.machineTypes.all,
       sendToPeer: (node, message) => this.sendToPeer(node, message),
       requestRound: () => this.leaderLoop.trigger(),
@@ -313,7 +313,7 @@
       state,
       mirror,
       settingsStore,
-      steward,
+      dependencyTracker,
       cancellationPropagator,
       ownership,
       peers,
@@ -325,7 +325,7 @@
       state,
       mirror,
       settingsStore,
-      steward,
+      dependencyTracker,
       cancellationPropagator,
       ownership,
       peers,
@@ -335,7 +335,7 @@
       { status: () => nodeStatus(statusDeps), quotas: () => this.quotas.overview() },
       rolloutOperations({
         ...{ self: settings.node, clock: runtime, directory: this.directory, peers: this.peers },
-        ...{ conductor: this.conductor, switches: this.switches, ownership: this.ownership },
+        ...{ rollout: this.rollout, featureGates: this.featureGates, ownership: this.ownership },
         shards: () => this.membership.shards,
       }),
       this.trail &&
@@ -355,7 +355,7 @@
     const { host, port } = settings.serveOn;
     this.listener = listen(app, fastPathRoutes(handlers, log), { host, port }, incomingLimit, runtime, log);
     void this.mirror.run();
-    const sessionLoop = new ReconcileLoop('session', this.membership.renewEveryMs, runtime, log, () =>
+    const leaseLoop = new ReconcileLoop('lease', this.membership.renewEveryMs, runtime, log, () =>
       this.membership.maintainLease(),
     );
     const claimLoop = new ReconcileLoop('claims', 200, runtime, log, () => this.reconcileClaims());
@@ -363,7 +363,7 @@
       this.publishSummaries(),
     );
     const typesLoop = new ReconcileLoop('types', 500, runtime, log, () => this.machineTypes.refresh());
-    const cancellationLoop = new ReconcileLoop('carry', CANCELLATION_INTERVAL_MS, runtime, log, () =>
+    const cancellationLoop = new ReconcileLoop('cancellations', CANCELLATION_INTERVAL_MS, runtime, log, () =>
       this.cancellationPropagator.round(),
     );
     const reachabilityDeps = {
@@ -376,7 +376,7 @@
       checkReachability(reachabilityDeps),
     );
     this.loops.push(
-      sessionLoop,
+      leaseLoop,
       claimLoop,
       cancellationLoop,
       reachabilityLoop,
@@ -387,7 +387,7 @@
       this.holderLoop,
     );
     for (const loop of this.loops) loop.start();
-    sessionLoop.trigger();
+    leaseLoop.trigger();
     log.info({ serve: settings.serveOn, incarnation: this.incarnation }, 'wooddrift is up');
   }
 
@@ -407,16 +407,16 @@
     await this.membership.elect();
     await this.membership.claimVacantShards();
     await this.ownership.reconcile();
-    await this.conductor.reconcile();
+    await this.rollout.reconcile();
   }
 
   /** Whether the load balancer should send users to this node. */
   private isHealthy(): boolean {
     const ready = this.mirror.loaded && this.membership.registered;
     const othersStateOk = this.peers.peerNames.map((node) => this.peers.statusOf(node)?.stateOk ?? null);
-    const { mayTakeShards } = this.ownership;
+    const { mayClaimShards } = this.ownership;
     return this.healthCheck.check(
-      { ready, mayTakeShards, stateOk: this.state.available, othersStateOk },
+      { ready, mayClaimShards, stateOk: this.state.available, othersStateOk },
       this.runtime.now(),
     );
   }
@@ -426,7 +426,7 @@
   /** Dispatches a change in the state service by its key. */
   private onChange(change: Change): void {
     if (change.key.startsWith(JOBS_PREFIX)) {
-      this.steward.onJobChange(change);
+      this.dependencyTracker.onJobChange(change);
       for (const holder of this.ownership.holders.values()) holder.onJob(change);
     } else if (change.key.startsWith(SHARDS_PREFIX)) this.ownership.onShard(change);
     else if (change.key.startsWith(PAGES_PREFIX)) this.ownership.onPage(change);
@@ -461,11 +461,11 @@
       mirror: this.mirror,
       directory: this.directory,
       registry: this.registry,
-      pipelines: this.steward,
+      pipelines: this.dependencyTracker,
       quotas: {
         shareLimitOf: (team, shard) => this.quotas.capOf(team, shard),
         remainingOf: (team) => this.quotas.leftOf(team),
-        account: (team) => this.quotas.account(team),
+        account: (team) => this.quotas.accountShardOf(team),
         isReturning: () => this.quotas.returning,
         reportWaitingWork: () => this.quotaLoop.trigger(),
       },
@@ -479,7 +479,7 @@
       isExclusiveHolder: () => this.membership.leaseValid,
       standing: () => this.cancellationPropagator.holderMode,
       leftoverMs: leftoverAnswerMs(this.holderTimings),
-      grouped: () => this.switches.isOn(GROUPED_PROGRESS),
+      grouped: () => this.featureGates.isOn(GROUPED_PROGRESS),
       requestRound: () => this.holderLoop.trigger(),
       heard: () => this.reachability.heard(),
       findShardWithCapacity: (from, spec, count) => this.router.findOtherShard(from, spec, count),
--- a/src/service/shard-ownership.ts
+++ b/src/service/shard-ownership.ts
@@ -26,7 +26,7 @@
 const WATCH_CATCH_UP_MS = 1000;
 /** Why a node releases its shards when it is cut off from the workers. */
 const CUT_OFF_REASON = 'this node cannot reach the workers';
-/** How long the own node of a shard (the node of the same name) has to be available before it gets the shard back. */
+/** How long the home node of a shard (the node of the same name) has to be available before it gets the shard back. */
 const HAND_BACK_DELAY_MS = 3000;
 /** A node that was asked to leave and still runs after this time takes part again. */
 const LEAVING_TIMEOUT_MS = 60_000;
@@ -49,7 +49,7 @@
   reachesWorkers(): boolean;
   /** Creates the holder of a shard that this node has claimed at a version. */
   createHolder(shard: ShardName, version: Revision, value: ShardValue): ShardHolder;
-  /** Format in which the machine lists of shards are written; `any` leaves each list in its present format. */
+  /** Format in which the blocks of shards are written; `any` leaves each block in its present format. */
   blockFormat(): 'pages' | 'record' | 'any';
   /** Whether shard records are to be sealed; null leaves them as they are. */
   sealRecords(): boolean | null;
@@ -70,8 +70,8 @@
   readonly holders = new Map<ShardName, ShardHolder>();
   /** Per shard, the latest version at which another node is known to have claimed it. */
   private readonly supersededAt = new Map<ShardName, number>();
-  /** Per shard, since when its own node can take it back. */
-  private readonly ownNodeBackSince = new Map<ShardName, Millis>();
+  /** Per shard, since when its home node has been able to take it back. */
+  private readonly homeNodeAvailableSince = new Map<ShardName, Millis>();
   private leavingSince: Millis | null = null;
 
   private readonly sealer: ShardSealer;
@@ -152,7 +152,7 @@
    * Rereads the records of the held shards from the state service; a shard that another node has claimed is dropped as
    * its record arrives. Returns false if any record could not be read.
    */
-  async verify(): Promise<boolean> {
+  async verifyOwnership(): Promise<boolean> {
     let allRead = true;
     for (const shard of [...this.holders.keys()]) {
       const read = await reread(this.deps.state, this.deps.mirror, shardKey(shard));
@@ -161,37 +161,37 @@
     return allRead;
   }
 
-  /** Whether a peer can take shards: it has the state service, reaches the workers and is not leaving. */
-  canTakeShards(node: NodeName): boolean {
+  /** Whether a peer can hold shards: it has the state service, reaches the workers and is not leaving. */
+  isEligibleHolder(node: NodeName): boolean {
     const status = this.deps.peers.statusOf(node);
     return status !== null && status.stateOk && status.fit && !status.leaving;
   }
 
-  /** Whether this node may claim shards or lead. It may not while it is leaving and a peer can take shards. */
-  get mayTakeShards(): boolean {
-    return !this.leaving || !this.deps.peers.peerNames.some((peer) => this.canTakeShards(peer));
+  /** Whether this node may claim shards or lead. It may not while it is leaving and a peer can hold shards. */
+  get mayClaimShards(): boolean {
+    return !this.leaving || !this.deps.peers.peerNames.some((peer) => this.isEligibleHolder(peer));
   }
 
-  /** The peer that holds the fewest shards among those that can take shards, or null. */
+  /** The peer that holds the fewest shards among those that can hold shards, or null. */
   private leastLoadedPeer(): NodeName | null {
     const heldShards = (node: NodeName): number => {
       let held = 0;
       for (const { value } of this.deps.directory.all.values()) if (value.holder === node && !value.released) held += 1;
       return held;
     };
-    const candidates = this.deps.peers.peerNames.filter((peer) => this.canTakeShards(peer));
+    const candidates = this.deps.peers.peerNames.filter((peer) => this.isEligibleHolder(peer));
     return candidates.sort((a, b) => heldShards(a) - heldShards(b) || (a < b ? -1 : 1))[0] ?? null;
   }
 
   /**
    * One reconcile round: asks earlier holders to stop commanding workers, and hands shards over to peers or back to
-   * their own nodes.
+   * their home nodes.
    */
   async reconcile(): Promise<void> {
     const { peers, runtime } = this.deps;
     const now = runtime.now();
     if (this.leavingSince !== null && now - this.leavingSince > LEAVING_TIMEOUT_MS)
-      this.stay('this node was not shut down in time');
+      this.cancelLeaving('this node was not shut down in time');
     for (const [shard, holder] of this.holders) {
       for (const { node, incarnation: earlierIncarnation } of holder.unconfirmedHolders) {
         const currentIncarnation = peers.statusOf(node)?.incarnation ?? this.deps.membership().liveIncarnationOf(node);
@@ -214,7 +214,7 @@
     }
   }
 
-  /** Converts the stored machine list and the seal of a shard to the wanted formats. */
+  /** Converts the stored block and the seal of a shard to the wanted formats. */
   private async reconcileBlockFormat(shard: ShardName): Promise<void> {
     const known = this.deps.directory.all.get(shard);
     const { paging } = this.deps.membership();
@@ -224,7 +224,7 @@
     if (blockFormat === 'any') return;
     if (blockFormat === 'pages' && known.value.epoch === null) await paging.moveToPages(shard, known);
     else if (blockFormat === 'record' && known.value.epoch !== null && !(await paging.moveToRecord(shard, known)))
-      this.deps.log.debug({ shard }, 'machine list of the shard could not be moved back into its record');
+      this.deps.log.debug({ shard }, 'block of the shard could not be moved back into its record');
   }
 
   /** Seals or unseals a shard's record if the wanted state differs. */
@@ -238,22 +238,22 @@
   }
 
   /**
-   * Returns a shard to its own node once that node has been available for `HAND_BACK_DELAY_MS` and the shard is quiet.
+   * Returns a shard to its home node once that node has been available for `HAND_BACK_DELAY_MS` and the shard is quiet.
    */
   private async handBack(shard: ShardName, holder: ShardHolder, now: Millis): Promise<void> {
-    const ownNode = shard as unknown as NodeName;
-    if (this.deps.membership().liveIncarnationOf(ownNode) === null || !this.canTakeShards(ownNode)) {
-      this.ownNodeBackSince.delete(shard);
+    const homeNode = shard as unknown as NodeName;
+    if (this.deps.membership().liveIncarnationOf(homeNode) === null || !this.isEligibleHolder(homeNode)) {
+      this.homeNodeAvailableSince.delete(shard);
       return;
     }
-    const since = this.ownNodeBackSince.get(shard) ?? now;
-    this.ownNodeBackSince.set(shard, since);
+    const since = this.homeNodeAvailableSince.get(shard) ?? now;
+    this.homeNodeAvailableSince.set(shard, since);
     if (
       now - since > HAND_BACK_DELAY_MS &&
       holder.quiet &&
-      (await holder.releaseShard('its own node is available again'))
+      (await holder.releaseShard('its home node is available again'))
     )
-      this.ownNodeBackSince.delete(shard);
+      this.homeNodeAvailableSince.delete(shard);
   }
 
   /** For each held shard: the version of its claim and the number of machines that are missing from its block. */
@@ -264,8 +264,8 @@
   /** The shards in which teams with a limit start nothing, with the number of tasks of unknown jobs that cause this. */
   get heldBack(): { readonly shard: ShardName; readonly tasksOfUnknownJobs: number }[] {
     return [...this.holders.values()]
-      .filter(({ blockingUnknownTasks: heldBackBy }) => heldBackBy > 0)
-      .map(({ shard, blockingUnknownTasks: heldBackBy }) => ({ shard, tasksOfUnknownJobs: heldBackBy }));
+      .filter(({ blockingUnknownTasks }) => blockingUnknownTasks > 0)
+      .map(({ shard, blockingUnknownTasks }) => ({ shard, tasksOfUnknownJobs: blockingUnknownTasks }));
   }
 
   // ---- leaving
@@ -295,7 +295,7 @@
   }
 
   /** Cancels `leave`. */
-  stay(reason: string): void {
+  cancelLeaving(reason: string): void {
     if (!this.leaving) return;
     this.leavingSince = null;
     this.deps.log.info({ why: reason }, 'shutdown cancelled: this node may claim shards and lead again');
--- a/src/service/shard-router.ts
+++ b/src/service/shard-router.ts
@@ -15,7 +15,7 @@
   readonly self: NodeName;
   readonly clock: Clock;
   /** Team limits: which shard keeps a team's account, and whether the limits are divided between all shards. */
-  readonly quotas: Pick<QuotaShares, 'account' | 'returning' | 'routesFreely' | 'startableIn'>;
+  readonly quotas: Pick<QuotaShares, 'accountShardOf' | 'returning' | 'limitsAreShared' | 'startableIn'>;
   readonly teams: ReadonlyMap<string, TeamQuota>;
   /** The shards that this node holds. */
   readonly holders: ReadonlyMap<ShardName, ShardHolder>;
@@ -55,18 +55,18 @@
   }
 
   /**
-   * Chooses the shard of a new job; null if none is known. A job that is `waiting` for others reserves no capacity yet.
+   * Chooses the shard of a new job; null if none is known. A job with unfinished dependencies reserves no capacity yet.
    */
-  chooseShardFor(spec: JobSpec, waiting = false): ShardName | null {
+  chooseShardFor(spec: JobSpec, hasUnfinishedDependencies = false): ShardName | null {
     // Unless limits are divided into shares, one shard keeps the whole account of a team with a limit.
-    if (this.mustFollowAccount(spec)) return this.deps.quotas.account(spec.team);
+    if (this.mustFollowAccount(spec)) return this.deps.quotas.accountShardOf(spec.team);
     const { holders, ownShard } = this.deps;
     const localShard = holders.has(ownShard) ? ownShard : ([...holders.keys()][0] ?? null);
     const { quotas } = this.deps;
     const limited = limitOf(this.deps.teams.get(spec.team)) !== null;
-    const allowedIn = limited ? (shard: ShardName): number => quotas.startableIn(spec.team, shard, spec) : undefined;
-    const chosen = chooseShard(spec, this.currentSummaries, this.deps.types(), localShard, allowedIn);
-    return waiting ? chosen : this.reserve(chosen, spec);
+    const startableIn = limited ? (shard: ShardName): number => quotas.startableIn(spec.team, shard, spec) : undefined;
+    const chosen = chooseShard(spec, this.currentSummaries, this.deps.types(), localShard, startableIn);
+    return hasUnfinishedDependencies ? chosen : this.reserve(chosen, spec);
   }
 
   /** Another shard with capacity for `count` waiting tasks of a job now, or null. */
@@ -74,14 +74,14 @@
     if (this.mustFollowAccount(spec)) {
       if (!this.deps.quotas.returning) return null;
       // Jobs that were routed elsewhere while limits were divided return to the shard that keeps the account.
-      const account = this.deps.quotas.account(spec.team);
+      const account = this.deps.quotas.accountShardOf(spec.team);
       return account === from ? null : account;
     }
-    const { currentSummaries: summaries } = this;
-    const candidates = summaries.filter(
+    const { currentSummaries } = this;
+    const candidates = currentSummaries.filter(
       (s) => s.shard !== from && !(this.deps.holders.has(s.shard) && s.holder !== this.deps.self),
     );
-    const fromSummary = summaries.find((s) => s.shard === from);
+    const fromSummary = currentSummaries.find((s) => s.shard === from);
     return this.reserve(chooseMoveTarget(spec, count, fromSummary, candidates, this.deps.types()), spec);
   }
 
@@ -100,7 +100,7 @@
 
   /** Whether a job must be in the shard that keeps its team's account. */
   private mustFollowAccount({ team }: JobSpec): boolean {
-    return limitOf(this.deps.teams.get(team)) !== null && !this.deps.quotas.routesFreely;
+    return limitOf(this.deps.teams.get(team)) !== null && !this.deps.quotas.limitsAreShared;
   }
 
   /**
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -15,7 +15,7 @@
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly settingsStore: SettingsStore;
-  readonly steward: DependencyTracker;
+  readonly dependencyTracker: DependencyTracker;
   readonly cancellationPropagator: CancellationPropagator;
   readonly ownership: ShardOwnership;
   readonly peers: PeerTransport;
@@ -23,7 +23,7 @@
 
 /** The status of a node as shown by `admin status`. */
 export function nodeStatus({ node, incarnation, membership, state, settingsStore, ...deps }: StatusDeps): unknown {
-  const { mirror, steward, cancellationPropagator, ownership, peers } = deps;
+  const { mirror, dependencyTracker, cancellationPropagator, ownership, peers } = deps;
   return {
     ...{
       node,
@@ -35,7 +35,7 @@
     ...{ watch: mirror.lag, held: ownership.held },
     settingsRevision: settingsStore.revision,
     stateLimits: { fallen: state.limits.fallen, writeRps: state.limits.writeRps },
-    pipelines: steward.counts,
+    pipelines: dependencyTracker.counts,
     ...{ cancellations: cancellationPropagator.status, heldBack: ownership.heldBack, peers: peers.traffic },
     shards: [...ownership.holders.values()].map((holder) => holder.summary()),
   };
--- a/src/service/storage-formats.ts
+++ b/src/service/storage-formats.ts
@@ -16,8 +16,8 @@
   readonly state: StateClient;
   readonly mirror: Mirror;
   readonly directory: ShardDirectory;
-  readonly switches: FeatureGates;
-  readonly conductor: RolloutReconciler;
+  readonly featureGates: FeatureGates;
+  readonly rollout: RolloutReconciler;
 }
 
 /** Selects, from the rollout state of the features, the format in which this node writes data that has two formats. */
@@ -30,21 +30,21 @@
    * switches it on is under way.
    */
   get pipelines(): boolean {
-    return this.deps.switches.isOn(PIPELINES) || this.deps.conductor.isReadyToSwitchOn(PIPELINES);
+    return this.deps.featureGates.isOn(PIPELINES) || this.deps.rollout.isReadyToSwitchOn(PIPELINES);
   }
 
-  /** Format in which the machine lists of shards are written; `any` leaves each list in its present format. */
+  /** Format in which the blocks of shards are written; `any` leaves each block in its present format. */
   get blockFormat(): 'pages' | 'record' | 'any' {
-    const { mirror, state, switches } = this.deps;
+    const { mirror, state, featureGates } = this.deps;
     if (!mirror.loaded) return 'any';
-    const featureState = switches.state.features.get(PAGED_BLOCKS)?.state;
+    const featureState = featureGates.state.features.get(PAGED_BLOCKS)?.state;
     if (featureState === 'on') return state.limits.fallen ? 'pages' : 'any';
     return featureState === 'returning' ? 'record' : 'any';
   }
 
-  /** Whether each team's limit is kept whole, divided into shares, or on its way back from shares to whole. */
+  /** Whether each team's limit is kept whole, divided into shares, or being reverted from shares to whole ('returning'). */
   get quotaMode(): QuotaMode {
-    const featureState = this.deps.switches.state.features.get(QUOTA_SHARES)?.state;
+    const featureState = this.deps.featureGates.state.features.get(QUOTA_SHARES)?.state;
     if (featureState === 'on') return 'shared';
     return featureState === 'returning' ? 'returning' : 'whole';
   }
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -3,7 +3,7 @@
 import { millis } from '../src/kernel/index.js';
 import { HealthCheck, type HealthInputs } from '../src/service/index.js';
 
-const HEALTHY: HealthInputs = { ready: true, mayTakeShards: true, stateOk: true, othersStateOk: [true, true] };
+const HEALTHY: HealthInputs = { ready: true, mayClaimShards: true, stateOk: true, othersStateOk: [true, true] };
 
 /** Evaluates the same inputs once a second; returns the last result. */
 function healthyAfter(inputs: Partial<HealthInputs>, seconds: number, health = new HealthCheck(), from = 0): boolean {
@@ -15,7 +15,7 @@
 test('a node that can serve users is healthy, and every node is while none can', () => {
   assert.equal(healthyAfter({}, 60), true);
   assert.equal(healthyAfter({ ready: false }, 0), false);
-  assert.equal(healthyAfter({ mayTakeShards: false }, 0), false);
+  assert.equal(healthyAfter({ mayClaimShards: false }, 0), false);
   assert.equal(
     healthyAfter({ stateOk: false, othersStateOk: [true, false] }, 0),
     false,
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -16,7 +16,7 @@
   const client = new StateClient(address, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const hooks = {
-    ...{ held: () => [], verify: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
+    ...{ held: () => [], verifyOwnership: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
     ...{ usesPages: () => false, announcement: () => ({}) },
   };
   const directory = new ShardDirectory(mirror);
@@ -66,7 +66,7 @@
   const client = new StateClient(address, { rps: 1000, writeRps: 6 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
   const hooks = {
-    ...{ held: () => [], verify: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
+    ...{ held: () => [], verifyOwnership: () => Promise.resolve(true), mayClaim: () => true, mayLead: () => true },
     ...{ usesPages: () => false, announcement: () => ({}) },
   };
   const self = nodeName('n-rush');
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -127,7 +127,7 @@
     const doomed = open().filter((id) => model.isDoomed(id));
     if (doomed.length === 0) return model;
     for (const id of doomed) {
-      assert.ok(graph.isDoomed(id), `${id} has to be cancelled`);
+      assert.ok(graph.mustBeCancelled(id), `${id} has to be cancelled`);
       end(id, 'cancelled', false);
     }
   }
@@ -158,7 +158,7 @@
     assert.equal(graph.isReady(last), false);
     const { ready } = graph.recordFinal(id, 'done', 1000 + i);
     // Recording the same final state again changes nothing.
-    assert.deepEqual(graph.recordFinal(id, 'done', 9999), { ready: [], doomed: [] });
+    assert.deepEqual(graph.recordFinal(id, 'done', 9999), { ready: [], toCancel: [] });
     assert.deepEqual(ready, i === 99 ? [last] : []);
   }
   assert.equal(graph.readyAt(last), 1099);
@@ -176,8 +176,8 @@
     add(id, [previous]);
     previous = id;
   }
-  assert.equal(graph.recordFinal(root, 'cancelled', 0).doomed.length, 10_000);
-  assert.equal(graph.isDoomed(previous), true);
+  assert.equal(graph.recordFinal(root, 'cancelled', 0).toCancel.length, 10_000);
+  assert.equal(graph.mustBeCancelled(previous), true);
 
   const [top, left, right, end] = ['j-a', 'j-b', 'j-c', 'j-d'].map((id) => jobId(id)) as [JobId, JobId, JobId, JobId];
   add(left, [top], { estimateS: 10, priority: Priority.low });
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -324,10 +324,10 @@
       [mine, other].map((shard) => ({
         ...{ shard, claimedAt: revision(1), settled: true },
         teamNeeds: () =>
-          new Map([...teams.keys()].map((team) => [team, shares.account(team) === shard ? NO_NEED : waits])),
+          new Map([...teams.keys()].map((team) => [team, shares.accountShardOf(team) === shard ? NO_NEED : waits])),
       })),
-    sendDemand: () => undefined,
-    fencePendingWrites: () => Promise.resolve(),
+    sendNeeds: () => undefined,
+    settlePendingWrites: () => Promise.resolve(),
   });
   for (; now < 30_000; now += 400) {
     shares.reconcile();
@@ -337,7 +337,7 @@
   // 12 % of 50 writes per second, half of that for this one of two nodes: 3 per second for 30 s, and a burst of 6.
   assert.ok(changes <= 30 * 3 + 6, `${changes} changes`);
   for (const team of teams.keys()) {
-    const asks = shares.account(team) === mine ? other : mine;
+    const asks = shares.accountShardOf(team) === mine ? other : mine;
     assert.ok((shares.capOf(team, asks)?.cpus ?? 0) >= 4, team);
   }
 });
--- a/test/standins/quota-simulation.ts
+++ b/test/standins/quota-simulation.ts
@@ -136,10 +136,10 @@
           }),
         ),
       holders: () => [...this.held].map((shard) => this.holderOf(shard)),
-      sendDemand: (demand) => {
-        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.recordDemand(demand);
+      sendNeeds: (demand) => {
+        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.recordNeeds(demand);
       },
-      fencePendingWrites: (shard) => (world.omitted === 'settle' ? Promise.resolve() : world.settle(shard)),
+      settlePendingWrites: (shard) => (world.omitted === 'settle' ? Promise.resolve() : world.settle(shard)),
     };
   }
 
