--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -166,7 +166,10 @@
     decideRollout(snapshotWith({ features, state: stopped.next ?? EMPTY_ROLLOUT_STATE, wall: wallMillis(2000) }))
       .next ?? EMPTY_ROLLOUT_STATE;
   const state = off;
-  assert.match(decideRollout(snapshotWith({ features, state })).waits.get('first') ?? '', /^stopped: 4 controller exits/);
+  assert.match(
+    decideRollout(snapshotWith({ features, state })).waits.get('first') ?? '',
+    /^stopped: 4 controller exits/,
+  );
   // A wish from before the feature was stopped does not count.
   assert.equal(decideRollout(snapshotWith({ features, state, wishes: withWish('first', 'allow', 1500) })).next, null);
   assert.equal(
