--- a/src/leasing/index.ts
+++ b/src/leasing/index.ts
@@ -1,4 +1,4 @@
-/** Leasing of machines to shards, renting and returning machines, and routing of jobs to shards. */
+/** Assignment of machines to the blocks of shards, renting and returning machines, and routing of jobs to shards. */
 export * from './leader.js';
 export * from './plan.js';
 export * from './routing.js';
--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -86,7 +86,7 @@
   /** When the cloud's list last contained it; null: never. */
   listedAt: Millis | null;
   phase: Rental['phase'];
-  /** Its deletion has been requested, so it must not be leased. */
+  /** Its deletion has been requested, so it must not be assigned to a shard. */
   deletionRequested: boolean;
 }
 
@@ -102,8 +102,8 @@
 const EMPTY_PAGE = encodePage(0, []);
 
 /**
- * The leader's tasks: leasing machines to the shards' blocks, and renting and returning machines to control the size
- * and price of the fleet. A block is the set of machines that are leased to one shard. While there is no leader, only
+ * The leader's tasks: assigning machines to the shards' blocks, and renting and returning machines to control the size
+ * and price of the fleet. A block is the set of machines that are assigned to one shard. While there is no leader, only
  * these tasks stop.
  */
 export class Leader {
@@ -132,8 +132,8 @@
     this.startedAt = deps.runtime.now();
   }
 
-  /** Records the report of a worker whose machine is in no block: the machine is up and may be leased. */
-  recordUnleasedWorker(message: WorkerMessage): void {
+  /** Records the report of a worker whose machine is in no block: the machine is up and may be assigned. */
+  recordUnassignedWorker(message: WorkerMessage): void {
     const now = this.deps.runtime.now();
     const isNew = !this.known.get(message.machine)?.reportedAt;
     const known = this.getOrAddMachine(message.machine, message.type, message.zone, message.spot, now);
@@ -170,14 +170,14 @@
     if (this.gone.size > 2000) this.gone.delete([...this.gone][0] ?? id);
   }
 
-  /** Runs one reconciliation of machines, leases and rentals; does nothing while this node is not the leader. */
+  /** Runs one reconciliation of machines, blocks and rentals; does nothing while this node is not the leader. */
   async round(): Promise<void> {
     const term = this.deps.leaderTerm();
     if (term === null) {
       this.term = null;
       return;
     }
-    // Machines in a record that this release cannot read are in no known block and would be mistaken for unleased ones.
+    // Machines in a record that this release cannot read are in no known block and would be mistaken for unassigned ones.
     if (this.deps.shards.unreadable.size > 0) return;
     const now = this.deps.runtime.now();
     if (term !== this.term) {
@@ -193,25 +193,25 @@
     const summaries = this.deps.summaries().filter((s) => shards.get(s.shard)?.value.holder === s.holder);
     await this.returnLost(summaries, now);
     if (!(await this.blocksAreConsistent(term))) return;
-    await this.returnUnleased(now);
+    await this.returnUnassigned(now);
     if (this.deps.types().size === 0 || !(await this.blocksAreConsistent(term))) return;
 
-    const unleasedMachines: UnleasedMachine[] = [];
+    const unassignedMachines: UnleasedMachine[] = [];
     for (const known of this.known.values()) {
       if (
-        this.isLeased(known.id) ||
+        this.isInBlock(known.id) ||
         known.deletionRequested ||
         known.phase === 'failed' ||
         this.releaseAskedAt.has(known.id)
       )
         continue;
       const up = known.reportedAt !== null && now - known.reportedAt < 10_000;
-      unleasedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
+      unassignedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
     }
     for (const [key, at] of this.soldOutKinds) if (now - at > SOLD_OUT_KIND_BACKOFF_MS) this.soldOutKinds.delete(key);
     const plan = planLeases({
       shards: summaries,
-      unleased: unleasedMachines,
+      unleased: unassignedMachines,
       types: this.deps.types(),
       specOf: this.specOf,
       refused: new Set(this.soldOutKinds.keys()),
@@ -223,7 +223,7 @@
         return known ? (now - known.rentedAt) / 1000 : 0;
       },
     });
-    await this.grantMachines(plan.grants, term);
+    await this.assignMachines(plan.assignments, term);
     for (const { machine, from, to } of plan.transfers) this.requestTransfer(machine, from, to, shards, now);
     for (const { machine, from } of plan.releases) {
       this.deps.log.info({ machine, from }, 'asking the holder to release an idle machine');
@@ -236,7 +236,7 @@
   }
 
   /** Returns whether the machine is in a block. */
-  private isLeased(id: MachineId): boolean {
+  private isInBlock(id: MachineId): boolean {
     return this.deps.shards.shardOf(id) !== null;
   }
 
@@ -259,7 +259,7 @@
     return [...largest.values()];
   }
 
-  /** Asks a machine's holder to lease it to another shard, or to release it when `to` is null. */
+  /** Asks a machine's holder to assign it to another shard, or to release it when `to` is null. */
   private requestTransfer(
     machine: MachineId,
     from: ShardName,
@@ -302,9 +302,9 @@
   }
 
   /**
-   * Returns true once all blocks are known as of one revision of this term. Only this leader adds unleased machines to
-   * blocks, so a machine that is in no block at that revision stays unleased until this leader leases it. Before that,
-   * a machine that has just moved from one page to another may appear to be in no block. It would then be leased a
+   * Returns true once all blocks are known as of one revision of this term. Only this leader adds unassigned machines to
+   * blocks, so a machine that is in no block at that revision stays unassigned until this leader assigns it. Before that,
+   * a machine that has just moved from one page to another may appear to be in no block. It would then be assigned a
    * second time, or returned to the cloud together with everything that runs on it.
    */
   private async blocksAreConsistent(term: Revision): Promise<boolean> {
@@ -316,30 +316,30 @@
     );
   }
 
-  /** Leases unleased machines to shards. */
-  private async grantMachines(
-    grants: readonly { readonly machine: MachineId; readonly to: ShardName }[],
+  /** Assigns unassigned machines to shards. */
+  private async assignMachines(
+    assignments: readonly { readonly machine: MachineId; readonly to: ShardName }[],
     term: Revision,
   ): Promise<void> {
     const byShard = new Map<ShardName, MachineId[]>();
-    for (const { machine, to } of grants) byShard.set(to, [...(byShard.get(to) ?? []), machine]);
+    for (const { machine, to } of assignments) byShard.set(to, [...(byShard.get(to) ?? []), machine]);
     for (const [to, machines] of byShard) {
       for (let left: readonly MachineId[] = machines; left.length > 0;) {
-        const granted = await this.grantBatch(to, left, term);
+        const assigned = await this.assignBatch(to, left, term);
         // Resolving a write of unknown outcome reads keys ahead of the watch, so the blocks are no longer known as of
         // one revision.
-        if (granted === 'unknown') return;
-        if (granted.length === 0) break;
-        left = left.filter((id) => !granted.includes(id));
+        if (assigned === 'unknown') return;
+        if (assigned.length === 0) break;
+        left = left.filter((id) => !assigned.includes(id));
       }
     }
   }
 
   /**
-   * Leases as many of the machines to a shard as fit into one page or record. Returns those leased, an empty list if
+   * Assigns as many of the machines to a shard as fit into one page or record. Returns those assigned, an empty list if
    * the write was refused or the term has ended, or 'unknown' after a write of unknown outcome.
    */
-  private async grantBatch(
+  private async assignBatch(
     to: ShardName,
     machines: readonly MachineId[],
     term: Revision,
@@ -351,7 +351,7 @@
     const candidates: BlockMachine[] = [];
     for (const id of machines) {
       const known = this.known.get(id);
-      if (known && !this.isLeased(id))
+      if (known && !this.isInBlock(id))
         candidates.push({ id, type: known.type, zone: known.zone, spot: known.spot, address: known.address });
     }
     const { limits } = state;
@@ -371,7 +371,7 @@
     const result = await state.txn(Urgency.shard, [...guards.values()], change.ops);
     const ids = taken.map((m) => m.id);
     if (result.kind === 'ok') {
-      log.info({ shard: to, machines: ids, term, revision: result.revision }, 'leased machines to a shard');
+      log.info({ shard: to, machines: ids, term, revision: result.revision }, 'assigned machines to a shard');
       mirror.wrote(change.ops, result.revision);
       return ids;
     }
@@ -397,7 +397,7 @@
     const lost = new Set<MachineId>();
     for (const s of summaries) {
       for (const m of s.machines) {
-        if (!this.isLeased(m.id)) continue;
+        if (!this.isInBlock(m.id)) continue;
         const known = this.known.get(m.id);
         if (m.lost || (m.faulty && m.empty) || known?.phase === 'failed') lost.add(m.id);
       }
@@ -442,13 +442,13 @@
   }
 
   /**
-   * Returns unleased machines to the cloud: those that their holder has released, that never came up, that have gone
+   * Returns unassigned machines to the cloud: those that their holder has released, that never came up, that have gone
    * silent or that failed, and those whose deletion was requested before.
    */
-  private async returnUnleased(now: Millis): Promise<void> {
+  private async returnUnassigned(now: Millis): Promise<void> {
     const ids: MachineId[] = [];
     for (const known of this.known.values()) {
-      if (this.isLeased(known.id)) continue;
+      if (this.isInBlock(known.id)) continue;
       const bootS = this.deps.types().get(known.type)?.bootS ?? 60;
       const ageS = (now - known.rentedAt) / 1000;
       const silentS = (now - Math.max(known.reportedAt ?? -1e9, this.startedAt)) / 1000;
@@ -460,13 +460,13 @@
     for (const [id, at] of this.releaseAskedAt) if (now - at > 60_000) this.releaseAskedAt.delete(id);
     if (ids.length === 0 || !this.deps.cloud.canCall()) return;
     const batch = ids.slice(0, 50);
-    // The machines may be deleted from the moment of the request, so they are not leased any more.
+    // The machines may be deleted from the moment of the request, so they are not assigned any more.
     for (const id of batch) {
       const known = this.known.get(id);
       if (known) known.deletionRequested = true;
     }
     if (!(await this.deps.cloud.returnMachines(batch))) return;
-    this.deps.log.info({ machines: batch, term: this.term }, 'returned unleased machines to the cloud');
+    this.deps.log.info({ machines: batch, term: this.term }, 'returned unassigned machines to the cloud');
     for (const id of batch) {
       const why = this.releaseAskedAt.has(id) ? 'idle' : 'in no block';
       this.markDeleted(id);
--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -27,7 +27,7 @@
   backlogTimeShare: 0.55,
 } as const;
 
-/** A machine that is rented but not leased to a shard: it is in no block yet. */
+/** A machine that is rented but not assigned to a shard: it is in no block yet. */
 export interface UnleasedMachine {
   readonly id: MachineId;
   readonly type: string;
@@ -47,12 +47,12 @@
   readonly types: ReadonlyMap<string, MachineType>;
   /** Returns a job's specification, or null if the job is unknown. */
   readonly specOf: (id: JobId) => JobSpec | null;
-  /** Kinds of machine that the cloud recently could not supply, as `type/zone/spot` or `type/zone/own`. */
+  /** Kinds of machine that the cloud recently could not supply, as `type/zone/spot` or `type/zone/on-demand`. */
   readonly refused: ReadonlySet<string>;
   /** Service jobs for which free capacity is kept at any time. They are placed in this order. */
   readonly headroom: readonly JobSpec[];
   /**
-   * Jobs that will be ready soon. Nothing is leased for them yet, but the machines they will lack are rented in time.
+   * Jobs that will be ready soon. No machine is assigned for them yet, but the machines they will lack are rented in time.
    */
   readonly upcoming?: readonly UpcomingJob[];
   /** Seconds that a machine is idle before it is returned to the cloud. */
@@ -73,9 +73,9 @@
 
 /** The changes that the leader is to make in one round. */
 export interface LeasePlan {
-  /** Unleased machines to lease to a shard. */
-  readonly grants: readonly { readonly machine: MachineId; readonly to: ShardName }[];
-  /** Machines that their holder should lease to another shard. */
+  /** Unassigned machines to assign to a shard. */
+  readonly assignments: readonly { readonly machine: MachineId; readonly to: ShardName }[];
+  /** Machines that their holder should assign to another shard. */
   readonly transfers: readonly { readonly machine: MachineId; readonly from: ShardName; readonly to: ShardName }[];
   /** Machines to rent from the cloud. */
   readonly rents: readonly PlannedRent[];
@@ -110,7 +110,7 @@
 
 /** Returns the key of a kind of machine, which consists of its type, its zone and whether it is a spot machine. */
 export const machineKindKey = (type: string, zone: string, spot: boolean): string =>
-  `${type}/${zone}/${spot ? 'spot' : 'own'}`;
+  `${type}/${zone}/${spot ? 'spot' : 'on-demand'}`;
 
 /** Waiting work of one array. */
 export interface ArrayBacklog {
@@ -178,7 +178,7 @@
   }
   demands.sort((a, b) => b.spec.priority - a.spec.priority || a.slackS - b.slackS);
 
-  const grants: { machine: MachineId; to: ShardName }[] = [];
+  const assignments: { machine: MachineId; to: ShardName }[] = [];
   const transfers: { machine: MachineId; from: ShardName; to: ShardName }[] = [];
   const releases: { machine: MachineId; from: ShardName }[] = [];
   const totalCapacity = (type: MachineType, zone: string, spot: boolean): FreeCapacity => ({
@@ -205,7 +205,7 @@
       [...freeCpusByShard].sort((a, b) => a[1] - b[1] || (a[0] < b[0] ? -1 : 1))[0]?.[0];
     if (to === undefined) continue;
     allocateToShard(demands, capacity, to);
-    grants.push({ machine: machine.id, to });
+    assignments.push({ machine: machine.id, to });
     freeCpusByShard.set(to, (freeCpusByShard.get(to) ?? 0) + type.cpus);
   }
 
@@ -346,7 +346,7 @@
     demand.unplacedTasks = demand.spec.kind === 'array' ? Math.min(demand.unplacedTasks, left?.unplacedTasks ?? 0) : 0;
     addRents(demand, input, rentsByKind, Infinity);
   }
-  return { grants, transfers, rents: [...rentsByKind.values()], releases };
+  return { assignments, transfers, rents: [...rentsByKind.values()], releases };
 }
 
 /** The cloud's limit of machines per rent call. */
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -192,7 +192,7 @@
   async elect(): Promise<void> {
     this.logTermChange();
     if (this.lease === undefined || this.nodeVersion === undefined) return;
-    // A leader that can't read every block would lease a machine that is in an unreadable block to another shard.
+    // A leader that can't read every block would assign a machine that is in an unreadable block to another shard.
     if (this.directory.unreadable.size > 0 || !this.hooks.mayLead()) return this.stepDown();
     if (this.mirror.get(LEADER_KEY)) return;
     const value = { node: this.self, incarnation: this.incarnation };
--- a/src/membership/shard-record.ts
+++ b/src/membership/shard-record.ts
@@ -27,7 +27,7 @@
   readonly incarnation: Incarnation;
 }
 
-/** The value of a shard's key: its holder, and the block of machines that is leased to it. */
+/** The value of a shard's key: its holder, and the block of machines that is assigned to it. */
 export interface ShardValue {
   readonly holder: NodeName;
   readonly incarnation: Incarnation;
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -502,7 +502,7 @@
     if (holderNode !== undefined)
       return { status: 421, body: encodeRedirect(holderNode === this.settings.node ? null : holderNode) };
     if (this.membership.leaderTerm !== null) {
-      this.leader.recordUnleasedWorker(message);
+      this.leader.recordUnassignedWorker(message);
       return { status: 421, body: encodeRedirect(null) };
     }
     const { leader } = this.membership;
--- a/test/leasing.test.ts
+++ b/test/leasing.test.ts
@@ -128,24 +128,24 @@
   assert.deepEqual(plan.releases, []);
 });
 
-test('a machine that has come up is leased once, to the shard with waiting tasks', () => {
+test('a machine that has come up is assigned once, to the shard with waiting tasks', () => {
   const loose: UnleasedMachine = { id: machineId('m-9'), type: 'small', zone: 'a', spot: false, up: true, ageS: 20 };
   const shards = [shard('n-0', []), shard('n-1', [], [demand('j-1', 4)])];
   const plan = planLeases(input([spec({ id: 'j-1', tasks: 4 })], shards, { unleased: [loose] }));
-  assert.deepEqual(plan.grants, [{ machine: 'm-9', to: 'n-1' }]);
+  assert.deepEqual(plan.assignments, [{ machine: 'm-9', to: 'n-1' }]);
   assert.deepEqual(plan.rents, []);
 });
 
 test('spot machines are rented only for jobs that allow them, expensive ones only for late jobs', () => {
   const spotJob = spec({ id: 'j-1', tasks: 4, spot: true });
-  const ownJob = spec({ id: 'j-2', tasks: 4 });
+  const onDemandJob = spec({ id: 'j-2', tasks: 4 });
   const rents = (job: JobSpec, slackS: number, refused: string[] = []): string[] =>
     planLeases(input([job], [shard('n-0', [], [demand(job.id, 4, slackS)])], { refused: new Set(refused) })).rents.map(
-      (r) => `${r.type}/${r.spot ? 'spot' : 'own'}`,
+      (r) => `${r.type}/${r.spot ? 'spot' : 'on-demand'}`,
     );
   assert.deepEqual(rents(spotJob, 5), ['small/spot']);
-  assert.deepEqual(rents(ownJob, 5), ['small/own']);
-  assert.deepEqual(rents(spotJob, 5, ['small/a/spot']), ['small/own']);
+  assert.deepEqual(rents(onDemandJob, 5), ['small/on-demand']);
+  assert.deepEqual(rents(spotJob, 5, ['small/a/spot']), ['small/on-demand']);
   // With enough time left and capacity that drains the queue, no machine at five times the price is rented.
   const drainingShard = {
     ...shard('n-0', [], [demand('j-1', 2, 60)]),
@@ -254,9 +254,9 @@
 });
 
 test('a rent above the limit of one call is split into several calls, with the kinds taking turns', () => {
-  const wish = (type: string, count: number): PlannedRent => ({ type, zone: 'a', spot: false, count });
+  const rent = (type: string, count: number): PlannedRent => ({ type, zone: 'a', spot: false, count });
   assert.deepEqual(
-    splitIntoCalls([wish('small', 120), wish('big', 3)]).map((w) => [w.type, w.count]),
+    splitIntoCalls([rent('small', 120), rent('big', 3)]).map((w) => [w.type, w.count]),
     [
       ['small', 50],
       ['big', 3],
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -85,7 +85,7 @@
 
 /** The safeguards that the safety of blocks relies on. A run without any one of them must fail the check. */
 interface Safeguards {
-  /** The leader leases machines only after its watch has reached its own election and the newest block it knows. */
+  /** The leader assigns machines only after its watch has reached its own election and the newest block it knows. */
   readonly caughtUp: boolean;
   /** The leader fences off its writes of unknown outcome before it leases another machine. */
   readonly fencesPendingWrites: boolean;
