--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -40,7 +40,7 @@
 }
 
 /** What a plan is computed from: one snapshot of the fleet and its demand. */
-export interface LeaseInput {
+export interface AssignmentInput {
   readonly shards: readonly ShardSummary[];
   /** Machines that are rented but in no block. */
   readonly unleased: readonly UnleasedMachine[];
@@ -72,7 +72,7 @@
 }
 
 /** The changes that the leader is to make in one round. */
-export interface LeasePlan {
+export interface AssignmentPlan {
   /** Unassigned machines to assign to a shard. */
   readonly assignments: readonly { readonly machine: MachineId; readonly to: ShardName }[];
   /** Machines that their holder should assign to another shard. */
@@ -160,7 +160,7 @@
  * Decides which block each machine belongs to, what to rent and what to return to the cloud. A pure function of its
  * input.
  */
-export function planLeases(input: LeaseInput): LeasePlan {
+export function planLeases(input: AssignmentInput): AssignmentPlan {
   const demands: JobDemand[] = [];
   for (const shard of input.shards) {
     for (const d of shard.demand) {
@@ -373,7 +373,7 @@
 const RENT_AHEAD_S = 5;
 
 /** Returns the demand of arrays that will be ready about when a machine that is rented now would be up. */
-function upcomingDemand(input: LeaseInput): JobDemand[] {
+function upcomingDemand(input: AssignmentInput): JobDemand[] {
   const demands: JobDemand[] = [];
   for (const { spec, readyInS, slackS } of input.upcoming ?? []) {
     if (spec.kind !== 'array' || readyInS > leadTimeS(spec, input) + RENT_AHEAD_S) continue;
@@ -386,7 +386,7 @@
  * Lowers the demand of arrays to the cpus that they lack to finish in time, as new machines are rented only for arrays
  * that would be late. Idle machines serve any demand.
  */
-function capArrayDemand(demands: readonly JobDemand[], input: LeaseInput, timeShare: number): void {
+function capArrayDemand(demands: readonly JobDemand[], input: AssignmentInput, timeShare: number): void {
   let runningCpus = 0;
   let runningCpuSeconds = 0;
   for (const shard of input.shards) {
@@ -439,7 +439,7 @@
 }
 
 /** Lowers the demand of gangs to the tasks that need machines beyond those that finishing gangs free. */
-function capGangDemand(demands: readonly JobDemand[], input: LeaseInput): void {
+function capGangDemand(demands: readonly JobDemand[], input: AssignmentInput): void {
   const gangs = demands.filter((demand) => demand.spec.kind === 'gang' && demand.unplacedTasks > 0);
   if (gangs.length === 0) return;
   let tasksPerS = 0;
@@ -468,7 +468,7 @@
 /**
  * Returns the seconds to boot a machine and fetch the job's image on the fastest suitable type; 0 if none is suitable.
  */
-function leadTimeS(spec: JobSpec, input: LeaseInput): number {
+function leadTimeS(spec: JobSpec, input: AssignmentInput): number {
   let shortestS = Infinity;
   for (const type of input.types.values()) {
     if (slotsThatFit(spec, type) > 0 && (spec.types === null || spec.types.includes(type.name)))
@@ -478,7 +478,7 @@
 }
 
 /** Returns the lowest price per cpu among the kinds that a job may use. */
-function lowestCpuPrice(spec: JobSpec, input: LeaseInput): number {
+function lowestCpuPrice(spec: JobSpec, input: AssignmentInput): number {
   let lowest = Infinity;
   for (const type of input.types.values()) {
     if (slotsThatFit(spec, type) <= 0) continue;
@@ -493,7 +493,7 @@
 }
 
 /** Returns the price of a machine per hour; 0 for an unknown type. */
-function hourlyPrice(input: LeaseInput, m: MachineSummary): number {
+function hourlyPrice(input: AssignmentInput, m: MachineSummary): number {
   const type = input.types.get(m.type);
   return type ? (m.spot ? type.spotPrice : type.price) : 0;
 }
@@ -518,7 +518,12 @@
  * Plans rents of the cheapest kinds for the demand that is left. The cost is the price of a machine divided by the
  * slots that are actually used, and grows slightly with the number already planned of the kind.
  */
-function addRents(demand: JobDemand, input: LeaseInput, rents: Map<string, PlannedRent>, maxPriceRatio: number): void {
+function addRents(
+  demand: JobDemand,
+  input: AssignmentInput,
+  rents: Map<string, PlannedRent>,
+  maxPriceRatio: number,
+): void {
   const maxCpuPrice = maxPriceRatio === Infinity ? Infinity : lowestCpuPrice(demand.spec, input) * maxPriceRatio;
   for (let tries = 0; tries < 40 && demand.unplacedTasks > 0; tries++) {
     let best: { type: MachineType; zone: string; spot: boolean; slots: number } | null = null;
--- a/src/membership/pending-writes.ts
+++ b/src/membership/pending-writes.ts
@@ -2,10 +2,10 @@
 import { reread, shardKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
 
 /**
- * Fences off a write of unknown outcome: reads the shard's key and writes the same value back under a guard. After that
+ * Settles a write of unknown outcome: reads the shard's key and writes the same value back under a guard. After that
  * the lost write has either taken effect, and is visible, or can never be applied.
  */
-export const fencePendingShardWrites = (
+export const settlePendingShardWrites = (
   shard: ShardName,
   state: StateClient,
   mirror: Mirror,
@@ -14,7 +14,7 @@
 ): Promise<void> => fencePendingWrites(shardKey(shard), state, mirror, runtime, shouldContinue);
 
 /**
- * Fences off a write of unknown outcome to any key. Since this gives the key a new version, `rewrite` has to put into
+ * Settles a write of unknown outcome to any key. Since this gives the key a new version, `rewrite` has to put into
  * the value itself whatever depended on the old version. Gives up when `shouldContinue` returns false.
  */
 export async function fencePendingWrites(
--- a/src/rollout/decide.ts
+++ b/src/rollout/decide.ts
@@ -56,7 +56,7 @@
   /** The features of the leader's program. Stored features that it lacks are left unchanged. */
   readonly features: readonly Feature[];
   readonly state: RolloutState;
-  readonly wishes: RolloutWishes;
+  readonly requests: RolloutWishes;
   /** All configured controllers. */
   readonly nodes: readonly RolloutNode[];
   readonly observations: NodeObservations;
@@ -128,7 +128,7 @@
   storedFeature: (name: string) => StoredFeature,
 ): FeatureTransition | string {
   const { name, needs } = feature;
-  const wish = snapshot.wishes.features.get(name);
+  const request = snapshot.requests.features.get(name);
   switch (current.state) {
     case 'returning': {
       const remaining = snapshot.recordsToRevert(name);
@@ -147,7 +147,7 @@
       const dependent = snapshot.features.find(
         (other) => other.needs.includes(name) && storedFeature(other.name).state !== 'off',
       );
-      if (wish?.wish === 'back')
+      if (request?.wish === 'back')
         return dependent
           ? `${dependent.name} depends on it and has to be reverted first`
           : { state: 'returning', why: 'an operator requested a rollback' };
@@ -161,15 +161,15 @@
           : 0;
       if (exits > snapshot.nodes.length && !dependent && feature.minStableMs > 0)
         return { state: 'returning', why: `${exits} controller exits after it was switched on`, stopped: true };
-      if (snapshot.wishes.finish.includes(name))
+      if (snapshot.requests.finish.includes(name))
         return { ...current, why: 'an operator has ruled out a rollback', finished: true };
       return '';
     }
     case 'off': {
-      if (wish?.wish === 'hold' || wish?.wish === 'back') return 'held by an operator';
-      if (feature.requiresApproval === true && wish?.wish !== 'allow') return 'an operator has to allow it';
-      if (snapshot.wishes.paused) return 'the rollout is paused';
-      if (current.stopped && !(wish && wish.at > current.since))
+      if (request?.wish === 'hold' || request?.wish === 'back') return 'held by an operator';
+      if (feature.requiresApproval === true && request?.wish !== 'allow') return 'an operator has to allow it';
+      if (snapshot.requests.paused) return 'the rollout is paused';
+      if (current.stopped && !(request && request.at > current.since))
         return `stopped: ${current.why}; an operator has to allow it`;
       const missingFeature = needs.find((other) => storedFeature(other).state !== 'on');
       if (missingFeature !== undefined) return `requires ${missingFeature}, which is not on`;
--- a/src/rollout/rollout-reconciler.ts
+++ b/src/rollout/rollout-reconciler.ts
@@ -50,7 +50,7 @@
 
 /** The outcome of storing an operator's request. */
 export type WishResult =
-  | { readonly kind: 'ok'; readonly wishes: RolloutWishes }
+  | { readonly kind: 'ok'; readonly requests: RolloutWishes }
   /** The stored record was written by a later release and is left unchanged. */
   | { readonly kind: 'foreign' }
   /** The request was not stored: the state service refused the write or did not answer, or every attempt failed. */
@@ -98,10 +98,10 @@
     const { nodes } = this;
     this.nodeObservations = observeNodes(this.nodeObservations, nodes, runtime.now());
     const storedState = mirror.get(ROLLOUT_STATE_KEY);
-    const storedWishes = mirror.get(ROLLOUT_WISHES_KEY);
+    const storedRequests = mirror.get(ROLLOUT_WISHES_KEY);
     const state = decodeRolloutState(storedState?.value);
-    const wishes = decodeWishes(storedWishes?.value);
-    if (!state || !wishes) {
+    const requests = decodeWishes(storedRequests?.value);
+    if (!state || !requests) {
       if (!this.newerRecordLogged)
         this.deps.log.error('the rollout record was written by a later release: it is left unchanged');
       this.newerRecordLogged = true;
@@ -110,7 +110,7 @@
     this.newerRecordLogged = false;
     this.warnAboutMissingFeatures(state);
     this.decision = decideRollout({
-      ...{ now: runtime.now(), wall: runtime.wall(), features, state, wishes, nodes },
+      ...{ now: runtime.now(), wall: runtime.wall(), features, state, requests, nodes },
       observations: this.nodeObservations,
       recordsToRevert: (feature) => this.recordsToRevert(feature),
     });
@@ -122,7 +122,7 @@
     const guards: Guard[] = [
       { key: LEADER_KEY, version: term },
       { key: ROLLOUT_STATE_KEY, version: storedState?.version ?? 0 },
-      { key: ROLLOUT_WISHES_KEY, version: storedWishes?.version ?? 0 },
+      { key: ROLLOUT_WISHES_KEY, version: storedRequests?.version ?? 0 },
       ...nodes.map(({ node, version }) => ({ key: nodeKey(node), version })),
     ];
     const value = encodeRolloutState(next);
@@ -154,8 +154,8 @@
   isReadyToSwitchOn(feature: string): boolean {
     const { mirror } = this.deps;
     const state = decodeRolloutState(mirror.get(ROLLOUT_STATE_KEY)?.value)?.features.get(feature);
-    const wishes = decodeWishes(mirror.get(ROLLOUT_WISHES_KEY)?.value);
-    if (!wishes || wishes.paused || wishes.features.get(feature)?.wish !== undefined) return false;
+    const requests = decodeWishes(mirror.get(ROLLOUT_WISHES_KEY)?.value);
+    if (!requests || requests.paused || requests.features.get(feature)?.wish !== undefined) return false;
     if ((state?.state ?? 'off') !== 'off' || state?.stopped === true) return false;
     return this.nodes.every(({ announced }) => announced?.features.includes(feature) === true);
   }
@@ -168,7 +168,7 @@
   }
 
   /** Applies a change to the operators' requests and stores them. Any controller may do so. */
-  async updateWishes(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult> {
+  async updateRequests(change: (requests: RolloutWishes) => RolloutWishes): Promise<WishResult> {
     const { state, mirror } = this.deps;
     for (let attempt = 0; attempt < 4; attempt++) {
       const read = await state.get(ROLLOUT_WISHES_KEY);
@@ -182,7 +182,7 @@
       const result = await state.txn(Urgency.accept, guards, [{ put: ROLLOUT_WISHES_KEY, value }]);
       if (result.kind === 'ok') {
         mirror.apply({ key: ROLLOUT_WISHES_KEY, value, removed: false, version: result.revision });
-        return { kind: 'ok', wishes: next };
+        return { kind: 'ok', requests: next };
       }
       if (result.kind === 'refused') break;
     }
--- a/src/rollout/rollout-records.ts
+++ b/src/rollout/rollout-records.ts
@@ -1,7 +1,7 @@
 import { asArray, asString, isObject, wallMillis, type WallMillis } from '../kernel/index.js';
 import { isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
 
-/** The newest format version of the two rollout records (state and wishes) that this program reads. */
+/** The newest format version of the two rollout records (the state and the requests) that this program reads. */
 export const ROLLOUT_FORMAT = 1;
 
 /**
@@ -43,13 +43,13 @@
  * An operator's request about one feature. `hold`: do not switch it on. `allow`: switch it on, also after an automatic
  * revert or when it requires approval. `back`: revert it and keep it off.
  */
-export type FeatureWish = 'hold' | 'allow' | 'back';
-/** All values of `FeatureWish`, as the admin API accepts them. */
-export const FEATURE_WISHES: readonly FeatureWish[] = ['hold', 'allow', 'back'];
+export type FeatureRequest = 'hold' | 'allow' | 'back';
+/** All values of `FeatureRequest`, as the admin API accepts them. */
+export const FEATURE_WISHES: readonly FeatureRequest[] = ['hold', 'allow', 'back'];
 
 /** An operator's request about one feature, as stored. */
-export interface StoredWish {
-  readonly wish: FeatureWish;
+export interface StoredRequest {
+  readonly wish: FeatureRequest;
   /** When the operator made the request. */
   readonly at: WallMillis;
 }
@@ -58,7 +58,7 @@
 export interface RolloutWishes {
   /** True when no feature may be switched on automatically. */
   readonly paused: boolean;
-  readonly features: ReadonlyMap<string, StoredWish>;
+  readonly features: ReadonlyMap<string, StoredRequest>;
   /** Features to be made permanent once they are on: they can then no longer be reverted. */
   readonly finish: readonly string[];
   /** Fields of the record that this program does not know; written back unchanged. */
@@ -71,7 +71,7 @@
 export const NO_WISHES: RolloutWishes = { paused: false, features: new Map(), finish: [], rest: {} };
 
 const KNOWN_STATE_FIELDS: ReadonlySet<string> = new Set(['features']);
-const KNOWN_WISH_FIELDS: ReadonlySet<string> = new Set(['paused', 'features', 'finish']);
+const KNOWN_REQUEST_FIELDS: ReadonlySet<string> = new Set(['paused', 'features', 'finish']);
 
 const objectEntries = (value: unknown): [string, RecordFields][] =>
   isObject(value) ? Object.entries(value).filter((entry): entry is [string, RecordFields] => isObject(entry[1])) : [];
@@ -108,23 +108,23 @@
 export function decodeWishes(value: unknown): RolloutWishes | null {
   if (value === undefined || value === null) return NO_WISHES;
   if (!isObject(value) || isNewerFormat(value, ROLLOUT_FORMAT)) return null;
-  const features = new Map<string, StoredWish>();
+  const features = new Map<string, StoredRequest>();
   for (const [name, stored] of objectEntries(value['features'])) {
-    const wish = FEATURE_WISHES.find((known) => known === stored['wish']);
-    if (wish) features.set(name, { wish, at: wallTimeOrZero(stored['at']) });
+    const request = FEATURE_WISHES.find((known) => known === stored['wish']);
+    if (request) features.set(name, { wish: request, at: wallTimeOrZero(stored['at']) });
   }
   return {
     paused: value['paused'] === true,
     features,
     finish: asArray(value['finish']).filter((name) => typeof name === 'string'),
-    rest: unknownFields(value, KNOWN_WISH_FIELDS),
+    rest: unknownFields(value, KNOWN_REQUEST_FIELDS),
   };
 }
 
 /** Encodes the operators' requests. */
-export const encodeWishes = (wishes: RolloutWishes): RecordFields => ({
-  ...wishes.rest,
-  paused: wishes.paused,
-  features: Object.fromEntries(wishes.features),
-  finish: wishes.finish,
+export const encodeWishes = (requests: RolloutWishes): RecordFields => ({
+  ...requests.rest,
+  paused: requests.paused,
+  features: Object.fromEntries(requests.features),
+  finish: requests.finish,
 });
--- a/test/leasing.test.ts
+++ b/test/leasing.test.ts
@@ -12,7 +12,7 @@
   splitIntoCalls,
   missingCpus,
   planLeases,
-  type LeaseInput,
+  type AssignmentInput,
   type UnleasedMachine,
   type PlannedRent,
 } from '../src/leasing/index.js';
@@ -71,7 +71,7 @@
   gpus: 0,
 });
 
-function input(specs: JobSpec[], shards: ShardSummary[], over: Partial<LeaseInput> = {}): LeaseInput {
+function input(specs: JobSpec[], shards: ShardSummary[], over: Partial<AssignmentInput> = {}): AssignmentInput {
   return {
     shards,
     unleased: [],
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -21,7 +21,7 @@
   replacementBlocker,
   type Announcement,
   type Feature,
-  type FeatureWish,
+  type FeatureRequest,
   type RolloutNode,
   type RolloutSnapshot,
   type RolloutState,
@@ -42,7 +42,7 @@
 const all = ['first', 'second'];
 const registered = (features: readonly string[] = all): RolloutNode[] =>
   NAMES.map((node) => ({ node, announced: announcementOf(`${node}-a`, features) }));
-const withWish = (name: string, wish: FeatureWish, at = 50): RolloutWishes => ({
+const withRequest = (name: string, wish: FeatureRequest, at = 50): RolloutWishes => ({
   ...NO_WISHES,
   features: new Map([[name, { wish, at: wallMillis(at) }]]),
 });
@@ -56,7 +56,7 @@
     wall: wallMillis(1000),
     features: FEATURES,
     state: EMPTY_ROLLOUT_STATE,
-    wishes: NO_WISHES,
+    requests: NO_WISHES,
   },
   ...{ nodes: registered(), observations: STABLE, recordsToRevert: () => 0 },
   ...overrides,
@@ -86,42 +86,44 @@
     { name: 'other', needs: [], minStableMs: MIN_STABLE_BEFORE_SWITCH_ON_MS },
   ];
   const nodes = registered(['first', 'other']);
-  const held = decideRollout(snapshotWith({ features: independent, nodes, wishes: withWish('first', 'hold') }));
+  const held = decideRollout(snapshotWith({ features: independent, nodes, requests: withRequest('first', 'hold') }));
   assert.equal(held.changed?.feature, 'other');
   assert.equal(
-    decideRollout(snapshotWith({ wishes: { ...NO_WISHES, paused: true } })).waits.get('first'),
+    decideRollout(snapshotWith({ requests: { ...NO_WISHES, paused: true } })).waits.get('first'),
     'the rollout is paused',
   );
   const on = decideRollout(snapshotWith()).next ?? EMPTY_ROLLOUT_STATE;
   const both = decideRollout(snapshotWith({ state: on })).next ?? EMPTY_ROLLOUT_STATE;
   // A feature that depends on it is reverted first.
   assert.match(
-    decideRollout(snapshotWith({ state: both, wishes: withWish('first', 'back') })).waits.get('first') ?? '',
+    decideRollout(snapshotWith({ state: both, requests: withRequest('first', 'back') })).waits.get('first') ?? '',
     /second/,
   );
-  const back = decideRollout(snapshotWith({ state: on, wishes: withWish('first', 'back') }));
+  const back = decideRollout(snapshotWith({ state: on, requests: withRequest('first', 'back') }));
   assert.equal(back.changed?.to, 'returning');
   const pending = decideRollout(
     snapshotWith({
       state: back.next ?? EMPTY_ROLLOUT_STATE,
-      wishes: withWish('first', 'back'),
+      requests: withRequest('first', 'back'),
       recordsToRevert: () => 3,
     }),
   );
   assert.equal(pending.waits.get('first'), '3 records still to be reverted');
   const off = decideRollout(
-    snapshotWith({ state: back.next ?? EMPTY_ROLLOUT_STATE, wishes: withWish('first', 'back') }),
+    snapshotWith({ state: back.next ?? EMPTY_ROLLOUT_STATE, requests: withRequest('first', 'back') }),
   );
   assert.equal(off.changed?.to, 'off');
   assert.equal(
-    decideRollout(snapshotWith({ state: off.next ?? EMPTY_ROLLOUT_STATE, wishes: withWish('first', 'back') })).next,
+    decideRollout(snapshotWith({ state: off.next ?? EMPTY_ROLLOUT_STATE, requests: withRequest('first', 'back') }))
+      .next,
     null,
   );
   const finished =
-    decideRollout(snapshotWith({ state: on, wishes: { ...NO_WISHES, finish: ['first'] } })).next ?? EMPTY_ROLLOUT_STATE;
+    decideRollout(snapshotWith({ state: on, requests: { ...NO_WISHES, finish: ['first'] } })).next ??
+    EMPTY_ROLLOUT_STATE;
   assert.equal(finished.features.get('first')?.finished, true);
   assert.equal(
-    decideRollout(snapshotWith({ state: finished, wishes: withWish('first', 'back') })).changed?.feature,
+    decideRollout(snapshotWith({ state: finished, requests: withRequest('first', 'back') })).changed?.feature,
     'second',
   );
 });
@@ -170,10 +172,13 @@
     decideRollout(snapshotWith({ features, state })).waits.get('first') ?? '',
     /^stopped: 4 controller exits/,
   );
-  // A wish from before the feature was stopped does not count.
-  assert.equal(decideRollout(snapshotWith({ features, state, wishes: withWish('first', 'allow', 1500) })).next, null);
+  // A request from before the feature was stopped does not count.
   assert.equal(
-    decideRollout(snapshotWith({ features, state, wishes: withWish('first', 'allow', 2500) })).changed?.to,
+    decideRollout(snapshotWith({ features, state, requests: withRequest('first', 'allow', 1500) })).next,
+    null,
+  );
+  assert.equal(
+    decideRollout(snapshotWith({ features, state, requests: withRequest('first', 'allow', 2500) })).changed?.to,
     'on',
   );
 });
@@ -199,7 +204,7 @@
   now = 0;
   readonly nodes = new Map(NAMES.map((name) => [name, { value: null, version: 0 } as Key<Announcement | null>]));
   state: Key<RolloutState> = { value: EMPTY_ROLLOUT_STATE, version: 0 };
-  wishes: Key<RolloutWishes> = { value: NO_WISHES, version: 0 };
+  requests: Key<RolloutWishes> = { value: NO_WISHES, version: 0 };
   leader = 1;
   incarnationCount = 0;
   readonly observations: NodeObservations[] = [NO_OBSERVATIONS, NO_OBSERVATIONS];
@@ -207,7 +212,12 @@
   switchCount = 0;
 
   get versions(): number[] {
-    return [this.leader, this.state.version, this.wishes.version, ...NAMES.map((n) => this.nodes.get(n)?.version ?? 0)];
+    return [
+      this.leader,
+      this.state.version,
+      this.requests.version,
+      ...NAMES.map((n) => this.nodes.get(n)?.version ?? 0),
+    ];
   }
 
   set(name: number, value: Announcement | null): void {
@@ -224,7 +234,7 @@
     this.reads[leader] = {
       snapshot: {
         ...{ now: millis(this.now), wall: wallMillis(this.now), features: FEATURES, nodes, observations },
-        ...{ state: this.state.value, wishes: this.wishes.value, recordsToRevert: () => 0 },
+        ...{ state: this.state.value, requests: this.requests.value, recordsToRevert: () => 0 },
       },
       versions: this.versions,
     };
@@ -251,10 +261,10 @@
     }
     for (const need of FEATURES.find((f) => f.name === feature)?.needs ?? [])
       assert.ok(isOn(this.state.value, need), `${feature} is switched on without ${need}`);
-    const wish = this.wishes.value.features.get(feature)?.wish;
+    const request = this.requests.value.features.get(feature)?.wish;
     assert.ok(
-      wish !== 'hold' && wish !== 'back' && !this.wishes.value.paused,
-      `${feature} is switched on against a wish`,
+      request !== 'hold' && request !== 'back' && !this.requests.value.paused,
+      `${feature} is switched on against a request`,
     );
   }
 }
@@ -308,11 +318,11 @@
         else if (s.do === 'begin') start(s.node, s.has);
         else if (s.do === 'elect') region.leader = ++region.revision;
         else if (s.do === 'pause')
-          region.wishes = { value: { ...region.wishes.value, paused: s.on }, version: ++region.revision };
+          region.requests = { value: { ...region.requests.value, paused: s.on }, version: ++region.revision };
         else {
-          const features = new Map(region.wishes.value.features);
+          const features = new Map(region.requests.value.features);
           features.set(s.feature, { wish: s.wish, at: wallMillis(region.now) });
-          region.wishes = { value: { ...region.wishes.value, features }, version: ++region.revision };
+          region.requests = { value: { ...region.requests.value, features }, version: ++region.revision };
         }
       };
       for (const i of [0, 1, 2]) start(i, all);
@@ -329,7 +339,7 @@
       for (const i of [0, 1, 2]) start(i, all);
       for (let i = 0; i < 12; i++) {
         const allow = (name: string) => [name, { wish: 'allow' as const, at: wallMillis(region.now) }] as const;
-        region.wishes = { value: { ...NO_WISHES, features: new Map(all.map(allow)) }, version: ++region.revision };
+        region.requests = { value: { ...NO_WISHES, features: new Map(all.map(allow)) }, version: ++region.revision };
         region.read(0);
         region.write(0);
         region.now += MIN_STABLE_BEFORE_SWITCH_ON_MS;
@@ -388,8 +398,8 @@
   );
   assert.deepEqual((read && encodeRolloutState(read))?.['added'], [1]);
   assert.equal(decodeRolloutState({ ...withUnknownField, v: 2 }), null);
-  const wishes = { ...withWish('first', 'hold'), paused: true, finish: ['second'] };
-  assert.deepEqual(decodeWishes(JSON.parse(JSON.stringify(encodeWishes(wishes)))), wishes);
+  const requests = { ...withRequest('first', 'hold'), paused: true, finish: ['second'] };
+  assert.deepEqual(decodeWishes(JSON.parse(JSON.stringify(encodeWishes(requests)))), requests);
   assert.equal(decodeWishes({ v: 9 }), null);
   // A state that only a later release knows does not make this program use the feature.
   const odd = decodeRolloutState({ features: { first: { state: 'half', since: 1 } } });
