--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -8,7 +8,7 @@
   addMachines,
   removeMachines,
   fencePendingWrites,
-  settlePendingShardWrites,
+  fencePendingShardWrites,
   type MachineInsertion,
 } from '../membership/index.js';
 import { Urgency, jobKey, shardKey } from '../state/index.js';
@@ -250,7 +250,7 @@
       return true;
     }
     if (result.kind === 'unknown')
-      await settlePendingShardWrites(
+      await fencePendingShardWrites(
         this.held.shard,
         this.held.deps.state,
         this.held.deps.mirror,
--- a/src/membership/pending-writes.ts
+++ b/src/membership/pending-writes.ts
@@ -5,7 +5,7 @@
  * Settles a write of unknown outcome: reads the shard's key and writes the same value back under a guard. After that
  * the lost write has either taken effect, and is visible, or can never be applied.
  */
-export const settlePendingShardWrites = (
+export const fencePendingShardWrites = (
   shard: ShardName,
   state: StateClient,
   mirror: Mirror,
