--- a/src/service/shard-ownership.ts
+++ b/src/service/shard-ownership.ts
@@ -63,7 +63,7 @@
 export type LeaveResult = { readonly ok: true } | { readonly ok: false; readonly reason: string };
 
 /**
- * The shards that this node holds: acquires them, hands them over to peers or back to their own nodes, and drains this
+ * The shards that this node holds: acquires them, hands them over to peers or back to their home nodes, and drains this
  * node before a planned shutdown.
  */
 export class ShardOwnership {
@@ -85,7 +85,7 @@
     this.updateHolder(shardName(change.key.slice(SHARDS_PREFIX.length)), { key: change.key, revision: change.version });
   }
 
-  /** Handles a change of a page of a shard's machine list. */
+  /** Handles a change of a page of a shard's block. */
   onPage(change: Change): void {
     this.updateHolder(parsePageKey(change.key).shard, { key: change.key, revision: change.version });
   }
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -33,8 +33,8 @@
 const MACHINES = Array.from({ length: 6 }, (_, i) => `m-${i}`);
 /** Page limits of the processes: two machines fill a page of the first two, one machine fills a page of the third. */
 const PAGE_BYTES = [150, 150, 115];
-/** Limit of the state service on the conditions in one transaction. */
-const MAX_CONDITIONS = 20;
+/** Limit of the state service on the guards in one transaction. */
+const MAX_GUARDS = 20;
 const SHARD_KEYS = 'live/shards/';
 const machine = (id: string): BlockMachine => ({
   ...{ id: machineId(id), type: 'desk', zone: 'north', spot: false, address: '10.1.0.1:9000' },
@@ -87,8 +87,8 @@
 interface Safeguards {
   /** The leader assigns machines only after its watch has reached its own election and the newest block it knows. */
   readonly caughtUp: boolean;
-  /** The leader fences off its writes of unknown outcome before it leases another machine. */
-  readonly fencesPendingWrites: boolean;
+  /** The leader settles its writes of unknown outcome before it assigns another machine. */
+  readonly settlesPendingWrites: boolean;
   /** Writes are guarded by the pages that they depend on. */
   readonly pageGuards: boolean;
   /** Writes are guarded by the records or heads that they depend on. */
@@ -100,7 +100,7 @@
 }
 const ALL_SAFEGUARDS: Safeguards = {
   caughtUp: true,
-  fencesPendingWrites: true,
+  settlesPendingWrites: true,
   pageGuards: true,
   recordGuards: true,
   stageGuards: true,
@@ -188,8 +188,8 @@
   readonly directory: ShardDirectory;
   private watchPosition = 0;
   seenUpTo = 0;
-  /** Keys with writes of unknown outcome that this process has yet to fence off as the leader. */
-  unfencedKeys: string[] = [];
+  /** Keys with writes of unknown outcome that this process has yet to settle as the leader. */
+  unsettledKeys: string[] = [];
 
   constructor(
     readonly node: string,
@@ -277,7 +277,7 @@
       if (!write(process, { ...change, purpose: 'stage' }, i === lateIndex)) return;
     }
     const existing = [...process.directory.pagesOf(shard).values()].filter((page) => page !== null);
-    const guards = moveToPagesGuards(shard, known.version, existing, MAX_CONDITIONS);
+    const guards = moveToPagesGuards(shard, known.version, existing, MAX_GUARDS);
     const value = encodeShard({ ...known.value, incarnation: incarnation(newIncarnation), epoch: known.version });
     const ops = [{ put: shardKey(shard), value }];
     write(process, { guards, ops, purpose: 'moveToPages' }, lateIndex === changes.length);
@@ -309,7 +309,7 @@
     } else if (kind === 'elect') {
       store.txn([], [{ put: LEADER_KEY, value: { node: process.node } }]);
       // Pending writes of the previous leader are void, because they are guarded by its key.
-      for (const each of processes) each.unfencedKeys = [];
+      for (const each of processes) each.unsettledKeys = [];
     } else if (!known) continue;
     else if (kind === 'claim') {
       incarnations += 1;
@@ -336,8 +336,8 @@
       const leader = store.keys.get(LEADER_KEY) as Written;
       const term = process.mirror.get(LEADER_KEY)?.version;
       if (term !== leader.version || (leader.value as { node: string }).node !== process.node) continue;
-      if (safeguards.fencesPendingWrites)
-        for (const key of process.unfencedKeys.splice(0)) fencePendingWrite(store, key, process);
+      if (safeguards.settlesPendingWrites)
+        for (const key of process.unsettledKeys.splice(0)) settlePendingWrite(store, key, process);
       if (safeguards.caughtUp && (process.directory.newestRevision > process.seenUpTo || process.seenUpTo < term))
         continue;
       const free = MACHINES.find((id) => process.directory.shardOf(machineId(id)) === null);
@@ -351,7 +351,7 @@
       }
       released.delete(free);
       if (!write(process, { guards, ops: change.ops }, late)) {
-        for (const op of change.ops) if ('put' in op) process.unfencedKeys.push(op.put);
+        for (const op of change.ops) if ('put' in op) process.unsettledKeys.push(op.put);
       }
     } else if ((kind === 'moveToPages' || kind === 'claimPaged') && known.value.epoch === null) {
       incarnations += kind === 'claimPaged' ? 1 : 0;
@@ -366,7 +366,7 @@
 }
 
 /** Rewrites a key, so that a pending write of unknown outcome has either taken effect or can no longer be applied. */
-function fencePendingWrite(store: Store, key: string, process: SimulatedProcess): void {
+function settlePendingWrite(store: Store, key: string, process: SimulatedProcess): void {
   const written = store.keys.get(key);
   store.txn([], [{ put: key, value: written?.value ?? encodePage(0, []) }]);
   process.read(key);
@@ -386,7 +386,7 @@
 
 for (const omitted of [
   'caughtUp',
-  'fencesPendingWrites',
+  'settlesPendingWrites',
   'pageGuards',
   'recordGuards',
   'stageGuards',
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -35,9 +35,9 @@
     return job;
   }
 
-  isDoomed(id: JobId): boolean {
+  mustBeCancelled(id: JobId): boolean {
     return this.jobOf(id).awaits.some(
-      (dependency) => this.jobOf(dependency).final === 'cancelled' || this.isDoomed(dependency),
+      (dependency) => this.jobOf(dependency).final === 'cancelled' || this.mustBeCancelled(dependency),
     );
   }
 
@@ -49,7 +49,7 @@
   inherited(id: JobId): ExpectedInherited | null {
     let combined: ExpectedInherited | null = null;
     for (const [dependent, job] of this.jobs) {
-      if (!job.awaits.includes(id) || job.final !== null || this.isDoomed(dependent)) continue;
+      if (!job.awaits.includes(id) || job.final !== null || this.mustBeCancelled(dependent)) continue;
       const transitive: ExpectedInherited | null = this.inherited(dependent);
       const deadlines = [transitive?.dueAt ?? Infinity];
       if (job.spec.deadlineS !== null) deadlines.push(job.submittedAt + job.spec.deadlineS * 1000);
@@ -121,12 +121,12 @@
       else if (model.isReady(id)) end(id, 'done', removedFirst);
     }
   }
-  // Cancellations are propagated until no doomed job is left open.
+  // Cancellations are propagated until no job that has to be cancelled is left open.
   for (;;) {
     for (const deliver of undelivered.splice(0)) deliver();
-    const doomed = open().filter((id) => model.isDoomed(id));
-    if (doomed.length === 0) return model;
-    for (const id of doomed) {
+    const toCancel = open().filter((id) => model.mustBeCancelled(id));
+    if (toCancel.length === 0) return model;
+    for (const id of toCancel) {
       assert.ok(graph.mustBeCancelled(id), `${id} has to be cancelled`);
       end(id, 'cancelled', false);
     }
@@ -164,7 +164,7 @@
   assert.equal(graph.readyAt(last), 1099);
 });
 
-test('a cancelled root dooms a chain of ten thousand jobs, and a diamond is counted once', () => {
+test('a cancelled root marks a chain of ten thousand jobs for cancellation, and a diamond is counted once', () => {
   const graph = new JobGraph();
   const root = jobId('j-root');
   const add = (id: JobId, awaits: readonly JobId[], overrides: Partial<JobSpec> = {}): void => {
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -302,7 +302,7 @@
       writers: 2,
       get: () => Promise.resolve({ kind: 'absent' }),
       txn: (_urgency, guards, ops) => {
-        assert.ok(ops.length <= 5 && guards.length <= 20, `${ops.length} changes, ${guards.length} conditions`);
+        assert.ok(ops.length <= 5 && guards.length <= 20, `${ops.length} changes, ${guards.length} guards`);
         transactions.push({ at: now, ops: ops.length });
         return Promise.resolve({ kind: 'ok', revision: revision(transactions.length) });
       },
--- a/test/standins/quota-simulation.ts
+++ b/test/standins/quota-simulation.ts
@@ -136,8 +136,8 @@
           }),
         ),
       holders: () => [...this.held].map((shard) => this.holderOf(shard)),
-      sendNeeds: (demand) => {
-        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.recordNeeds(demand);
+      sendNeeds: (needs) => {
+        for (const node of world.nodes) if (node !== this && world.random() > 0.2) node.shares.recordNeeds(needs);
       },
       settlePendingWrites: (shard) => (world.omitted === 'settle' ? Promise.resolve() : world.settle(shard)),
     };
