--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -97,6 +97,7 @@
 const TRANSFER_RETRY_MS = 3000;
 /** How long a round waits for the watch to catch up before the round is skipped. */
 const CATCH_UP_TIMEOUT_MS = 1500;
+/** Limit on the pages that one transaction changes when machines are removed from blocks. */
 const MAX_PAGES_PER_REMOVAL_TXN = 4;
 /** Written in place of a page that does not exist yet. Its epoch 0 is one that no head record refers to. */
 const EMPTY_PAGE = encodePage(0, []);
--- a/src/leasing/routing.ts
+++ b/src/leasing/routing.ts
@@ -142,14 +142,14 @@
   const mostSlots = fits.filter((fit) => fit.slots >= Math.min(count, spec.tasks)).sort((a, b) => b.slots - a.slots)[0];
   if (mostSlots && mostSlots.slots > 0) return mostSlots.shard;
   if (!here || spec.kind === 'service') return null;
-  const { queueS: own, machines } = fitInShard(spec, here, types);
+  const { queueS: ownQueueS, machines } = fitInShard(spec, here, types);
   if (spec.kind === 'gang') {
     // With too few suitable machines in its shard, a gang would wait forever, so it moves to a shard that has enough.
     const most = fits.sort((a, b) => b.machines - a.machines)[0];
     return machines < spec.tasks && most && most.machines >= spec.tasks ? most.shard : null;
   }
   const shortestQueue = fits.filter((fit) => fit.machines > 0).sort((a, b) => a.queueS - b.queueS)[0];
-  return shortestQueue && shortestQueue.queueS + MIN_QUEUE_REDUCTION_S < own ? shortestQueue.shard : null;
+  return shortestQueue && shortestQueue.queueS + MIN_QUEUE_REDUCTION_S < ownQueueS ? shortestQueue.shard : null;
 }
 
 /**
