--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -53,7 +53,7 @@
   readonly cloud: CloudClient;
   readonly runtime: Runtime;
   readonly log: Logger;
-  /** Event log of this node; null when events are not recorded. */
+  /** Event trail of this node; null when events are not recorded. */
   readonly trail: Trail | null;
   /** How far the cloud's list of machines may lag behind its actual state, in milliseconds. */
   readonly listLagMs: number;
@@ -62,7 +62,7 @@
   leaderTerm(): Revision | null;
   /** Returns the latest summary that each shard's holder has sent. */
   summaries(): readonly ShardSummary[];
-  /** Returns jobs whose prerequisites are expected to finish soon. */
+  /** Returns jobs whose dependencies are expected to be done soon. */
   upcomingJobs(): readonly UpcomingJob[];
   /** Returns the machine types that the cloud offers, by name. */
   types(): ReadonlyMap<string, MachineType>;
@@ -86,33 +86,34 @@
   /** When the cloud's list last contained it; null: never. */
   listedAt: Millis | null;
   phase: Rental['phase'];
-  /** Its deletion has been requested, so it must not be leased. */
-  doomed: boolean;
+  /** Its deletion has been requested, so it must not be assigned to a shard. */
+  deletionRequested: boolean;
 }
 
 const LIST_INTERVAL_MS = 2500;
 /** How long a kind of machine is not rented again after the cloud could not supply all that were requested. */
-const REFUSED_KIND_BACKOFF_MS = 15_000;
+const SOLD_OUT_KIND_BACKOFF_MS = 15_000;
 /** Minimum time between two transfer requests for the same machine. */
 const TRANSFER_RETRY_MS = 3000;
 /** How long a round waits for the watch to catch up before the round is skipped. */
 const CATCH_UP_TIMEOUT_MS = 1500;
-const MAX_PAGES_PER_TXN = 4;
+/** Limit on the pages that one transaction changes when machines are removed from blocks. */
+const MAX_PAGES_PER_REMOVAL_TXN = 4;
 /** Written in place of a page that does not exist yet. Its epoch 0 is one that no head record refers to. */
 const EMPTY_PAGE = encodePage(0, []);
 
 /**
- * The leader's tasks: leasing machines to the shards' blocks, and renting and returning machines to control the size
- * and price of the fleet. A block is the set of machines that are leased to one shard. While there is no leader, only
+ * The leader's tasks: assigning machines to the shards' blocks, and renting and returning machines to control the size
+ * and price of the fleet. A block is the set of machines that are assigned to one shard. While there is no leader, only
  * these tasks stop.
  */
 export class Leader {
   /** Machines known in this term, whether in a block or not. */
   private readonly known = new Map<MachineId, KnownMachine>();
   /** When the cloud last could not supply all requested machines of a kind, by the key of the kind. */
-  private readonly refused = new Map<string, Millis>();
+  private readonly soldOutKinds = new Map<string, Millis>();
   /** When a transfer or release of a machine was last requested from its holder, or a lost machine was deleted. */
-  private readonly asked = new Map<MachineId, Millis>();
+  private readonly lastRequestAt = new Map<MachineId, Millis>();
   /** When the holder was asked to release an idle machine that is to be returned to the cloud. */
   private readonly releaseAskedAt = new Map<MachineId, Millis>();
   /**
@@ -122,7 +123,7 @@
   private term: Revision | null = null;
   private lastListAt = millis(-1e9);
   /** Number of rent calls made by this process. */
-  private requests = 0;
+  private rentCalls = 0;
   /** When the current term was first seen here. */
   private startedAt: Millis;
   private listInFlight = false;
@@ -132,8 +133,8 @@
     this.startedAt = deps.runtime.now();
   }
 
-  /** Records the report of a worker whose machine is in no block: the machine is up and may be leased. */
-  recordUnleasedWorker(message: WorkerMessage): void {
+  /** Records the report of a worker whose machine is in no block: the machine is up and may be assigned. */
+  recordUnassignedWorker(message: WorkerMessage): void {
     const now = this.deps.runtime.now();
     const isNew = !this.known.get(message.machine)?.reportedAt;
     const known = this.getOrAddMachine(message.machine, message.type, message.zone, message.spot, now);
@@ -156,7 +157,7 @@
         address: '',
         listedAt: null,
         phase: 'booting',
-        doomed: false,
+        deletionRequested: false,
       };
       this.known.set(id, known);
     }
@@ -170,14 +171,14 @@
     if (this.gone.size > 2000) this.gone.delete([...this.gone][0] ?? id);
   }
 
-  /** Runs one reconciliation of machines, leases and rentals; does nothing while this node is not the leader. */
+  /** Runs one reconciliation of machines, blocks and rentals; does nothing while this node is not the leader. */
   async round(): Promise<void> {
     const term = this.deps.leaderTerm();
     if (term === null) {
       this.term = null;
       return;
     }
-    // Machines in a record that this release cannot read are in no known block and would be mistaken for unleased ones.
+    // Machines in a record that this release cannot read are in no known block and would be mistaken for unassigned ones.
     if (this.deps.shards.unreadable.size > 0) return;
     const now = this.deps.runtime.now();
     if (term !== this.term) {
@@ -193,23 +194,28 @@
     const summaries = this.deps.summaries().filter((s) => shards.get(s.shard)?.value.holder === s.holder);
     await this.returnLost(summaries, now);
     if (!(await this.blocksAreConsistent(term))) return;
-    await this.returnUnleased(now);
+    await this.returnUnassigned(now);
     if (this.deps.types().size === 0 || !(await this.blocksAreConsistent(term))) return;
 
-    const unleasedMachines: UnleasedMachine[] = [];
+    const unassignedMachines: UnleasedMachine[] = [];
     for (const known of this.known.values()) {
-      if (this.isLeased(known.id) || known.doomed || known.phase === 'failed' || this.releaseAskedAt.has(known.id))
+      if (
+        this.isInBlock(known.id) ||
+        known.deletionRequested ||
+        known.phase === 'failed' ||
+        this.releaseAskedAt.has(known.id)
+      )
         continue;
       const up = known.reportedAt !== null && now - known.reportedAt < 10_000;
-      unleasedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
+      unassignedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
     }
-    for (const [key, at] of this.refused) if (now - at > REFUSED_KIND_BACKOFF_MS) this.refused.delete(key);
+    for (const [key, at] of this.soldOutKinds) if (now - at > SOLD_OUT_KIND_BACKOFF_MS) this.soldOutKinds.delete(key);
     const plan = planLeases({
       shards: summaries,
-      unleased: unleasedMachines,
+      unleased: unassignedMachines,
       types: this.deps.types(),
       specOf: this.specOf,
-      refused: new Set(this.refused.keys()),
+      refused: new Set(this.soldOutKinds.keys()),
       headroom: this.serviceHeadroom(),
       upcoming: this.deps.upcomingJobs(),
       ...LEASE_POLICY,
@@ -218,7 +224,7 @@
         return known ? (now - known.rentedAt) / 1000 : 0;
       },
     });
-    await this.grantMachines(plan.grants, term);
+    await this.assignMachines(plan.assignments, term);
     for (const { machine, from, to } of plan.transfers) this.requestTransfer(machine, from, to, shards, now);
     for (const { machine, from } of plan.releases) {
       this.deps.log.info({ machine, from }, 'asking the holder to release an idle machine');
@@ -231,7 +237,7 @@
   }
 
   /** Returns whether the machine is in a block. */
-  private isLeased(id: MachineId): boolean {
+  private isInBlock(id: MachineId): boolean {
     return this.deps.shards.shardOf(id) !== null;
   }
 
@@ -254,7 +260,7 @@
     return [...largest.values()];
   }
 
-  /** Asks a machine's holder to lease it to another shard, or to release it when `to` is null. */
+  /** Asks a machine's holder to assign it to another shard, or to release it when `to` is null. */
   private requestTransfer(
     machine: MachineId,
     from: ShardName,
@@ -262,8 +268,8 @@
     shards: ReadonlyMap<ShardName, KnownShard>,
     now: Millis,
   ): void {
-    if (now - (this.asked.get(machine) ?? -1e9) < TRANSFER_RETRY_MS) return;
-    this.asked.set(machine, now);
+    if (now - (this.lastRequestAt.get(machine) ?? -1e9) < TRANSFER_RETRY_MS) return;
+    this.lastRequestAt.set(machine, now);
     const holder = shards.get(from)?.value.holder;
     if (holder !== undefined) this.deps.sendToPeer(holder, { kind: 'transfer', machine, to });
   }
@@ -297,9 +303,9 @@
   }
 
   /**
-   * Returns true once all blocks are known as of one revision of this term. Only this leader adds unleased machines to
-   * blocks, so a machine that is in no block at that revision stays unleased until this leader leases it. Before that,
-   * a machine that has just moved from one page to another may appear to be in no block. It would then be leased a
+   * Returns true once all blocks are known as of one revision of this term. Only this leader adds unassigned machines to
+   * blocks, so a machine that is in no block at that revision stays unassigned until this leader assigns it. Before that,
+   * a machine that has just moved from one page to another may appear to be in no block. It would then be assigned a
    * second time, or returned to the cloud together with everything that runs on it.
    */
   private async blocksAreConsistent(term: Revision): Promise<boolean> {
@@ -311,30 +317,30 @@
     );
   }
 
-  /** Leases unleased machines to shards. */
-  private async grantMachines(
-    grants: readonly { readonly machine: MachineId; readonly to: ShardName }[],
+  /** Assigns unassigned machines to shards. */
+  private async assignMachines(
+    assignments: readonly { readonly machine: MachineId; readonly to: ShardName }[],
     term: Revision,
   ): Promise<void> {
     const byShard = new Map<ShardName, MachineId[]>();
-    for (const { machine, to } of grants) byShard.set(to, [...(byShard.get(to) ?? []), machine]);
+    for (const { machine, to } of assignments) byShard.set(to, [...(byShard.get(to) ?? []), machine]);
     for (const [to, machines] of byShard) {
       for (let left: readonly MachineId[] = machines; left.length > 0;) {
-        const granted = await this.grantBatch(to, left, term);
+        const assigned = await this.assignBatch(to, left, term);
         // Resolving a write of unknown outcome reads keys ahead of the watch, so the blocks are no longer known as of
         // one revision.
-        if (granted === 'unknown') return;
-        if (granted.length === 0) break;
-        left = left.filter((id) => !granted.includes(id));
+        if (assigned === 'unknown') return;
+        if (assigned.length === 0) break;
+        left = left.filter((id) => !assigned.includes(id));
       }
     }
   }
 
   /**
-   * Leases as many of the machines to a shard as fit into one page or record. Returns those leased, an empty list if
+   * Assigns as many of the machines to a shard as fit into one page or record. Returns those assigned, an empty list if
    * the write was refused or the term has ended, or 'unknown' after a write of unknown outcome.
    */
-  private async grantBatch(
+  private async assignBatch(
     to: ShardName,
     machines: readonly MachineId[],
     term: Revision,
@@ -346,7 +352,7 @@
     const candidates: BlockMachine[] = [];
     for (const id of machines) {
       const known = this.known.get(id);
-      if (known && !this.isLeased(id))
+      if (known && !this.isInBlock(id))
         candidates.push({ id, type: known.type, zone: known.zone, spot: known.spot, address: known.address });
     }
     const { limits } = state;
@@ -366,7 +372,7 @@
     const result = await state.txn(Urgency.shard, [...guards.values()], change.ops);
     const ids = taken.map((m) => m.id);
     if (result.kind === 'ok') {
-      log.info({ shard: to, machines: ids, term, revision: result.revision }, 'leased machines to a shard');
+      log.info({ shard: to, machines: ids, term, revision: result.revision }, 'assigned machines to a shard');
       mirror.wrote(change.ops, result.revision);
       return ids;
     }
@@ -392,7 +398,7 @@
     const lost = new Set<MachineId>();
     for (const s of summaries) {
       for (const m of s.machines) {
-        if (!this.isLeased(m.id)) continue;
+        if (!this.isInBlock(m.id)) continue;
         const known = this.known.get(m.id);
         if (m.lost || (m.faulty && m.empty) || known?.phase === 'failed') lost.add(m.id);
       }
@@ -404,7 +410,7 @@
     for (const id of ids) {
       this.markDeleted(id);
       this.deps.trail?.record({ kind: 'returned', machine: id, why: 'lost or faulty' });
-      this.asked.set(id, now);
+      this.lastRequestAt.set(id, now);
     }
     await this.removeFromBlocks(new Set(ids));
   }
@@ -419,7 +425,7 @@
       if (changes.length === 0) return;
       // Whole records are written one per transaction: several of them may exceed the transaction's size limit.
       const whole = changes.some(({ ops }) => ops.some((op) => 'put' in op && !op.put.startsWith(PAGES_PREFIX)));
-      const changesPerTxn = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, MAX_PAGES_PER_TXN));
+      const changesPerTxn = whole ? 1 : Math.max(1, Math.min(state.limits.txnOps, MAX_PAGES_PER_REMOVAL_TXN));
       for (let at = 0; at < changes.length; at += changesPerTxn) {
         const term = this.deps.leaderTerm();
         if (term === null) return;
@@ -437,31 +443,31 @@
   }
 
   /**
-   * Returns unleased machines to the cloud: those that their holder has released, that never came up, that have gone
+   * Returns unassigned machines to the cloud: those that their holder has released, that never came up, that have gone
    * silent or that failed, and those whose deletion was requested before.
    */
-  private async returnUnleased(now: Millis): Promise<void> {
+  private async returnUnassigned(now: Millis): Promise<void> {
     const ids: MachineId[] = [];
     for (const known of this.known.values()) {
-      if (this.isLeased(known.id)) continue;
+      if (this.isInBlock(known.id)) continue;
       const bootS = this.deps.types().get(known.type)?.bootS ?? 60;
       const ageS = (now - known.rentedAt) / 1000;
       const silentS = (now - Math.max(known.reportedAt ?? -1e9, this.startedAt)) / 1000;
       const releaseAsked = now - (this.releaseAskedAt.get(known.id) ?? -1e9) < 60_000;
       const neverUp = known.phase === 'booting' && known.reportedAt === null && ageS > bootS * 3.5 + 10;
       const silent = known.phase === 'running' && silentS > 25;
-      if (releaseAsked || neverUp || silent || known.phase === 'failed' || known.doomed) ids.push(known.id);
+      if (releaseAsked || neverUp || silent || known.phase === 'failed' || known.deletionRequested) ids.push(known.id);
     }
     for (const [id, at] of this.releaseAskedAt) if (now - at > 60_000) this.releaseAskedAt.delete(id);
     if (ids.length === 0 || !this.deps.cloud.canCall()) return;
     const batch = ids.slice(0, 50);
-    // The machines may be deleted from the moment of the request, so they are not leased any more.
+    // The machines may be deleted from the moment of the request, so they are not assigned any more.
     for (const id of batch) {
       const known = this.known.get(id);
-      if (known) known.doomed = true;
+      if (known) known.deletionRequested = true;
     }
     if (!(await this.deps.cloud.returnMachines(batch))) return;
-    this.deps.log.info({ machines: batch, term: this.term }, 'returned unleased machines to the cloud');
+    this.deps.log.info({ machines: batch, term: this.term }, 'returned unassigned machines to the cloud');
     for (const id of batch) {
       const why = this.releaseAskedAt.has(id) ? 'idle' : 'in no block';
       this.markDeleted(id);
@@ -471,31 +477,31 @@
   }
 
   /** Rents machines from the cloud as planned, within its call rate and as long as the term lasts. */
-  private async rentMachines(wishes: readonly PlannedRent[], term: Revision): Promise<void> {
+  private async rentMachines(rents: readonly PlannedRent[], term: Revision): Promise<void> {
     if (this.rentInFlight) return;
     this.rentInFlight = true;
     try {
       // A request above the limit of one call is split into several calls. The kinds take turns, so that each gets some
       // calls when the call rate is limited.
-      for (const wish of splitIntoCalls(wishes)) {
-        if (this.refused.has(machineKindKey(wish.type, wish.zone, wish.spot))) continue;
+      for (const rent of splitIntoCalls(rents)) {
+        if (this.soldOutKinds.has(machineKindKey(rent.type, rent.zone, rent.spot))) continue;
         if (!this.deps.cloud.canCall() || this.deps.leaderTerm() !== term) return;
-        this.requests += 1;
+        this.rentCalls += 1;
         // The term is a revision and the counter only grows, so a name is never used twice.
-        const name = `w${term}-${this.requests}`;
-        const result = await this.deps.cloud.rent({ ...wish, name });
+        const name = `w${term}-${this.rentCalls}`;
+        const result = await this.deps.cloud.rent({ ...rent, name });
         const now = this.deps.runtime.now();
         if (result.kind === 'rented') {
-          const { type, zone, spot } = wish;
+          const { type, zone, spot } = rent;
           for (const id of result.ids) {
             this.getOrAddMachine(id, type, zone, spot, now);
             this.deps.trail?.record({ kind: 'rented', machine: id, type, zone, spot });
           }
-          this.deps.log.info({ ...wish, got: result.ids.length }, 'rented machines');
+          this.deps.log.info({ ...rent, got: result.ids.length }, 'rented machines');
         }
-        if (result.kind === 'no-capacity' || (result.kind === 'rented' && result.ids.length < wish.count)) {
-          this.refused.set(machineKindKey(wish.type, wish.zone, wish.spot), now);
-          const { type, zone, spot, count: wanted } = wish;
+        if (result.kind === 'no-capacity' || (result.kind === 'rented' && result.ids.length < rent.count)) {
+          this.soldOutKinds.set(machineKindKey(rent.type, rent.zone, rent.spot), now);
+          const { type, zone, spot, count: wanted } = rent;
           const got = result.kind === 'rented' ? result.ids.length : 0;
           this.deps.trail?.record({ kind: 'short', type, zone, spot, wanted, got });
         }
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -35,9 +35,9 @@
     return job;
   }
 
-  isDoomed(id: JobId): boolean {
+  mustBeCancelled(id: JobId): boolean {
     return this.jobOf(id).awaits.some(
-      (dependency) => this.jobOf(dependency).final === 'cancelled' || this.isDoomed(dependency),
+      (dependency) => this.jobOf(dependency).final === 'cancelled' || this.mustBeCancelled(dependency),
     );
   }
 
@@ -49,7 +49,7 @@
   inherited(id: JobId): ExpectedInherited | null {
     let combined: ExpectedInherited | null = null;
     for (const [dependent, job] of this.jobs) {
-      if (!job.awaits.includes(id) || job.final !== null || this.isDoomed(dependent)) continue;
+      if (!job.awaits.includes(id) || job.final !== null || this.mustBeCancelled(dependent)) continue;
       const transitive: ExpectedInherited | null = this.inherited(dependent);
       const deadlines = [transitive?.dueAt ?? Infinity];
       if (job.spec.deadlineS !== null) deadlines.push(job.submittedAt + job.spec.deadlineS * 1000);
@@ -121,13 +121,13 @@
       else if (model.isReady(id)) end(id, 'done', removedFirst);
     }
   }
-  // Cancellations are propagated until no doomed job is left open.
+  // Cancellations are propagated until no job that has to be cancelled is left open.
   for (;;) {
     for (const deliver of undelivered.splice(0)) deliver();
-    const doomed = open().filter((id) => model.isDoomed(id));
-    if (doomed.length === 0) return model;
-    for (const id of doomed) {
-      assert.ok(graph.isDoomed(id), `${id} has to be cancelled`);
+    const toCancel = open().filter((id) => model.mustBeCancelled(id));
+    if (toCancel.length === 0) return model;
+    for (const id of toCancel) {
+      assert.ok(graph.mustBeCancelled(id), `${id} has to be cancelled`);
       end(id, 'cancelled', false);
     }
   }
@@ -158,13 +158,13 @@
     assert.equal(graph.isReady(last), false);
     const { ready } = graph.recordFinal(id, 'done', 1000 + i);
     // Recording the same final state again changes nothing.
-    assert.deepEqual(graph.recordFinal(id, 'done', 9999), { ready: [], doomed: [] });
+    assert.deepEqual(graph.recordFinal(id, 'done', 9999), { ready: [], toCancel: [] });
     assert.deepEqual(ready, i === 99 ? [last] : []);
   }
   assert.equal(graph.readyAt(last), 1099);
 });
 
-test('a cancelled root dooms a chain of ten thousand jobs, and a diamond is counted once', () => {
+test('a cancelled root marks a chain of ten thousand jobs for cancellation, and a diamond is counted once', () => {
   const graph = new JobGraph();
   const root = jobId('j-root');
   const add = (id: JobId, awaits: readonly JobId[], overrides: Partial<JobSpec> = {}): void => {
@@ -176,8 +176,8 @@
     add(id, [previous]);
     previous = id;
   }
-  assert.equal(graph.recordFinal(root, 'cancelled', 0).doomed.length, 10_000);
-  assert.equal(graph.isDoomed(previous), true);
+  assert.equal(graph.recordFinal(root, 'cancelled', 0).toCancel.length, 10_000);
+  assert.equal(graph.mustBeCancelled(previous), true);
 
   const [top, left, right, end] = ['j-a', 'j-b', 'j-c', 'j-d'].map((id) => jobId(id)) as [JobId, JobId, JobId, JobId];
   add(left, [top], { estimateS: 10, priority: Priority.low });
