--- a/src/rollout/decide.ts
+++ b/src/rollout/decide.ts
@@ -136,7 +136,7 @@
       // every controller supports it.
       if (remaining < 0)
         return missingSupport(snapshot, name) === null
-          ? { state: 'on', why: 'its stored records can no longer be reverted' }
+          ? { state: 'on', why: 'it cannot go back' }
           : 'its stored records can no longer be reverted';
       return remaining > 0
         ? `${remaining} records still to be reverted`
@@ -150,7 +150,7 @@
       if (request?.wish === 'back')
         return dependent
           ? `${dependent.name} depends on it and has to be reverted first`
-          : { state: 'returning', why: 'an operator requested a rollback' };
+          : { state: 'returning', why: 'an operator wants it back' };
       // More exits than controllers within the window: whatever causes them, this feature is the last thing that
       // changed, so it is reverted. Only exits since the switch count, because a crash of all controllers just before
       // it had another cause.
@@ -160,9 +160,9 @@
           ? snapshot.observations.exitTimes.filter((exitedAt) => snapshot.now - exitedAt < onForMs).length
           : 0;
       if (exits > snapshot.nodes.length && !dependent && feature.minStableMs > 0)
-        return { state: 'returning', why: `${exits} controller exits after it was switched on`, stopped: true };
+        return { state: 'returning', why: `${exits} ends of controllers after it went on`, stopped: true };
       if (snapshot.requests.finish.includes(name))
-        return { ...current, why: 'an operator has ruled out a rollback', finished: true };
+        return { ...current, why: 'an operator has closed the way back', finished: true };
       return '';
     }
     case 'off': {
@@ -178,7 +178,7 @@
       const since = snapshot.observations.stableSince;
       if (since === null || snapshot.now - since < feature.minStableMs)
         return 'all controllers support it, but not for long enough';
-      return { state: 'on', why: 'every controller supports it', stopped: false };
+      return { state: 'on', why: 'every controller has it', stopped: false };
     }
   }
 }
