--- a/packages/region/src/region-parts.ts
+++ b/packages/region/src/region-parts.ts
@@ -1,5 +1,5 @@
 import { HttpClient, wallMillis, type Endpoint, type Logger, type Runtime } from '../../../src/kernel/index.js';
-import { encodeWishes, NO_WISHES } from '../../../src/rollout/index.js';
+import { encodeOperatorRequests, NO_OPERATOR_REQUESTS } from '../../../src/rollout/index.js';
 import { ROLLOUT_WISHES_KEY } from '../../../src/state/index.js';
 import { RuleChecker, type RuleViolation, type FreeCapacity } from './checker/index.js';
 import type { SimulationScenario } from './scenario/index.js';
@@ -197,7 +197,10 @@
     const request = { wish: 'allow', at: wallMillis(0) } as const;
     const allowedFeatures = day.controllers.allow.map((feature) => [feature, request] as const);
     if (allowedFeatures.length > 0)
-      this.state.put(ROLLOUT_WISHES_KEY, encodeWishes({ ...NO_WISHES, features: new Map(allowedFeatures) }));
+      this.state.put(
+        ROLLOUT_WISHES_KEY,
+        encodeOperatorRequests({ ...NO_OPERATOR_REQUESTS, features: new Map(allowedFeatures) }),
+      );
     const state = this.state.listen(this.stateHost.at, log);
     const cloud = this.cloud.listen(this.cloudHost.at, log);
     for (const { type, zone, spot, count } of day.machines) this.cloud.addInitialMachines(type, zone, spot, count);
--- a/packages/whatif/src/replay/decision-replay.ts
+++ b/packages/whatif/src/replay/decision-replay.ts
@@ -2,9 +2,9 @@
 import {
   splitIntoCalls,
   machineKindKey,
-  LEASE_POLICY,
-  planLeases,
-  type UnleasedMachine,
+  ASSIGNMENT_POLICY,
+  planAssignments,
+  type UnassignedMachine,
 } from '../../../../src/leasing/index.js';
 import type { ShardSummary } from '../../../../src/peers/index.js';
 import {
@@ -306,7 +306,7 @@
     }
     for (const m of [...this.machines.values()]) if (m.faulty && m.tasks.size === 0) this.releaseMachine(m);
     const nowS = this.nowS;
-    const loose: UnleasedMachine[] = [...this.bootingMachines.values()].map((l) => ({
+    const loose: UnassignedMachine[] = [...this.bootingMachines.values()].map((l) => ({
       ...{ id: l.id, type: l.type.name, zone: l.zone, spot: l.spot, up: false, ageS: nowS - l.rentedS },
     }));
     for (const [kind, untilS] of this.refusedUntilS) if (untilS < nowS) this.refusedUntilS.delete(kind);
@@ -314,9 +314,9 @@
       ...{ shard: FLEET_SHARD, holder: nodeName('replay'), demand, running },
       machines: [...this.machines.values()].filter((m) => m.alive).map((m) => m.summary(nowS)),
     };
-    const plan = planLeases({
-      ...{ shards: [summary], unleased: loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
-      ...{ refused: new Set(this.refusedUntilS.keys()), headroom: [...this.headroom.values()], ...LEASE_POLICY },
+    const plan = planAssignments({
+      ...{ shards: [summary], unassigned: loose, types: this.types, specOf: (id) => this.jobs.get(id)?.spec ?? null },
+      ...{ refused: new Set(this.refusedUntilS.keys()), headroom: [...this.headroom.values()], ...ASSIGNMENT_POLICY },
       machineAgeS: (id) => nowS - (this.rentedAtS.get(id) ?? nowS),
     });
     for (const { machine } of plan.releases) {
--- a/src/admin/rollout.ts
+++ b/src/admin/rollout.ts
@@ -1,7 +1,12 @@
 /** The rollout part of the administration API. */
 import { Router, type Response } from 'express';
 import { wallMillis, type Clock } from '../kernel/index.js';
-import { FEATURE_WISHES, type FeatureState, type RolloutWishes, type WishResult } from '../rollout/index.js';
+import {
+  FEATURE_REQUESTS,
+  type FeatureState,
+  type OperatorRequests,
+  type RequestUpdateResult,
+} from '../rollout/index.js';
 
 /** Controls a rollout, and the departure of this node before its process is stopped. */
 export interface RolloutControl {
@@ -11,7 +16,7 @@
   /** State of the rollout as reported to operators. */
   overview(): unknown;
   /** Stores a change of the operators' requests. */
-  updateWishes(change: (wishes: RolloutWishes) => RolloutWishes): Promise<WishResult>;
+  updateWishes(change: (wishes: OperatorRequests) => OperatorRequests): Promise<RequestUpdateResult>;
   /** Starts to hand everything that this node holds to other nodes, or says why it can't. */
   startLeaving(): { readonly ok: true } | { readonly ok: false; readonly reason: string };
   /** Cancels the departure. */
@@ -30,7 +35,7 @@
 async function storeAndAnswer(
   res: Response,
   control: RolloutControl,
-  change: (wishes: RolloutWishes) => RolloutWishes,
+  change: (wishes: OperatorRequests) => OperatorRequests,
 ): Promise<void> {
   const result = await control.updateWishes(change);
   if (result.kind === 'ok') res.json(control.overview());
@@ -61,11 +66,11 @@
 
   router.post('/rollout/features/:name/:wish', async (req, res) => {
     const { name } = req.params;
-    const wish = FEATURE_WISHES.find((candidate) => candidate === req.params.wish);
+    const wish = FEATURE_REQUESTS.find((candidate) => candidate === req.params.wish);
     const features = control.features();
     const feature = features.get(name);
     if (wish === undefined)
-      res.status(404).json({ error: `unknown request: must be one of ${FEATURE_WISHES.join(', ')}` });
+      res.status(404).json({ error: `unknown request: must be one of ${FEATURE_REQUESTS.join(', ')}` });
     else if (!feature)
       res.status(404).json({ error: `this release has no feature ${name}: it has ${[...features.keys()].join(', ')}` });
     else if (wish === 'back' && feature.finished)
--- a/src/cancellation/cancellation-propagator.ts
+++ b/src/cancellation/cancellation-propagator.ts
@@ -13,8 +13,8 @@
   type ShardName,
 } from '../kernel/index.js';
 import type { ShardDirectory } from '../membership/index.js';
-import type { PeerTransport, PeerMessage, PeerSync } from '../peers/index.js';
-import { CARRIED_CANCELLATIONS, decodeAnnouncement } from '../rollout/index.js';
+import type { PeerTransport, PeerMessage, Heartbeat } from '../peers/index.js';
+import { ACKNOWLEDGED_CANCELLATIONS, decodeAnnouncement } from '../rollout/index.js';
 import { jobKey, nodeKey, seenRevisionKey, Urgency, type Mirror, type StateClient } from '../state/index.js';
 import {
   answerGraceMs,
@@ -67,7 +67,7 @@
   /** Reports whether all controllers take part in acknowledged cancellations. */
   enabled(): boolean;
   /** Latest time for which a lease renewal proves that no other node can have claimed this node's shards. */
-  leaseRenewedAt(): Millis;
+  ownershipProvenAt(): Millis;
   /** The shards that this node holds, each with the revision of its claim. */
   held(): Iterable<readonly [ShardName, Revision]>;
   /** Called when another node has claimed a shard of this node; `version` is the revision of that claim. */
@@ -218,9 +218,9 @@
    */
   private mayAcknowledge(node: NodeName, incarnation: Incarnation): boolean {
     const announced = decodeAnnouncement(this.deps.mirror.get(nodeKey(node))?.value);
-    if (announced?.incarnation === incarnation) return announced.features.includes(CARRIED_CANCELLATIONS);
+    if (announced?.incarnation === incarnation) return announced.features.includes(ACKNOWLEDGED_CANCELLATIONS);
     const status = this.deps.peers.statusOf(node, Number.POSITIVE_INFINITY);
-    return status?.incarnation !== incarnation || status.features.includes(CARRIED_CANCELLATIONS);
+    return status?.incarnation !== incarnation || status.features.includes(ACKNOWLEDGED_CANCELLATIONS);
   }
 
   /** Sends the cancellation to nodes, as a `cancelled` frame to earlier releases, which don't acknowledge it. */
@@ -235,7 +235,7 @@
 
   /** Reports whether a peer that was heard recently supports acknowledged cancellations. */
   private acknowledgesCancellations(node: NodeName): boolean {
-    return this.deps.peers.statusOf(node)?.features.includes(CARRIED_CANCELLATIONS) === true;
+    return this.deps.peers.statusOf(node)?.features.includes(ACKNOWLEDGED_CANCELLATIONS) === true;
   }
 
   // ---- receiving frames
@@ -267,7 +267,7 @@
   }
 
   /** Handles a peer's heartbeat: its echo of our heartbeats and its view of who holds the shards. */
-  private onHeartbeat(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: PeerSync): void {
+  private onHeartbeat(from: NodeName, { incarnation, stamp, echo, echoOf, shards }: Heartbeat): void {
     const known = this.peerStamps.get(from);
     if (known?.incarnation !== incarnation || known.stamp < stamp) this.peerStamps.set(from, { incarnation, stamp });
     const { self, incarnation: own } = this.deps;
@@ -304,7 +304,7 @@
   }
 
   private get ownershipConfirmedAt(): Millis {
-    return millis(Math.max(this.deps.leaseRenewedAt(), this.confirmedByMajorityAt));
+    return millis(Math.max(this.deps.ownershipProvenAt(), this.confirmedByMajorityAt));
   }
 
   // ---- periodic work
--- a/src/holder/block-members.ts
+++ b/src/holder/block-members.ts
@@ -80,7 +80,7 @@
   }
 
   /** Number of machines that are not in the block but may still run tasks of this shard. */
-  get missing(): number {
+  get missingCount(): number {
     let missing = 0;
     for (const machine of this.machines.values()) if (machine.isMissing) missing += 1;
     return missing;
--- a/src/holder/deps.ts
+++ b/src/holder/deps.ts
@@ -45,30 +45,30 @@
   /** Known machine types, by name. */
   types(): ReadonlyMap<string, MachineType>;
   /** Current operator settings. */
-  operator(): OperatorSettingsView;
+  operatorSettings(): OperatorSettingsView;
   /** Latest time for which it is proven that no other node can have claimed this node's shards. */
-  exclusiveUntil(): Millis;
+  ownershipProvenAt(): Millis;
   /**
    * True while no other node can have claimed this node's shards, not even by a claim that the watch has yet to show.
    */
-  isExclusiveHolder(): boolean;
+  leaseValid(): boolean;
   /** State of jobs that depend on other jobs. */
   readonly pipelines: Pipelines;
   /** Division of team limits between shards. */
   readonly quotas: Quotas;
   /** Whether the progress of all of a shard's jobs is stored in a single record. */
-  grouped(): boolean;
+  groupsProgress(): boolean;
   /**
    * What this node may still do as a holder: everything, only answer reports, or nothing. It depends on how long ago
    * its lease or a majority of controllers last confirmed that no other node holds its shards.
    */
-  standing(): HolderMode;
+  holderMode(): HolderMode;
   /** How long the reports of a worker that still lists tasks of ended jobs are answered, in milliseconds. */
   readonly leftoverMs: number;
   /** Requests a reconcile round of the held shards soon. */
   requestRound(): void;
   /** Records that a worker has answered, which shows that this node reaches workers. */
-  heard(): void;
+  recordWorkerContact(): void;
   /** Finds another shard that has capacity for `count` tasks of this job now; null when there is none. */
   findShardWithCapacity(from: ShardName, spec: JobSpec, count: number): ShardName | null;
 }
@@ -86,11 +86,11 @@
 /** Division of team limits between shards, as the holder needs it. */
 export interface Quotas {
   /** The part of a team's limit that a shard may use now; null when the team has no limit. */
-  shareLimitOf(team: string, shard: ShardName): Amount | null;
+  capOf(team: string, shard: ShardName): Amount | null;
   /** What all shards together leave unused of a team's limit while limits are shared; null when they are not. */
   remainingOf(team: string): Amount | null;
   /** The shard that is assigned a team's whole limit while limits are not shared. */
-  account(team: string): ShardName | null;
+  accountShardOf(team: string): ShardName | null;
   /** Whether the shares are being returned, so that each team has one shard with its whole limit again. */
   isReturning(): boolean;
   /** Reports that work of a team with a limit waits for a larger share. */
--- a/src/holder/evictions.ts
+++ b/src/holder/evictions.ts
@@ -24,7 +24,7 @@
 
   /** Stops tasks on drained machines and on those that the cloud provider reclaims after a notice. */
   evictForDrainsAndNotices(now: Millis): void {
-    const drained = this.held.deps.operator().drained;
+    const drained = this.held.deps.operatorSettings().drained;
     for (const machine of this.held.machines.values()) {
       const leftS = machine.noticeUntil === null ? null : (machine.noticeUntil - now) / 1000;
       const drain = drained.has(machine.id);
@@ -45,7 +45,7 @@
 
   /** Stops stragglers of array jobs so that they are started again on other machines. */
   restartStragglers(now: Millis): void {
-    const tunables = this.held.deps.operator().tunables;
+    const tunables = this.held.deps.operatorSettings().tunables;
     const booked: { cpu: number; memory: number }[] = [];
     const late = new Set<string>();
     for (const machine of this.held.machines.values()) {
--- a/src/holder/grouped-progress.ts
+++ b/src/holder/grouped-progress.ts
@@ -73,7 +73,7 @@
   storeDue(now: Millis): (run: JobRun) => boolean {
     const { deps } = this.held;
     const due = !this.writing && now - this.lastAttemptAt >= GROUP_WRITE_INTERVAL_MS;
-    if (!deps.grouped()) {
+    if (!deps.groupsProgress()) {
       if (due && deps.mirror.get(this.key)) this.removeGroup(now);
       return isAheadOfRecord;
     }
--- a/src/holder/held-shard.ts
+++ b/src/holder/held-shard.ts
@@ -91,7 +91,7 @@
     this.members.initialize(value);
     for (const id of this.machines.keys()) this.unfencedMachines.add(id);
     for (const id of faulty) this.machines.get(id)?.markFaulty(now);
-    for (const entry of deps.mirror.under(JOBS_PREFIX)) {
+    for (const entry of deps.mirror.entriesIn(JOBS_PREFIX)) {
       this.onJob({ key: entry.key, value: entry.value, removed: false, version: entry.version });
     }
   }
@@ -120,7 +120,7 @@
   }
 
   /** Previous holders that must be known to have stopped before a silent worker's lease can be considered expired. */
-  get unconfirmedHolders(): PreviousHolder[] {
+  get unconfirmedPreviousHolders(): PreviousHolder[] {
     return this.unfencedMachines.size > 0 ? [...this.previousHolders.values()] : [];
   }
 
@@ -147,7 +147,7 @@
     const { runtime, log, sockets } = this.deps;
     const hooks = {
       heard: () => {
-        this.deps.heard();
+        this.deps.recordWorkerContact();
         this.applyWorkerState(machine);
         this.requestReplan();
       },
@@ -293,7 +293,7 @@
     if (this.releasing || (machine.leaving?.since ?? 0) < 0)
       return { status: 503, body: { error: 'the shard or the machine is being handed over' } };
     // Another node may hold the shard by now, so this worker's lease must not be renewed.
-    if (this.deps.standing() === 'nothing')
+    if (this.deps.holderMode() === 'nothing')
       return { status: 503, body: { error: 'ownership of the shard is not confirmed' } };
     const { generation, fenced } = machine.tracker;
     const outcome = machine.tracker.applyReport(message, now);
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -7,8 +7,8 @@
   encodeShard,
   addMachines,
   removeMachines,
-  fencePendingWrites,
-  fencePendingShardWrites,
+  settlePendingWrites,
+  settlePendingShardWrites,
   type MachineInsertion,
 } from '../membership/index.js';
 import { Urgency, jobKey, shardKey } from '../state/index.js';
@@ -46,7 +46,7 @@
   /** Moves a job to a shard where it can start. Only a job without tasks that may be on a machine here can move. */
   moveJob(run: JobRun, count: number, now: Millis): void {
     if (run.active.size > 0 || run.storeInProgress || run.moving || this.held.unfencedMachines.size > 0) return;
-    if (this.held.taskIndex.names(run.id)) return;
+    if (this.held.taskIndex.hasTasksOf(run.id)) return;
     // The search counts as a move as well: it checks every machine of the other blocks.
     this.lastJobMoveAt = now;
     const to = this.held.deps.findShardWithCapacity(this.held.shard, run.spec, count);
@@ -78,7 +78,7 @@
         }
         // If the write were applied later, another holder would get the job while this one runs it.
         if (result.kind === 'unknown')
-          await fencePendingWrites(
+          await settlePendingWrites(
             key,
             this.held.deps.state,
             this.held.deps.mirror,
@@ -153,7 +153,7 @@
     const batch = machines.filter(({ id }) => first?.ids.includes(id) === true);
     const infos = batch.map((machine) => ({ ...machine.info, address: machine.commandSender.knownAddress }));
     const { limits } = state;
-    const room = { recordMost: maxBlockMachines(limits.currentMaxValueKb), pageBytes: limits.maxValueBytes };
+    const room = { maxRecordMachines: maxBlockMachines(limits.currentMaxValueKb), pageBytes: limits.maxValueBytes };
     const entry = to !== null && target ? addMachines(to, target, infos, room) : null;
     const taken = to === null ? batch : acceptedMachines(entry, batch);
     for (const machine of batch) if (!taken.includes(machine)) machine.leaving = null;
@@ -170,13 +170,13 @@
     const result = await state.txn(Urgency.shard, [...guards.values()], ops);
     if (result.kind === 'ok') {
       log.info({ machines: [...ids], from: this.held.shard, to }, 'transferred machines out of the block');
-      mirror.wrote(ops, result.revision);
+      mirror.applyTxn(ops, result.revision);
       return;
     }
     // A write of unknown outcome may still be applied: the machines get no new tasks until it is settled.
     if (result.kind === 'unknown') {
       for (const { key } of left.change.guards)
-        await fencePendingWrites(key, state, mirror, this.held.deps.runtime, () => !this.held.dropped);
+        await settlePendingWrites(key, state, mirror, this.held.deps.runtime, () => !this.held.dropped);
     }
     for (const machine of taken) machine.leaving = null;
     this.held.requestReplan();
@@ -215,7 +215,7 @@
    */
   async releaseShard(why: string, to: NodeName | null = null): Promise<boolean> {
     // The next holder would not know of machines that are missing from the block.
-    if (this.held.releasing || this.held.members.missing > 0) return false;
+    if (this.held.releasing || this.held.members.missingCount > 0) return false;
     this.held.releasing = true;
     // Progress is written all the time: no new writes begin, and the pending ones complete first.
     for (
@@ -251,7 +251,7 @@
       return true;
     }
     if (result.kind === 'unknown')
-      await fencePendingShardWrites(
+      await settlePendingShardWrites(
         this.held.shard,
         this.held.deps.state,
         this.held.deps.mirror,
--- a/src/holder/shard-holder.ts
+++ b/src/holder/shard-holder.ts
@@ -61,7 +61,7 @@
   }
 
   /** Whether the shard can change holders without disruption; see `Moves.canBeHandedOver`. */
-  get quiet(): boolean {
+  get canBeHandedOver(): boolean {
     return this.moves.canBeHandedOver;
   }
 
@@ -121,7 +121,7 @@
         : machine.tracker.leaseExpiresAt(leaseMs);
       // Only this holder's answers can have renewed the worker's lease if no other node can have claimed the shard
       // until `at`.
-      if (now < at || this.deps.exclusiveUntil() < at) continue;
+      if (now < at || this.deps.ownershipProvenAt() < at) continue;
       if (machine.isMissing) {
         this.members.expire(machine);
         continue;
@@ -139,7 +139,7 @@
   private pruneEndedRuns(): void {
     for (const run of this.endedRuns) {
       for (const active of run.active.values()) this.stop(run, active, 'cancelled');
-      if (run.active.size > 0 || this.taskIndex.names(run.id)) continue;
+      if (run.active.size > 0 || this.taskIndex.hasTasksOf(run.id)) continue;
       this.endedRuns.delete(run);
       if (this.jobs.get(run.id) === run) this.jobs.delete(run.id);
     }
@@ -196,7 +196,7 @@
     if (orders.length === 0 || !deps.log.isLevelEnabled('debug')) return;
     const named = orders.map(({ op, key, attempt }) => ({ op, key, attempt }));
     const { token, session } = machine.tracker;
-    const authority = { claimedAt, standing: deps.standing(), seenUpTo: deps.mirror.seenUpTo };
+    const authority = { claimedAt, standing: deps.holderMode(), seenUpTo: deps.mirror.seenUpTo };
     deps.log.debug(
       { shard, machine: machine.id, token, session, ...authority, orders: named },
       'sending orders to worker',
@@ -222,7 +222,7 @@
 
   /** Whether all tasks that may be on the machines are known and the shard is not changing holders. */
   get settled(): boolean {
-    return this.fenced && !this.releasing && !this.dropped && this.deps.isExclusiveHolder();
+    return this.fenced && !this.releasing && !this.dropped && this.deps.leaseValid();
   }
 
   /** What teams with a limit use and wait for in this shard. */
@@ -231,7 +231,7 @@
   }
 
   /** Whether it has open jobs of teams with a limit whose whole limit is assigned to another shard. */
-  get hasForeignWork(): boolean {
+  get hasWorkAccountedElsewhere(): boolean {
     return this.teamQuotas.hasWorkAccountedElsewhere;
   }
 
--- a/src/holder/task-placer.ts
+++ b/src/holder/task-placer.ts
@@ -70,7 +70,7 @@
   /** Whether the machine accepts new tasks, regardless of a command in flight or a cooldown. */
   acceptsTasks(machine: HeldMachine, now: Millis): boolean {
     const { tracker } = machine;
-    const operator = this.held.deps.operator();
+    const operator = this.held.deps.operatorSettings();
     return (
       tracker.fenced &&
       tracker.hasMessage &&
@@ -156,7 +156,7 @@
   /** Runs one placement plan: adds start orders, marks preempted tasks to be stopped, and updates the demand. */
   place(orders: Map<MachineId, Order[]>, now: Millis): void {
     // Another node may hold the shard by now and know of jobs that have ended.
-    if (this.held.deps.standing() !== 'all') return;
+    if (this.held.deps.holderMode() !== 'all') return;
     const teams = this.teamQuotas.use();
     const pending: PendingJob[] = [];
     for (const run of this.held.jobs.values()) {
@@ -170,7 +170,7 @@
         continue;
       // This node accepted the job, possibly after another node's claim that the watch has not delivered yet: the
       // claimant starts the job at once, while this node might still command the shard's machines.
-      if (!this.held.deps.isExclusiveHolder() && run.createdAtRevision > this.held.deps.mirror.seenUpTo) continue;
+      if (!this.held.deps.leaseValid() && run.createdAtRevision > this.held.deps.mirror.seenUpTo) continue;
       if (run.spec.kind === 'gang' && run.active.size > 0) continue;
       const most = run.failsEverywhere ? 1 : MAX_READY_TASKS;
       const ready = run.ready(run.spec.kind === 'gang' ? run.spec.tasks : most);
--- a/src/holder/team-quotas.ts
+++ b/src/holder/team-quotas.ts
@@ -24,7 +24,7 @@
     const { shard, deps } = this.held;
     const limited = new Map<string, TeamUse>();
     for (const [team, account] of this.useUnderFullLimits()) {
-      const cap = deps.quotas.shareLimitOf(team, shard);
+      const cap = deps.quotas.capOf(team, shard);
       const left = deps.quotas.remainingOf(team);
       limited.set(team, {
         ...account,
@@ -78,7 +78,7 @@
   /** Whether the team has a limit that is assigned to another shard, or to none, while limits are not shared. */
   private isAccountedElsewhere(team: string): boolean {
     const { quotas, settings } = this.held.deps;
-    return limitOf(settings.teams.get(team)) !== null && quotas.account(team) !== this.held.shard;
+    return limitOf(settings.teams.get(team)) !== null && quotas.accountShardOf(team) !== this.held.shard;
   }
 
   /** Stops the work of teams whose limit is assigned elsewhere, once limits are not shared, and moves it there. */
--- a/src/leasing/leader.ts
+++ b/src/leasing/leader.ts
@@ -16,7 +16,7 @@
   encodePage,
   addMachines,
   removeMachines,
-  fencePendingWrites,
+  settlePendingWrites,
   type BlockMachine,
   type KnownShard,
   type ShardDirectory,
@@ -39,9 +39,9 @@
 import {
   splitIntoCalls,
   machineKindKey,
-  LEASE_POLICY,
-  planLeases,
-  type UnleasedMachine,
+  ASSIGNMENT_POLICY,
+  planAssignments,
+  type UnassignedMachine,
   type PlannedRent,
 } from './plan.js';
 
@@ -197,7 +197,7 @@
     await this.returnUnassigned(now);
     if (this.deps.types().size === 0 || !(await this.blocksAreConsistent(term))) return;
 
-    const unassignedMachines: UnleasedMachine[] = [];
+    const unassignedMachines: UnassignedMachine[] = [];
     for (const known of this.known.values()) {
       if (
         this.isInBlock(known.id) ||
@@ -210,15 +210,15 @@
       unassignedMachines.push({ ...known, up, ageS: (now - known.rentedAt) / 1000 });
     }
     for (const [key, at] of this.soldOutKinds) if (now - at > SOLD_OUT_KIND_BACKOFF_MS) this.soldOutKinds.delete(key);
-    const plan = planLeases({
+    const plan = planAssignments({
       shards: summaries,
-      unleased: unassignedMachines,
+      unassigned: unassignedMachines,
       types: this.deps.types(),
       specOf: this.specOf,
       refused: new Set(this.soldOutKinds.keys()),
       headroom: this.serviceHeadroom(),
       upcoming: this.deps.upcomingJobs(),
-      ...LEASE_POLICY,
+      ...ASSIGNMENT_POLICY,
       machineAgeS: (id) => {
         const known = this.known.get(id);
         return known ? (now - known.rentedAt) / 1000 : 0;
@@ -251,7 +251,7 @@
    */
   private serviceHeadroom(): JobSpec[] {
     const largest = new Map<string, JobSpec>();
-    for (const entry of this.deps.mirror.under(JOBS_PREFIX)) {
+    for (const entry of this.deps.mirror.entriesIn(JOBS_PREFIX)) {
       const spec = decodeJobSpec(entry.value);
       if (!spec || spec.kind !== 'service') continue;
       const known = largest.get(spec.jobClass);
@@ -357,7 +357,7 @@
     }
     const { limits } = state;
     const { taken, change } = addMachines(to, target, candidates, {
-      recordMost: maxBlockMachines(limits.currentMaxValueKb),
+      maxRecordMachines: maxBlockMachines(limits.currentMaxValueKb),
       pageBytes: limits.maxValueBytes,
     });
     if (taken.length === 0) return [];
@@ -373,7 +373,7 @@
     const ids = taken.map((m) => m.id);
     if (result.kind === 'ok') {
       log.info({ shard: to, machines: ids, term, revision: result.revision }, 'assigned machines to a shard');
-      mirror.wrote(change.ops, result.revision);
+      mirror.applyTxn(change.ops, result.revision);
       return ids;
     }
     if (result.kind === 'unknown') {
@@ -383,7 +383,7 @@
       for (const op of change.ops)
         if ('put' in op) {
           const absent = op.put.startsWith(PAGES_PREFIX) ? EMPTY_PAGE : undefined;
-          await fencePendingWrites(op.put, state, mirror, runtime, termLasts, (value) => value, absent);
+          await settlePendingWrites(op.put, state, mirror, runtime, termLasts, (value) => value, absent);
         }
       return 'unknown';
     }
@@ -434,7 +434,7 @@
         const ops = batch.flatMap((change) => change.ops);
         const result = await state.txn(Urgency.shard, guards, ops);
         if (result.kind === 'ok') {
-          mirror.wrote(ops, result.revision);
+          mirror.applyTxn(ops, result.revision);
           continue;
         }
         for (const { key } of batch.flatMap((change) => change.guards)) await reread(state, mirror, key);
--- a/src/leasing/plan.ts
+++ b/src/leasing/plan.ts
@@ -21,14 +21,14 @@
 const MAX_HEADROOM_CHECKS = 20;
 
 /** The parameters that the leader and the replay of recorded days plan with. */
-export const LEASE_POLICY = {
+export const ASSIGNMENT_POLICY = {
   idleReturnS: 20,
   // The remaining time allows for machine boots, image fetches and stragglers.
   backlogTimeShare: 0.55,
 } as const;
 
 /** A machine that is rented but not assigned to a shard: it is in no block yet. */
-export interface UnleasedMachine {
+export interface UnassignedMachine {
   readonly id: MachineId;
   readonly type: string;
   readonly zone: string;
@@ -43,7 +43,7 @@
 export interface AssignmentInput {
   readonly shards: readonly ShardSummary[];
   /** Machines that are rented but in no block. */
-  readonly unleased: readonly UnleasedMachine[];
+  readonly unassigned: readonly UnassignedMachine[];
   readonly types: ReadonlyMap<string, MachineType>;
   /** Returns a job's specification, or null if the job is unknown. */
   readonly specOf: (id: JobId) => JobSpec | null;
@@ -160,7 +160,7 @@
  * Decides which block each machine belongs to, what to rent and what to return to the cloud. A pure function of its
  * input.
  */
-export function planLeases(input: AssignmentInput): AssignmentPlan {
+export function planAssignments(input: AssignmentInput): AssignmentPlan {
   const demands: JobDemand[] = [];
   for (const shard of input.shards) {
     for (const d of shard.demand) {
@@ -195,7 +195,7 @@
   const freeCpusByShard = new Map(
     input.shards.map((s) => [s.shard, s.machines.reduce((sum, m) => sum + m.freeCpus + 1, 0)]),
   );
-  for (const machine of input.unleased) {
+  for (const machine of input.unassigned) {
     if (!machine.up || input.shards.length === 0) continue;
     const type = input.types.get(machine.type);
     if (!type) continue;
@@ -263,7 +263,7 @@
   }
 
   // Booting machines will serve the remaining demand; those that take too long to boot are not counted.
-  for (const machine of input.unleased) {
+  for (const machine of input.unassigned) {
     if (machine.up) continue;
     const type = input.types.get(machine.type);
     if (!type || machine.ageS > type.bootS * 1.8 + 5) continue;
@@ -289,7 +289,7 @@
         capacities.push({ type, zone: m.zone, spot: m.spot, cpus, gpus: m.freeGpus, memoryGb });
       }
     }
-    for (const m of input.unleased) {
+    for (const m of input.unassigned) {
       const type = input.types.get(m.type);
       if (type && m.ageS <= type.bootS * 1.8 + 5) capacities.push(totalCapacity(type, m.zone, m.spot));
     }
--- a/src/membership/block-pages.ts
+++ b/src/membership/block-pages.ts
@@ -109,13 +109,13 @@
   shard: ShardName,
   known: KnownShard,
   machines: readonly BlockMachine[],
-  limits: { readonly recordMost: number; readonly pageBytes: number },
+  limits: { readonly maxRecordMachines: number; readonly pageBytes: number },
 ): MachineInsertion {
   const head = { key: shardKey(shard), version: known.version as number };
   const { value, pages, spare } = known;
   const { epoch } = value;
   if (epoch === null) {
-    const taken = machines.slice(0, Math.max(0, limits.recordMost - value.machines.length));
+    const taken = machines.slice(0, Math.max(0, limits.maxRecordMachines - value.machines.length));
     const next = encodeShard({ ...value, machines: [...value.machines, ...taken] });
     return { taken, change: { guards: [head], ops: [{ put: head.key, value: next }] } };
   }
--- a/src/membership/paging.ts
+++ b/src/membership/paging.ts
@@ -48,7 +48,7 @@
       const { guards, ops } = mergeChanges(changes.slice(start, start + pagesPerTxn));
       const result = await state.txn(urgency, guards, ops);
       if (result.kind === 'ok') {
-        mirror.wrote(ops, result.revision);
+        mirror.applyTxn(ops, result.revision);
         log.info({ shard, epoch: known.version, pages: ops.length, revision: result.revision }, 'staged pages');
         continue;
       }
--- a/src/membership/pending-writes.ts
+++ b/src/membership/pending-writes.ts
@@ -5,19 +5,19 @@
  * Settles a write of unknown outcome: reads the shard's key and writes the same value back under a guard. After that
  * the lost write has either taken effect, and is visible, or can never be applied.
  */
-export const fencePendingShardWrites = (
+export const settlePendingShardWrites = (
   shard: ShardName,
   state: StateClient,
   mirror: Mirror,
   runtime: Runtime,
   shouldContinue: () => boolean,
-): Promise<void> => fencePendingWrites(shardKey(shard), state, mirror, runtime, shouldContinue);
+): Promise<void> => settlePendingWrites(shardKey(shard), state, mirror, runtime, shouldContinue);
 
 /**
  * Settles a write of unknown outcome to any key. Since this gives the key a new version, `rewrite` has to put into
  * the value itself whatever depended on the old version. Gives up when `shouldContinue` returns false.
  */
-export async function fencePendingWrites(
+export async function settlePendingWrites(
   key: string,
   state: StateClient,
   mirror: Mirror,
--- a/src/membership/shard-directory.ts
+++ b/src/membership/shard-directory.ts
@@ -62,14 +62,14 @@
     if (generation === this.generation) return;
     this.generation = generation;
     const changed = new Set<ShardName>();
-    for (const { key, value, version } of this.mirror.under(SHARDS_PREFIX)) {
+    for (const { key, value, version } of this.mirror.entriesIn(SHARDS_PREFIX)) {
       const name = key.slice(SHARDS_PREFIX.length) as ShardName;
       if (this.records.get(name)?.version === version) continue;
       this.records.set(name, { version, value: decodeShard(value) });
       this.latestVersion = Math.max(this.latestVersion, version);
       changed.add(name);
     }
-    for (const { key, value, version } of this.mirror.under(PAGES_PREFIX)) {
+    for (const { key, value, version } of this.mirror.entriesIn(PAGES_PREFIX)) {
       if (this.pageVersions.get(key) === version) continue;
       this.pageVersions.set(key, version);
       this.latestVersion = Math.max(this.latestVersion, version);
--- a/src/membership/shard-sealer.ts
+++ b/src/membership/shard-sealer.ts
@@ -33,7 +33,7 @@
     if (sealed && !mirror.get(node)) ops.push({ put: node, value: SEALED_NODE_VALUE });
     const result = await state.txn(Urgency.shard, [{ key, version: known.version as number }], ops);
     if (result.kind === 'ok') {
-      mirror.wrote(ops, result.revision);
+      mirror.applyTxn(ops, result.revision);
       log.info({ shard, sealed }, "changed the format of a shard's record for quota shares");
       return;
     }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -142,7 +142,7 @@
   /** Acknowledges 'withdrawn': this incarnation of the sender starts no more tasks of the job and stops running ones. */
   | { readonly kind: 'heard'; readonly job: JobId; readonly incarnation: Incarnation }
   /** Periodic heartbeat to one peer, see `Heartbeat`. */
-  | ({ readonly kind: 'word' } & PeerSync)
+  | ({ readonly kind: 'word' } & Heartbeat)
   /** Usage and demand of teams with a limit in a shard, from which the shares of the limits are computed. */
   | {
       readonly kind: 'quota';
@@ -184,7 +184,7 @@
  * Periodic heartbeat to one peer. It echoes a timestamp of the receiver's own clock, so that the receiver can date
  * the message: it was sent after the echoed time and counts as no newer than that, however late it arrives.
  */
-export interface PeerSync {
+export interface Heartbeat {
   readonly incarnation: Incarnation;
   /** The sender's monotonic clock in milliseconds. */
   readonly stamp: number;
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -42,7 +42,7 @@
   /** Teams by name, with their limits. */
   readonly teams: ReadonlyMap<string, TeamQuota>;
   readonly state: Pick<StateClient, 'txn' | 'get' | 'limits' | 'writers'>;
-  readonly mirror: Pick<Mirror, 'get' | 'apply' | 'wrote'>;
+  readonly mirror: Pick<Mirror, 'get' | 'apply' | 'applyTxn'>;
   readonly runtime: Pick<Runtime, 'now'>;
   readonly log: Pick<Logger, 'info' | 'warn' | 'error'>;
   /** Whether limits are divided now. */
@@ -367,7 +367,7 @@
     try {
       const result = await state.txn(Urgency.shard, [...guards.values()], ops);
       if (result.kind === 'ok') {
-        mirror.wrote(ops, result.revision);
+        mirror.applyTxn(ops, result.revision);
         log.info({ shard, teams: changes.map(({ team }) => team) }, 'changed quota shares');
       } else {
         if (result.kind === 'unknown') await this.deps.settlePendingWrites(shard);
--- a/src/rollout/decide.ts
+++ b/src/rollout/decide.ts
@@ -1,6 +1,6 @@
 import type { Incarnation, Millis, NodeName, WallMillis } from '../kernel/index.js';
 import type { Announcement, Feature } from './release.js';
-import type { FeatureState, RolloutState, RolloutWishes, StoredFeature } from './rollout-records.js';
+import type { FeatureState, RolloutState, OperatorRequests, StoredFeature } from './rollout-records.js';
 
 /** Controller exits within this time after a feature is switched on count towards its automatic revert. */
 export const AUTO_REVERT_WINDOW_MS = 60_000;
@@ -56,7 +56,7 @@
   /** The features of the leader's program. Stored features that it lacks are left unchanged. */
   readonly features: readonly Feature[];
   readonly state: RolloutState;
-  readonly requests: RolloutWishes;
+  readonly requests: OperatorRequests;
   /** All configured controllers. */
   readonly nodes: readonly RolloutNode[];
   readonly observations: NodeObservations;
--- a/src/rollout/release.ts
+++ b/src/rollout/release.ts
@@ -43,7 +43,7 @@
  * peers no longer confirm stops starting tasks and answering workers in time (docs/cancel-design.md). No record changes
  * its format, and controllers of an earlier release are only notified, as before.
  */
-export const CARRIED_CANCELLATIONS = 'carried-cancellations';
+export const ACKNOWLEDGED_CANCELLATIONS = 'carried-cancellations';
 /**
  * The limits of teams are divided between shards (docs/quota-design.md). Shard records are sealed while the feature is
  * on, so that a controller of an earlier release that comes back cannot hold a shard. If only controllers of earlier
@@ -56,7 +56,7 @@
   { name: GROUPED_PROGRESS, needs: [], minStableMs: MIN_STABLE_BEFORE_SWITCH_ON_MS },
   { name: PIPELINES, needs: [], minStableMs: 0 },
   { name: PAGED_BLOCKS, needs: [], minStableMs: 0 },
-  { name: CARRIED_CANCELLATIONS, needs: [], minStableMs: 0 },
+  { name: ACKNOWLEDGED_CANCELLATIONS, needs: [], minStableMs: 0 },
   { name: QUOTA_SHARES, needs: [], minStableMs: 0, requiresApproval: true },
 ];
 
--- a/src/rollout/rollout-reconciler.ts
+++ b/src/rollout/rollout-reconciler.ts
@@ -20,12 +20,12 @@
 } from './decide.js';
 import {
   decodeRolloutState,
-  decodeWishes,
+  decodeOperatorRequests,
   encodeRolloutState,
-  encodeWishes,
-  NO_WISHES,
+  encodeOperatorRequests,
+  NO_OPERATOR_REQUESTS,
   type RolloutState,
-  type RolloutWishes,
+  type OperatorRequests,
 } from './rollout-records.js';
 import { decodeAnnouncement, GROUPED_PROGRESS, RELEASE_NUMBER, type Feature } from './release.js';
 
@@ -49,8 +49,8 @@
 }
 
 /** The outcome of storing an operator's request. */
-export type WishResult =
-  | { readonly kind: 'ok'; readonly requests: RolloutWishes }
+export type RequestUpdateResult =
+  | { readonly kind: 'ok'; readonly requests: OperatorRequests }
   /** The stored record was written by a later release and is left unchanged. */
   | { readonly kind: 'foreign' }
   /** The request was not stored: the state service refused the write or did not answer, or every attempt failed. */
@@ -80,7 +80,7 @@
 
   /** True when operators have paused the rollout. */
   get paused(): boolean {
-    return decodeWishes(this.deps.mirror.get(ROLLOUT_WISHES_KEY)?.value)?.paused ?? false;
+    return decodeOperatorRequests(this.deps.mirror.get(ROLLOUT_WISHES_KEY)?.value)?.paused ?? false;
   }
 
   /** For each feature that has not reached its target state: what it waits for, as this node sees it. */
@@ -100,7 +100,7 @@
     const storedState = mirror.get(ROLLOUT_STATE_KEY);
     const storedRequests = mirror.get(ROLLOUT_WISHES_KEY);
     const state = decodeRolloutState(storedState?.value);
-    const requests = decodeWishes(storedRequests?.value);
+    const requests = decodeOperatorRequests(storedRequests?.value);
     if (!state || !requests) {
       if (!this.newerRecordLogged)
         this.deps.log.error('the rollout record was written by a later release: it is left unchanged');
@@ -154,7 +154,7 @@
   isReadyToSwitchOn(feature: string): boolean {
     const { mirror } = this.deps;
     const state = decodeRolloutState(mirror.get(ROLLOUT_STATE_KEY)?.value)?.features.get(feature);
-    const requests = decodeWishes(mirror.get(ROLLOUT_WISHES_KEY)?.value);
+    const requests = decodeOperatorRequests(mirror.get(ROLLOUT_WISHES_KEY)?.value);
     if (!requests || requests.paused || requests.features.get(feature)?.wish !== undefined) return false;
     if ((state?.state ?? 'off') !== 'off' || state?.stopped === true) return false;
     return this.nodes.every(({ announced }) => announced?.features.includes(feature) === true);
@@ -163,20 +163,20 @@
   /** Returns how many records of a feature would have to be reverted; negative when they can no longer be reverted. */
   recordsToRevert(feature: string): number {
     return feature === GROUPED_PROGRESS
-      ? [...this.deps.mirror.under(PROGRESS_PREFIX)].length
+      ? [...this.deps.mirror.entriesIn(PROGRESS_PREFIX)].length
       : this.deps.recordsToRevert(feature);
   }
 
   /** Applies a change to the operators' requests and stores them. Any controller may do so. */
-  async updateRequests(change: (requests: RolloutWishes) => RolloutWishes): Promise<WishResult> {
+  async updateRequests(change: (requests: OperatorRequests) => OperatorRequests): Promise<RequestUpdateResult> {
     const { state, mirror } = this.deps;
     for (let attempt = 0; attempt < 4; attempt++) {
       const read = await state.get(ROLLOUT_WISHES_KEY);
       if (read.kind === 'unavailable') break;
-      const before = read.kind === 'found' ? decodeWishes(read.entry.value) : NO_WISHES;
+      const before = read.kind === 'found' ? decodeOperatorRequests(read.entry.value) : NO_OPERATOR_REQUESTS;
       if (!before) return { kind: 'foreign' };
       const next = change(before);
-      const value = encodeWishes(next);
+      const value = encodeOperatorRequests(next);
       const version = read.kind === 'found' ? read.entry.version : 0;
       const guards = [{ key: ROLLOUT_WISHES_KEY, version: version as number }];
       const result = await state.txn(Urgency.accept, guards, [{ put: ROLLOUT_WISHES_KEY, value }]);
--- a/src/rollout/rollout-records.ts
+++ b/src/rollout/rollout-records.ts
@@ -45,7 +45,7 @@
  */
 export type FeatureRequest = 'hold' | 'allow' | 'back';
 /** All values of `FeatureRequest`, as the admin API accepts them. */
-export const FEATURE_WISHES: readonly FeatureRequest[] = ['hold', 'allow', 'back'];
+export const FEATURE_REQUESTS: readonly FeatureRequest[] = ['hold', 'allow', 'back'];
 
 /** An operator's request about one feature, as stored. */
 export interface StoredRequest {
@@ -55,7 +55,7 @@
 }
 
 /** The operators' requests about the rollout. */
-export interface RolloutWishes {
+export interface OperatorRequests {
   /** True when no feature may be switched on automatically. */
   readonly paused: boolean;
   readonly features: ReadonlyMap<string, StoredRequest>;
@@ -68,7 +68,7 @@
 /** The rollout state when no record is stored. */
 export const EMPTY_ROLLOUT_STATE: RolloutState = { features: new Map(), rest: {} };
 /** The operators' requests when no record is stored. */
-export const NO_WISHES: RolloutWishes = { paused: false, features: new Map(), finish: [], rest: {} };
+export const NO_OPERATOR_REQUESTS: OperatorRequests = { paused: false, features: new Map(), finish: [], rest: {} };
 
 const KNOWN_STATE_FIELDS: ReadonlySet<string> = new Set(['features']);
 const KNOWN_REQUEST_FIELDS: ReadonlySet<string> = new Set(['paused', 'features', 'finish']);
@@ -105,12 +105,12 @@
 });
 
 /** Decodes the operators' requests; null when their format version is newer than this program reads. */
-export function decodeWishes(value: unknown): RolloutWishes | null {
-  if (value === undefined || value === null) return NO_WISHES;
+export function decodeOperatorRequests(value: unknown): OperatorRequests | null {
+  if (value === undefined || value === null) return NO_OPERATOR_REQUESTS;
   if (!isObject(value) || isNewerFormat(value, ROLLOUT_FORMAT)) return null;
   const features = new Map<string, StoredRequest>();
   for (const [name, stored] of objectEntries(value['features'])) {
-    const request = FEATURE_WISHES.find((known) => known === stored['wish']);
+    const request = FEATURE_REQUESTS.find((known) => known === stored['wish']);
     if (request) features.set(name, { wish: request, at: wallTimeOrZero(stored['at']) });
   }
   return {
@@ -122,7 +122,7 @@
 }
 
 /** Encodes the operators' requests. */
-export const encodeWishes = (requests: RolloutWishes): RecordFields => ({
+export const encodeOperatorRequests = (requests: OperatorRequests): RecordFields => ({
   ...requests.rest,
   paused: requests.paused,
   features: Object.fromEntries(requests.features),
--- a/src/service/http.ts
+++ b/src/service/http.ts
@@ -20,7 +20,7 @@
 } from '../kernel/index.js';
 import { parseJobId, parseSubmission } from '../jobs/index.js';
 import type { ReportReply } from '../holder/index.js';
-import { decodeMessage, type WorkerMessage } from '../workers/index.js';
+import { decodeWorkerMessage, type WorkerMessage } from '../workers/index.js';
 import type { UserResponse, UserRequest } from './user-requests.js';
 
 const BODY_LIMIT_BYTES = 64 * 1024;
@@ -121,7 +121,7 @@
 }
 
 function handleReport(handlers: RequestHandlers, log: Logger, body: unknown): ReportReply {
-  const message = decodeMessage(body);
+  const message = decodeWorkerMessage(body);
   if (message) return handlers.report(message);
   log.warn('malformed worker report refused');
   return { status: 400, body: { error: 'not a report' } };
--- a/src/service/peer-messages.ts
+++ b/src/service/peer-messages.ts
@@ -27,7 +27,7 @@
   const { state, peers, router, registry, ownership, cancellationPropagator, userRequests, quotas } = deps;
   switch (message.kind) {
     case 'hello':
-      if (message.limitsFallen) state.fallen();
+      if (message.limitsFallen) state.applyLowerLimits();
       break;
     case 'summary':
       router.recordSummary(message.summary);
--- a/src/service/quota-shares.ts
+++ b/src/service/quota-shares.ts
@@ -1,7 +1,7 @@
 import type { TeamQuota } from '../config/index.js';
 import type { ShardHolder } from '../holder/index.js';
 import type { Logger, NodeName, Runtime, ShardName } from '../kernel/index.js';
-import { fencePendingShardWrites, type ShardDirectory } from '../membership/index.js';
+import { settlePendingShardWrites, type ShardDirectory } from '../membership/index.js';
 import type { PeerTransport, PeerMessage, TeamQuotaDemand } from '../peers/index.js';
 import { QuotaShares, type QuotaMode, type ShardNeeds, type TeamNeed } from '../quota/index.js';
 import { QUOTA_SHARES } from '../rollout/index.js';
@@ -75,6 +75,6 @@
     holders: () => holders.values(),
     sendNeeds: (needs) => sendNeedsToPeers(peers, needs),
     settlePendingWrites: (shard) =>
-      fencePendingShardWrites(shard, state, mirror, runtime, () => holders.get(shard)?.dropped === false),
+      settlePendingShardWrites(shard, state, mirror, runtime, () => holders.get(shard)?.dropped === false),
   });
 }
--- a/src/service/service.ts
+++ b/src/service/service.ts
@@ -22,7 +22,7 @@
 import type { QuotaShares } from '../quota/index.js';
 import { PeerTransport, type PeerMessage, type ReceivedMessage } from '../peers/index.js';
 import {
-  CARRIED_CANCELLATIONS,
+  ACKNOWLEDGED_CANCELLATIONS,
   RolloutReconciler,
   FEATURES,
   GROUPED_PROGRESS,
@@ -146,7 +146,7 @@
       () => ({
         ...{ stateOk: this.state.available && this.mirror.loaded, fit: this.reachability.ok },
         ...{ leaving: this.ownership.leaving, release: RELEASE_NUMBER, features: FEATURE_NAMES },
-        limitsFallen: this.state.limits.fallen,
+        limitsFallen: this.state.limits.lowerLimitsInForce,
       }),
       runtime,
       log,
@@ -161,7 +161,7 @@
       onShardDropped: (shard) => this.router.forgetSummary(shard),
       blockFormat: () => this.storageFormats.blockFormat,
       sealRecords: () => this.storageFormats.sealRecords,
-      hasForeignWork: (shard) => this.ownership.holders.get(shard)?.hasForeignWork === true,
+      hasForeignWork: (shard) => this.ownership.holders.get(shard)?.hasWorkAccountedElsewhere === true,
     });
     this.membership = new Membership(
       settings.node,
@@ -225,8 +225,8 @@
       ...{ self: settings.node, incarnation: this.incarnation, facts: this.holderTimings, runtime, log },
       ...{ state: this.state, mirror: this.mirror, directory: this.directory, peers: this.peers },
       others: settings.seeds.map((seed) => seed.node),
-      enabled: () => this.featureGates.isOn(CARRIED_CANCELLATIONS),
-      leaseRenewedAt: () => this.membership.ownershipProvenAt,
+      enabled: () => this.featureGates.isOn(ACKNOWLEDGED_CANCELLATIONS),
+      ownershipProvenAt: () => this.membership.ownershipProvenAt,
       held: () => [...this.ownership.holders].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
       onShardLost: (shard, version) => this.ownership.supersede(shard, version),
       onJobEnded: (id, final, version) => this.registry.recordFinal(id, final, version),
@@ -463,9 +463,9 @@
       registry: this.registry,
       pipelines: this.dependencyTracker,
       quotas: {
-        shareLimitOf: (team, shard) => this.quotas.capOf(team, shard),
+        capOf: (team, shard) => this.quotas.capOf(team, shard),
         remainingOf: (team) => this.quotas.leftOf(team),
-        account: (team) => this.quotas.accountShardOf(team),
+        accountShardOf: (team) => this.quotas.accountShardOf(team),
         isReturning: () => this.quotas.returning,
         reportWaitingWork: () => this.quotaLoop.trigger(),
       },
@@ -474,14 +474,14 @@
       log: this.log,
       trail: this.trail,
       types: () => this.machineTypes.all,
-      operator: () => this.settingsStore.current,
-      exclusiveUntil: () => this.membership.ownershipProvenAt,
-      isExclusiveHolder: () => this.membership.leaseValid,
-      standing: () => this.cancellationPropagator.holderMode,
+      operatorSettings: () => this.settingsStore.current,
+      ownershipProvenAt: () => this.membership.ownershipProvenAt,
+      leaseValid: () => this.membership.leaseValid,
+      holderMode: () => this.cancellationPropagator.holderMode,
       leftoverMs: leftoverAnswerMs(this.holderTimings),
-      grouped: () => this.featureGates.isOn(GROUPED_PROGRESS),
+      groupsProgress: () => this.featureGates.isOn(GROUPED_PROGRESS),
       requestRound: () => this.holderLoop.trigger(),
-      heard: () => this.reachability.heard(),
+      recordWorkerContact: () => this.reachability.recordWorkerContact(),
       findShardWithCapacity: (from, spec, count) => this.router.findOtherShard(from, spec, count),
     };
   }
@@ -493,7 +493,7 @@
    * machine or, for a machine in no block, to the leader.
    */
   private onReport(message: WorkerMessage): ReportReply {
-    this.reachability.heard();
+    this.reachability.recordWorkerContact();
     for (const holder of this.ownership.holders.values()) {
       if (holder.members.findPresent(message.machine)) return holder.onReport(message);
     }
--- a/src/service/shard-ownership.ts
+++ b/src/service/shard-ownership.ts
@@ -193,7 +193,7 @@
     if (this.leavingSince !== null && now - this.leavingSince > LEAVING_TIMEOUT_MS)
       this.cancelLeaving('this node was not shut down in time');
     for (const [shard, holder] of this.holders) {
-      for (const { node, incarnation: earlierIncarnation } of holder.unconfirmedHolders) {
+      for (const { node, incarnation: earlierIncarnation } of holder.unconfirmedPreviousHolders) {
         const currentIncarnation = peers.statusOf(node)?.incarnation ?? this.deps.membership().liveIncarnationOf(node);
         // A later incarnation of that node proves that the earlier one has ended.
         if (currentIncarnation !== null && currentIncarnation !== earlierIncarnation) holder.confirmStopped(node);
@@ -250,7 +250,7 @@
     this.homeNodeAvailableSince.set(shard, since);
     if (
       now - since > HAND_BACK_DELAY_MS &&
-      holder.quiet &&
+      holder.canBeHandedOver &&
       (await holder.releaseShard('its home node is available again'))
     )
       this.homeNodeAvailableSince.delete(shard);
@@ -258,7 +258,11 @@
 
   /** For each held shard: the version of its claim and the number of machines that are missing from its block. */
   get held(): { readonly shard: ShardName; readonly claimedAt: Revision; readonly missing: number }[] {
-    return [...this.holders].map(([shard, { claimedAt, members }]) => ({ shard, claimedAt, missing: members.missing }));
+    return [...this.holders].map(([shard, { claimedAt, members }]) => ({
+      shard,
+      claimedAt,
+      missing: members.missingCount,
+    }));
   }
 
   /** The shards in which teams with a limit start nothing, with the number of tasks of unknown jobs that cause this. */
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -34,7 +34,7 @@
     },
     ...{ watch: mirror.lag, held: ownership.held },
     settingsRevision: settingsStore.revision,
-    stateLimits: { fallen: state.limits.fallen, writeRps: state.limits.writeRps },
+    stateLimits: { fallen: state.limits.lowerLimitsInForce, writeRps: state.limits.writeRps },
     pipelines: dependencyTracker.counts,
     ...{ cancellations: cancellationPropagator.status, heldBack: ownership.heldBack, peers: peers.traffic },
     shards: [...ownership.holders.values()].map((holder) => holder.summary()),
--- a/src/service/storage-formats.ts
+++ b/src/service/storage-formats.ts
@@ -1,7 +1,7 @@
 import { dependenciesOf } from '../jobs/index.js';
 import { maxBlockMachines, moveToRecordGuards, type ShardDirectory } from '../membership/index.js';
 import {
-  CARRIED_CANCELLATIONS,
+  ACKNOWLEDGED_CANCELLATIONS,
   PAGED_BLOCKS,
   PIPELINES,
   QUOTA_SHARES,
@@ -38,7 +38,7 @@
     const { mirror, state, featureGates } = this.deps;
     if (!mirror.loaded) return 'any';
     const featureState = featureGates.state.features.get(PAGED_BLOCKS)?.state;
-    if (featureState === 'on') return state.limits.fallen ? 'pages' : 'any';
+    if (featureState === 'on') return state.limits.lowerLimitsInForce ? 'pages' : 'any';
     return featureState === 'returning' ? 'record' : 'any';
   }
 
@@ -58,7 +58,7 @@
     const { mirror } = this.deps;
     if (!mirror.loaded) return null;
     if (this.quotaMode === 'shared') return true;
-    return this.quotaMode === 'returning' && [...mirror.under(QUOTAS_PREFIX)].length === 0 ? false : null;
+    return this.quotaMode === 'returning' && [...mirror.entriesIn(QUOTAS_PREFIX)].length === 0 ? false : null;
   }
 
   /** Number of records that still have to be converted back for a feature; negative if that is no longer possible. */
@@ -66,14 +66,14 @@
     const { mirror, state, directory } = this.deps;
     let remaining = 0;
     // The feature stores no record in a different format.
-    if (feature === CARRIED_CANCELLATIONS) return remaining;
+    if (feature === ACKNOWLEDGED_CANCELLATIONS) return remaining;
     if (feature === PIPELINES) {
-      for (const { value } of mirror.under(JOBS_PREFIX)) if (dependenciesOf(value).length > 0) remaining += 1;
+      for (const { value } of mirror.entriesIn(JOBS_PREFIX)) if (dependenciesOf(value).length > 0) remaining += 1;
       return remaining;
     }
     if (feature === QUOTA_SHARES) {
       for (const { value } of directory.all.values()) if (value.sealed === true) remaining += 1;
-      return remaining + [...mirror.under(QUOTAS_PREFIX)].length;
+      return remaining + [...mirror.entriesIn(QUOTAS_PREFIX)].length;
     }
     const { limits } = state;
     for (const [shard, known] of directory.all) {
--- a/src/state/client.ts
+++ b/src/state/client.ts
@@ -194,7 +194,7 @@
    * Waits for changes after a revision: null when there is no valid answer, 'gone' when the service no longer keeps
    * the changes since that revision.
    */
-  async follow(
+  async watch(
     prefix: string,
     after: Revision,
     waitMs: number,
@@ -310,15 +310,15 @@
         const hasLease = queued.ops.some((op) => 'put' in op && op.lease !== undefined);
         // Every transaction keeps to the known limits, so a rejection without a lease shows that lower limits are in
         // force.
-        if (!hasLease) this.fallen();
+        if (!hasLease) this.applyLowerLimits();
         queued.resolve(hasLease ? { kind: 'no-lease' } : TOO_LARGE);
         return;
       }
       // A 429 was not executed. Even if it had been, the guards would make sending it again harmless.
       if (answer.status === 429 && this.runtime.now() + 150 < queued.deadline) {
-        const before = this.limits.fallen;
+        const before = this.limits.lowerLimitsInForce;
         if (this.allowance >= 0) this.limits.recordRateRefusal(this.runtime.now());
-        if (this.limits.fallen && !before) this.logLowerLimits();
+        if (this.limits.lowerLimitsInForce && !before) this.logLowerLimits();
         this.allowance = Math.min(this.allowance, 0);
         // Staggered retries: membership and final writes are sent before the others.
         await this.runtime.sleep(queued.urgency <= Urgency.final ? 100 : 200);
@@ -330,10 +330,10 @@
   }
 
   /** Switches to the lower limits, after this node or a peer has noticed that they are in force. */
-  fallen(): void {
-    if (this.limits.fallen) return;
+  applyLowerLimits(): void {
+    if (this.limits.lowerLimitsInForce) return;
     this.limits.applyLowerLimits();
-    if (this.limits.fallen) this.logLowerLimits();
+    if (this.limits.lowerLimitsInForce) this.logLowerLimits();
   }
 
   private logLowerLimits(): void {
--- a/src/state/limits.ts
+++ b/src/state/limits.ts
@@ -28,7 +28,7 @@
   constructor(private readonly configured: StateServiceLimits) {}
 
   /** True once the lower limits are known to be in force. */
-  get fallen(): boolean {
+  get lowerLimitsInForce(): boolean {
     return this.lowerInForce;
   }
 
--- a/src/state/mirror.ts
+++ b/src/state/mirror.ts
@@ -32,7 +32,7 @@
   private waiters: { readonly upTo: Revision; readonly resolve: (fresh: boolean) => void }[] = [];
 
   constructor(
-    private readonly client: Pick<StateClient, 'list' | 'follow'>,
+    private readonly client: Pick<StateClient, 'list' | 'watch'>,
     private readonly prefix: string,
     private readonly runtime: Runtime,
     private readonly log: Logger,
@@ -61,7 +61,7 @@
   }
 
   /** All entries of one directory. The directory name ends with a slash. */
-  under(directory: string): Iterable<Entry> {
+  entriesIn(directory: string): Iterable<Entry> {
     return (this.directories.get(directory) ?? NO_ENTRIES).values();
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** Applies an executed transaction of this node, ahead of the watch. */
-  wrote(ops: readonly Op[], version: Revision): void {
+  applyTxn(ops: readonly Op[], version: Revision): void {
     for (const op of ops) {
       if ('put' in op) this.apply({ key: op.put, value: op.value, removed: false, version });
       else this.apply({ key: op.remove, value: undefined, removed: true, version });
@@ -182,7 +182,7 @@
         if (!(await this.load())) await this.runtime.sleep(300);
         continue;
       }
-      const page = await this.client.follow(this.prefix, this.seenRevision, 10_000);
+      const page = await this.client.watch(this.prefix, this.seenRevision, 10_000);
       if (page === 'gone') {
         this.log.info('the watch is too far behind, listing all keys again');
         if (!(await this.load())) await this.runtime.sleep(300);
--- a/src/workers/index.ts
+++ b/src/workers/index.ts
@@ -4,7 +4,7 @@
 export * from './reachability.js';
 export * from './task-index.js';
 export {
-  decodeWorkerMessage as decodeMessage,
+  decodeWorkerMessage,
   encodeCommands,
   encodeRedirect,
   encodeReply,
--- a/src/workers/reachability.ts
+++ b/src/workers/reachability.ts
@@ -35,7 +35,7 @@
   }
 
   /** A report, or the answer to a command, has arrived. */
-  heard(): void {
+  recordWorkerContact(): void {
     this.silenceMs = 0;
   }
 
--- a/src/workers/task-index.ts
+++ b/src/workers/task-index.ts
@@ -43,7 +43,7 @@
   }
 
   /** True when any machine lists a task of the job or has a start of one pending. */
-  names(job: JobId): boolean {
+  hasTasksOf(job: JobId): boolean {
     return this.jobs.has(job);
   }
 
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -78,7 +78,7 @@
             [...(trackers[i]?.tasks.keys() ?? []), ...(trackers[i]?.pendingStarts.keys() ?? [])].some(ofJob),
           );
           assert.deepEqual([...taskIndex.machinesOfJob(job)].sort(), scanned);
-          assert.equal(taskIndex.names(job), scanned.length > 0);
+          assert.equal(taskIndex.hasTasksOf(job), scanned.length > 0);
         }
       },
     ),
--- a/test/input-validation.test.ts
+++ b/test/input-validation.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { parseSettings, SettingsError } from '../src/config/index.js';
 import { parseJobId, parseSubmission, unschedulableReason } from '../src/jobs/index.js';
-import { decodeMessage } from '../src/workers/index.js';
+import { decodeWorkerMessage } from '../src/workers/index.js';
 import { decodeSettings, parseTunables } from '../src/admin/index.js';
 
 /** A minimal valid settings file. */
@@ -157,13 +157,13 @@
 test('worker reports of any form are decoded or rejected without an exception', () => {
   fc.assert(
     fc.property(fc.jsonValue(), fc.jsonValue(), (a, b) => {
-      const message = decodeMessage({ drifter: 'm', tide: 1, tally: 1, helm: 0, recall_s: a, pieces: b });
+      const message = decodeWorkerMessage({ drifter: 'm', tide: 1, tally: 1, helm: 0, recall_s: a, pieces: b });
       assert.ok(message === null || message.machine === 'm');
-      assert.equal(decodeMessage(a as unknown) === undefined, false);
+      assert.equal(decodeWorkerMessage(a as unknown) === undefined, false);
     }),
     { seed: 9, numRuns: 500 },
   );
-  assert.equal(decodeMessage({ drifter: 'm', tide: -1, tally: 1, helm: 0 }), null);
+  assert.equal(decodeWorkerMessage({ drifter: 'm', tide: -1, tally: 1, helm: 0 }), null);
 });
 
 test("operators' tunables are validated, and malformed stored settings fall back to the defaults", () => {
--- a/test/leasing.test.ts
+++ b/test/leasing.test.ts
@@ -11,9 +11,9 @@
   chooseShard,
   splitIntoCalls,
   missingCpus,
-  planLeases,
+  planAssignments,
   type AssignmentInput,
-  type UnleasedMachine,
+  type UnassignedMachine,
   type PlannedRent,
 } from '../src/leasing/index.js';
 import type { DemandSummary, MachineSummary, ShardSummary } from '../src/peers/index.js';
@@ -74,7 +74,7 @@
 function input(specs: JobSpec[], shards: ShardSummary[], over: Partial<AssignmentInput> = {}): AssignmentInput {
   return {
     shards,
-    unleased: [],
+    unassigned: [],
     types: new Map([['small', type('small', 1, 0.2)]]),
     specOf: (id) => specs.find((s) => s.id === id) ?? null,
     refused: new Set(),
@@ -122,16 +122,18 @@
 
 test('idle machines are transferred to the shard with demand before anything is rented', () => {
   const waiting = spec({ id: 'j-1', tasks: 4 });
-  const plan = planLeases(input([waiting], [shard('n-0', [machine('m-1')]), shard('n-1', [], [demand('j-1', 4)])]));
+  const plan = planAssignments(
+    input([waiting], [shard('n-0', [machine('m-1')]), shard('n-1', [], [demand('j-1', 4)])]),
+  );
   assert.deepEqual(plan.transfers, [{ machine: 'm-1', from: 'n-0', to: 'n-1' }]);
   assert.deepEqual(plan.rents, []);
   assert.deepEqual(plan.releases, []);
 });
 
 test('a machine that has come up is assigned once, to the shard with waiting tasks', () => {
-  const loose: UnleasedMachine = { id: machineId('m-9'), type: 'small', zone: 'a', spot: false, up: true, ageS: 20 };
+  const loose: UnassignedMachine = { id: machineId('m-9'), type: 'small', zone: 'a', spot: false, up: true, ageS: 20 };
   const shards = [shard('n-0', []), shard('n-1', [], [demand('j-1', 4)])];
-  const plan = planLeases(input([spec({ id: 'j-1', tasks: 4 })], shards, { unleased: [loose] }));
+  const plan = planAssignments(input([spec({ id: 'j-1', tasks: 4 })], shards, { unassigned: [loose] }));
   assert.deepEqual(plan.assignments, [{ machine: 'm-9', to: 'n-1' }]);
   assert.deepEqual(plan.rents, []);
 });
@@ -140,9 +142,9 @@
   const spotJob = spec({ id: 'j-1', tasks: 4, spot: true });
   const onDemandJob = spec({ id: 'j-2', tasks: 4 });
   const rents = (job: JobSpec, slackS: number, refused: string[] = []): string[] =>
-    planLeases(input([job], [shard('n-0', [], [demand(job.id, 4, slackS)])], { refused: new Set(refused) })).rents.map(
-      (r) => `${r.type}/${r.spot ? 'spot' : 'on-demand'}`,
-    );
+    planAssignments(
+      input([job], [shard('n-0', [], [demand(job.id, 4, slackS)])], { refused: new Set(refused) }),
+    ).rents.map((r) => `${r.type}/${r.spot ? 'spot' : 'on-demand'}`);
   assert.deepEqual(rents(spotJob, 5), ['small/spot']);
   assert.deepEqual(rents(onDemandJob, 5), ['small/on-demand']);
   assert.deepEqual(rents(spotJob, 5, ['small/a/spot']), ['small/on-demand']);
@@ -153,7 +155,7 @@
   };
   const running = spec({ id: 'j-3', tasks: 2, estimateS: 4 });
   assert.deepEqual(
-    planLeases(input([spotJob, running], [drainingShard], { refused: new Set(['small/a/spot']) })).rents,
+    planAssignments(input([spotJob, running], [drainingShard], { refused: new Set(['small/a/spot']) })).rents,
     [],
   );
 });
@@ -162,7 +164,7 @@
   const service = spec({ id: 'j-s', kind: 'service', priority: Priority.production, cpus: 2 });
   const full = machine('m-1', { freeCpus: 0, freeMemoryGb: 0, empty: false, idleMs: 0 });
   const rentCount = (m: MachineSummary): number =>
-    planLeases(input([], [shard('n-0', [m])], { headroom: [service] })).rents.length;
+    planAssignments(input([], [shard('n-0', [m])], { headroom: [service] })).rents.length;
   assert.equal(rentCount(full), 1);
   assert.equal(rentCount({ ...full, yieldCpus: 2, yieldMemoryGb: 4 }), 0);
 });
@@ -170,7 +172,7 @@
 test('a machine that is idle for long is released unless services need it as headroom', () => {
   const idle = machine('m-1', { idleMs: 30_000 });
   const releases = (headroom: JobSpec[]): number =>
-    planLeases(input([], [shard('n-0', [idle])], { headroom })).releases.length;
+    planAssignments(input([], [shard('n-0', [idle])], { headroom })).releases.length;
   assert.equal(releases([]), 1);
   assert.equal(releases([spec({ id: 'j-s', kind: 'service', cpus: 2 })]), 0);
 });
@@ -181,7 +183,7 @@
   const lent = machine('m-1', { type: 'gpu', freeGpus: 2, freeCpus: 0, empty: false, idleMs: 5000 });
   const busy = machine('m-2', { type: 'gpu', freeGpus: 0, idleMs: 0, empty: false });
   const shards = [shard('n-0', [lent]), shard('n-1', [busy], [demand('j-g', 2)])];
-  const plan = planLeases(input([gang], shards, { types }));
+  const plan = planAssignments(input([gang], shards, { types }));
   assert.deepEqual(plan.transfers, [{ machine: 'm-1', from: 'n-0', to: 'n-1' }]);
   const many = [shard('n-0', [busy]), shard('n-1', [busy, { ...busy, id: machineId('m-3') }])];
   assert.equal(chooseShard(gang, many, types, shardName('n-0')), 'n-1');
--- a/test/mirror.test.ts
+++ b/test/mirror.test.ts
@@ -24,7 +24,7 @@
   list = (): Promise<{ entries: never[]; revision: Revision }> =>
     Promise.resolve({ entries: [], revision: revision(0) });
 
-  follow = (_prefix: string, after: Revision): Promise<{ changes: Change[]; revision: Revision }> =>
+  watch = (_prefix: string, after: Revision): Promise<{ changes: Change[]; revision: Revision }> =>
     new Promise((resolve) => {
       this.waiting = resolve;
       if (after < this.shown) this.answer(after);
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -170,8 +170,8 @@
     ...{ minLength: 60, maxLength: 200 },
   });
 
-const limitsOf = ({ pageBytes }: SimulatedProcess): { recordMost: number; pageBytes: number } => ({
-  recordMost: 9,
+const limitsOf = ({ pageBytes }: SimulatedProcess): { maxRecordMachines: number; pageBytes: number } => ({
+  maxRecordMachines: 9,
   pageBytes,
 });
 
--- a/test/paging.test.ts
+++ b/test/paging.test.ts
@@ -17,7 +17,7 @@
 const SHARD = shardName('n-0');
 const LATE_ADDRESS = '10.0.0.2';
 const STATE_LIMITS = { writeRps: 1000, valueKb: 2, txnOps: 5 };
-const BLOCK_LIMITS = { recordMost: 600, pageBytes: 2048 };
+const BLOCK_LIMITS = { maxRecordMachines: 600, pageBytes: 2048 };
 const machine = (n: number): BlockMachine => ({
   ...{ id: machineId(`host-${String(n).padStart(6, '0')}`), type: 'desk', zone: 'north', spot: false },
   address: `10.1.0.${n}:9000`,
@@ -60,7 +60,7 @@
   async change(change: { readonly guards: readonly { key: string; version: number }[]; readonly ops: readonly Op[] }) {
     const result = await this.lab.runUntilSettled(this.state.txn(Urgency.shard, change.guards, change.ops));
     assert.equal(result.kind, 'ok');
-    if (result.kind === 'ok') this.mirror.wrote(change.ops, result.revision);
+    if (result.kind === 'ok') this.mirror.applyTxn(change.ops, result.revision);
   }
 
   addMachines(machines: readonly BlockMachine[]): Promise<void> {
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -310,7 +310,7 @@
     mirror: {
       get: (key) => stored.get(key),
       apply: () => undefined,
-      wrote: (ops) => {
+      applyTxn: (ops) => {
         for (const op of ops) if ('put' in op) stored.set(op.put, entryOf(op.put, op.value));
       },
     },
--- a/test/reachability.test.ts
+++ b/test/reachability.test.ts
@@ -27,7 +27,7 @@
   let now = 60_000;
   now += silenceUntilProbeMs(reach, 100, 1000, now);
   // A report that arrives during the probes is evidence against their result.
-  reach.heard();
+  reach.recordWorkerContact();
   assert.equal(reach.recordProbes(5, 0), false);
   silenceUntilProbeMs(reach, 100, 1000, now);
   assert.equal(reach.recordProbes(5, 1), true);
@@ -43,6 +43,6 @@
   const reach = new WorkerReachability(millis(0));
   reach.check(millis(200), 100, 1000);
   assert.equal(reach.check(millis(60_200), 100, 1000), 'nothing');
-  reach.heard();
+  reach.recordWorkerContact();
   assert.equal(reach.check(millis(60_400), 100, 1000), 'nothing');
 });
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -286,9 +286,9 @@
     lab.runUntilSettled(client.txn(Urgency.shard, [], [{ put: 'live/x', value: 'x'.repeat(kb * 1024 - 10) }]));
   assert.equal((await put(3)).kind, 'ok');
   assert.equal((await put(5)).kind, 'refused', 'the value exceeds the current limit');
-  assert.equal(client.limits.fallen, false);
+  assert.equal(client.limits.lowerLimitsInForce, false);
   state.limit({ valueKb: 1 });
   assert.deepEqual(await put(3), { kind: 'refused', tooLarge: true });
-  assert.deepEqual([client.limits.fallen, client.limits.writeRps], [true, 20]);
+  assert.deepEqual([client.limits.lowerLimitsInForce, client.limits.writeRps], [true, 20]);
   state.limit({ valueKb: 32 });
 });
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -6,12 +6,12 @@
   decideRollout,
   decodeAnnouncement,
   decodeRolloutState,
-  decodeWishes,
+  decodeOperatorRequests,
   encodeAnnouncement,
   encodeRolloutState,
-  encodeWishes,
+  encodeOperatorRequests,
   EMPTY_ROLLOUT_STATE,
-  NO_WISHES,
+  NO_OPERATOR_REQUESTS,
   AUTO_REVERT_WINDOW_MS,
   MIN_STABLE_BEFORE_REPLACEMENT_MS,
   FeatureGates,
@@ -25,7 +25,7 @@
   type RolloutNode,
   type RolloutSnapshot,
   type RolloutState,
-  type RolloutWishes,
+  type OperatorRequests,
   type NodeObservations,
 } from '../src/rollout/index.js';
 import { LIVE_PREFIX, Mirror, ROLLOUT_STATE_KEY, StateClient } from '../src/state/index.js';
@@ -42,8 +42,8 @@
 const all = ['first', 'second'];
 const registered = (features: readonly string[] = all): RolloutNode[] =>
   NAMES.map((node) => ({ node, announced: announcementOf(`${node}-a`, features) }));
-const withRequest = (name: string, wish: FeatureRequest, at = 50): RolloutWishes => ({
-  ...NO_WISHES,
+const withRequest = (name: string, wish: FeatureRequest, at = 50): OperatorRequests => ({
+  ...NO_OPERATOR_REQUESTS,
   features: new Map([[name, { wish, at: wallMillis(at) }]]),
 });
 const isOn = (state: RolloutState, name: string): boolean => state.features.get(name)?.state === 'on';
@@ -56,7 +56,7 @@
     wall: wallMillis(1000),
     features: FEATURES,
     state: EMPTY_ROLLOUT_STATE,
-    requests: NO_WISHES,
+    requests: NO_OPERATOR_REQUESTS,
   },
   ...{ nodes: registered(), observations: STABLE, recordsToRevert: () => 0 },
   ...overrides,
@@ -89,7 +89,7 @@
   const held = decideRollout(snapshotWith({ features: independent, nodes, requests: withRequest('first', 'hold') }));
   assert.equal(held.changed?.feature, 'other');
   assert.equal(
-    decideRollout(snapshotWith({ requests: { ...NO_WISHES, paused: true } })).waits.get('first'),
+    decideRollout(snapshotWith({ requests: { ...NO_OPERATOR_REQUESTS, paused: true } })).waits.get('first'),
     'the rollout is paused',
   );
   const on = decideRollout(snapshotWith()).next ?? EMPTY_ROLLOUT_STATE;
@@ -119,7 +119,7 @@
     null,
   );
   const finished =
-    decideRollout(snapshotWith({ state: on, requests: { ...NO_WISHES, finish: ['first'] } })).next ??
+    decideRollout(snapshotWith({ state: on, requests: { ...NO_OPERATOR_REQUESTS, finish: ['first'] } })).next ??
     EMPTY_ROLLOUT_STATE;
   assert.equal(finished.features.get('first')?.finished, true);
   assert.equal(
@@ -168,10 +168,7 @@
     decideRollout(snapshotWith({ features, state: stopped.next ?? EMPTY_ROLLOUT_STATE, wall: wallMillis(2000) }))
       .next ?? EMPTY_ROLLOUT_STATE;
   const state = off;
-  assert.match(
-    decideRollout(snapshotWith({ features, state })).waits.get('first') ?? '',
-    /^stopped: 4 ends/,
-  );
+  assert.match(decideRollout(snapshotWith({ features, state })).waits.get('first') ?? '', /^stopped: 4 ends/);
   // A request from before the feature was stopped does not count.
   assert.equal(
     decideRollout(snapshotWith({ features, state, requests: withRequest('first', 'allow', 1500) })).next,
@@ -204,7 +201,7 @@
   now = 0;
   readonly nodes = new Map(NAMES.map((name) => [name, { value: null, version: 0 } as Key<Announcement | null>]));
   state: Key<RolloutState> = { value: EMPTY_ROLLOUT_STATE, version: 0 };
-  requests: Key<RolloutWishes> = { value: NO_WISHES, version: 0 };
+  requests: Key<OperatorRequests> = { value: NO_OPERATOR_REQUESTS, version: 0 };
   leader = 1;
   incarnationCount = 0;
   readonly observations: NodeObservations[] = [NO_OBSERVATIONS, NO_OBSERVATIONS];
@@ -339,7 +336,10 @@
       for (const i of [0, 1, 2]) start(i, all);
       for (let i = 0; i < 12; i++) {
         const allow = (name: string) => [name, { wish: 'allow' as const, at: wallMillis(region.now) }] as const;
-        region.requests = { value: { ...NO_WISHES, features: new Map(all.map(allow)) }, version: ++region.revision };
+        region.requests = {
+          value: { ...NO_OPERATOR_REQUESTS, features: new Map(all.map(allow)) },
+          version: ++region.revision,
+        };
         region.read(0);
         region.write(0);
         region.now += MIN_STABLE_BEFORE_SWITCH_ON_MS;
@@ -399,8 +399,8 @@
   assert.deepEqual((read && encodeRolloutState(read))?.['added'], [1]);
   assert.equal(decodeRolloutState({ ...withUnknownField, v: 2 }), null);
   const requests = { ...withRequest('first', 'hold'), paused: true, finish: ['second'] };
-  assert.deepEqual(decodeWishes(JSON.parse(JSON.stringify(encodeWishes(requests)))), requests);
-  assert.equal(decodeWishes({ v: 9 }), null);
+  assert.deepEqual(decodeOperatorRequests(JSON.parse(JSON.stringify(encodeOperatorRequests(requests)))), requests);
+  assert.equal(decodeOperatorRequests({ v: 9 }), null);
   // A state that only a later release knows does not make this program use the feature.
   const odd = decodeRolloutState({ features: { first: { state: 'half', since: 1 } } });
   assert.equal(odd?.features.get('first')?.state, 'off');
--- a/test/standins/quota-simulation.ts
+++ b/test/standins/quota-simulation.ts
@@ -117,7 +117,7 @@
       mirror: {
         get: (key) => this.entries.get(key),
         apply: ({ key, value, version }) => this.applyChange({ key, value, version }),
-        wrote: (ops, version) => {
+        applyTxn: (ops, version) => {
           for (const op of ops)
             this.applyChange(
               'put' in op ? { key: op.put, value: op.value, version } : { key: op.remove, value: undefined, version },
--- a/test/standins/simulated-cluster.ts
+++ b/test/standins/simulated-cluster.ts
@@ -17,7 +17,7 @@
 } from '../../src/kernel/index.js';
 import type { KnownShard } from '../../src/membership/index.js';
 import type { PeerMessage, PeerStatus } from '../../src/peers/index.js';
-import { CARRIED_CANCELLATIONS } from '../../src/rollout/index.js';
+import { ACKNOWLEDGED_CANCELLATIONS } from '../../src/rollout/index.js';
 import { jobKey, nodeKey, SHARDS_PREFIX, shardKey, type Change, type Entry } from '../../src/state/index.js';
 
 /** Guards of the proof in docs/cancel-design.md, one of which a run may omit to show that it is needed. */
@@ -40,7 +40,7 @@
 const TICK_MS = 100;
 /** Interval at which a machine reports to the controller that answers it. */
 const REPORT_INTERVAL_MS = 2000;
-const FEATURES = [CARRIED_CANCELLATIONS];
+const FEATURES = [ACKNOWLEDGED_CANCELLATIONS];
 
 /** Model of the state service: the log of all changes, the current keys, and the nodes that it refuses. */
 class Store {
@@ -101,7 +101,7 @@
       directory: this.createDirectory(),
       peers: { send: (to, message) => this.send(to, message), statusOf: (node) => this.peerStatuses.get(node) ?? null },
       enabled: () => cluster.omittedGuard !== 'acknowledgement',
-      leaseRenewedAt: () => this.renewedAt,
+      ownershipProvenAt: () => this.renewedAt,
       held: () => [...this.held].map(([shard, { claimedAt }]) => [shard, claimedAt] as const),
       onShardLost: (shard) => this.held.delete(shard),
       onJobEnded: (id) => this.endedJobs.add(id),
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,5 +1,11 @@
 import { isObject, parseTaskKey, type Attempt, type TaskKey, type FencingToken } from '../../src/kernel/index.js';
-import { decodeMessage, encodeCommands, encodeReply, type Order, type WorkerMessage } from '../../src/workers/index.js';
+import {
+  decodeWorkerMessage,
+  encodeCommands,
+  encodeReply,
+  type Order,
+  type WorkerMessage,
+} from '../../src/workers/index.js';
 import {
   GangCoordinator,
   SimulatedJobs,
@@ -56,7 +62,7 @@
   }
 
   private decoded(body: unknown): WorkerMessage {
-    const message = decodeMessage(body);
+    const message = decodeWorkerMessage(body);
     if (!message) throw new Error('the worker model sent a malformed message');
     return message;
   }
