--- a/src/holder/evictions.ts
+++ b/src/holder/evictions.ts
@@ -1,4 +1,4 @@
-import type { HeldShardState } from './held-shard.js';
+import type { HeldShardState } from './held-shard-state.js';
 import type { JobSpec } from '../jobs/index.js';
 import { jobId, type Millis } from '../kernel/index.js';
 import { chooseRestarts, flagStragglers, resourceTerm, type StragglerFlag } from '../speculation/index.js';
--- a/src/holder/grouped-progress.ts
+++ b/src/holder/grouped-progress.ts
@@ -1,7 +1,7 @@
 import { encodeGroupedProgress, groupedProgressBytes, groupedProgressWriter } from '../jobs/index.js';
 import { millis, type BitSet, type JobId, type Millis } from '../kernel/index.js';
 import { progressKey, reread, Urgency, type Change, type Guard } from '../state/index.js';
-import type { HeldShardState } from './held-shard.js';
+import type { HeldShardState } from './held-shard-state.js';
 import { applyGroupedProgress } from './apply-grouped-progress.js';
 import type { JobRun } from './job-run.js';
 
--- a/src/holder/moves.ts
+++ b/src/holder/moves.ts
@@ -1,4 +1,4 @@
-import type { HeldShardState } from './held-shard.js';
+import type { HeldShardState } from './held-shard-state.js';
 import type { RecordStore } from './record-store.js';
 import { encodeJobRecord } from '../jobs/index.js';
 import { isObject, millis, type MachineId, type Millis, type NodeName, type ShardName } from '../kernel/index.js';
--- a/src/holder/record-store.ts
+++ b/src/holder/record-store.ts
@@ -1,5 +1,5 @@
 import { GroupedProgress } from './grouped-progress.js';
-import type { HeldShardState } from './held-shard.js';
+import type { HeldShardState } from './held-shard-state.js';
 import { decodeJobRecord, encodeJobRecord } from '../jobs/index.js';
 import { millis, type Millis } from '../kernel/index.js';
 import { Urgency, jobKey, reread } from '../state/index.js';
--- a/src/holder/shard-holder.ts
+++ b/src/holder/shard-holder.ts
@@ -1,6 +1,6 @@
 import { TeamQuotaTracker } from './team-quotas.js';
 import { TaskEvictor } from './evictions.js';
-import { HeldShardState } from './held-shard.js';
+import { HeldShardState } from './held-shard-state.js';
 import { missingMachineEmptyAt } from './block-members.js';
 import { Moves } from './moves.js';
 import { TaskPlacer } from './task-placer.js';
--- a/src/holder/task-placer.ts
+++ b/src/holder/task-placer.ts
@@ -1,5 +1,5 @@
 import type { TeamQuotaTracker } from './team-quotas.js';
-import type { HeldShardState } from './held-shard.js';
+import type { HeldShardState } from './held-shard-state.js';
 import type { Moves } from './moves.js';
 import {
   attempt,
--- a/src/holder/team-quotas.ts
+++ b/src/holder/team-quotas.ts
@@ -1,7 +1,7 @@
 import { millis, type JobId } from '../kernel/index.js';
 import { limitOf, type TeamNeed } from '../quota/index.js';
 import type { TeamUse } from '../placement/index.js';
-import type { HeldShardState } from './held-shard.js';
+import type { HeldShardState } from './held-shard-state.js';
 import type { JobRun } from './job-run.js';
 import { computeTeamNeeds, type WaitingJob } from './team-needs.js';
 import { computeTeamUse } from './team-use.js';
--- a/src/quota/index.ts
+++ b/src/quota/index.ts
@@ -2,6 +2,6 @@
 
 export * from './amount.js';
 export * from './allocation.js';
-export type { ShardNeeds } from './demand.js';
+export type { ShardNeeds } from './need-reports.js';
 export * from './record.js';
 export * from './shares.js';
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -14,7 +14,7 @@
 } from '../state/index.js';
 import { isFiniteAmount, isZero, subtract, limitOf, ZERO_AMOUNT, minAmount, sum, type Amount } from './amount.js';
 import { capOf, initialShares, heldBackBy, nextShares, unitsIn, type HeldBackBy, type TeamNeed } from './allocation.js';
-import { NeedReports, type ShardNeeds } from './demand.js';
+import { NeedReports, type ShardNeeds } from './need-reports.js';
 import { decodeQuota, encodeQuota, shareOf, type QuotaRecord } from './record.js';
 
 /**
