--- a/packages/whatif/src/measure/measure.ts
+++ b/packages/whatif/src/measure/measure.ts
@@ -56,7 +56,7 @@
   const night = await recordNight(day, seed);
   const scenario = buildScenario(night);
   const recorded = jobOutcomes(night);
-  const free = { ...scenario, freeFromS: 0 };
+  const free = { ...scenario, divergesAtS: 0 };
   const runs = {
     followed: (await replayWithDecisions(scenario, seed + 1)).outcomes,
     decisions: (await replayWithDecisions(free, seed + 1)).outcomes,
@@ -146,7 +146,7 @@
   withWhole: boolean,
 ): Promise<readonly ReplaySpeed[]> {
   const night = await recordNight(day, day.seed);
-  const scenario = { ...buildScenario(night), freeFromS: 0 };
+  const scenario = { ...buildScenario(night), divergesAtS: 0 };
   const tasks = scenario.jobs.reduce((sum, { spec }) => sum + spec.tasks, 0);
   const measured: ReplaySpeed[] = [];
   const engines = { decisions: replayWithDecisions, ...(withWhole ? { whole: replayWithControllers } : {}) };
