--- a/src/admin/rollout.ts
+++ b/src/admin/rollout.ts
@@ -16,7 +16,7 @@
   /** State of the rollout as reported to operators. */
   overview(): unknown;
   /** Stores a change of the operators' requests. */
-  updateWishes(change: (wishes: OperatorRequests) => OperatorRequests): Promise<RequestUpdateResult>;
+  updateRequests(change: (requests: OperatorRequests) => OperatorRequests): Promise<RequestUpdateResult>;
   /** Starts to hand everything that this node holds to other nodes, or says why it can't. */
   startLeaving(): { readonly ok: true } | { readonly ok: false; readonly reason: string };
   /** Cancels the departure. */
@@ -35,9 +35,9 @@
 async function storeAndAnswer(
   res: Response,
   control: RolloutControl,
-  change: (wishes: OperatorRequests) => OperatorRequests,
+  change: (requests: OperatorRequests) => OperatorRequests,
 ): Promise<void> {
-  const result = await control.updateWishes(change);
+  const result = await control.updateRequests(change);
   if (result.kind === 'ok') res.json(control.overview());
   else if (result.kind === 'foreign') res.status(409).json(NEWER_RELEASE_ERROR);
   else res.status(503).set('Retry-After', '1').json(UNAVAILABLE_ERROR);
@@ -50,35 +50,37 @@
   router.get('/rollout', (_req, res) => {
     res.json(control.overview());
   });
-  router.post('/rollout/pause', (_req, res) => storeAndAnswer(res, control, (wishes) => ({ ...wishes, paused: true })));
+  router.post('/rollout/pause', (_req, res) =>
+    storeAndAnswer(res, control, (requests) => ({ ...requests, paused: true })),
+  );
   router.post('/rollout/resume', (_req, res) =>
-    storeAndAnswer(res, control, (wishes) => ({ ...wishes, paused: false })),
+    storeAndAnswer(res, control, (requests) => ({ ...requests, paused: false })),
   );
   router.post('/rollout/finish', async (_req, res) => {
     const on = [...control.features()].filter(([, { state, finished }]) => state === 'on' && !finished);
     if (on.length === 0) res.status(409).json({ error: 'no feature is on that could still be rolled back' });
     else
-      await storeAndAnswer(res, control, (wishes) => ({
-        ...wishes,
-        finish: [...new Set([...wishes.finish, ...on.map(([name]) => name)])],
+      await storeAndAnswer(res, control, (requests) => ({
+        ...requests,
+        finish: [...new Set([...requests.finish, ...on.map(([name]) => name)])],
       }));
   });
 
   router.post('/rollout/features/:name/:wish', async (req, res) => {
     const { name } = req.params;
-    const wish = FEATURE_REQUESTS.find((candidate) => candidate === req.params.wish);
+    const request = FEATURE_REQUESTS.find((candidate) => candidate === req.params.wish);
     const features = control.features();
     const feature = features.get(name);
-    if (wish === undefined)
+    if (request === undefined)
       res.status(404).json({ error: `unknown request: must be one of ${FEATURE_REQUESTS.join(', ')}` });
     else if (!feature)
       res.status(404).json({ error: `this release has no feature ${name}: it has ${[...features.keys()].join(', ')}` });
-    else if (wish === 'back' && feature.finished)
+    else if (request === 'back' && feature.finished)
       res.status(409).json({ error: `feature ${name} can no longer be rolled back` });
     else
-      await storeAndAnswer(res, control, (wishes) => ({
-        ...wishes,
-        features: new Map(wishes.features).set(name, { wish, at: wallMillis(control.clock.wall()) }),
+      await storeAndAnswer(res, control, (requests) => ({
+        ...requests,
+        features: new Map(requests.features).set(name, { wish: request, at: wallMillis(control.clock.wall()) }),
       }));
   });
 
--- a/src/cancellation/index.ts
+++ b/src/cancellation/index.ts
@@ -1,4 +1,4 @@
-// Propagation of job cancellations to all shard holders, and the time limits for holders that have lost contact.
+/** Propagation of job cancellations to all shard holders, and the time limits for holders that have lost contact. */
 
 export * from './holder-mode.js';
 export * from './cancellation-propagator.js';
--- a/src/membership/block-pages.ts
+++ b/src/membership/block-pages.ts
@@ -1,5 +1,7 @@
-// A shard's machines (its block) are stored either in the shard's record, or in several pages with the record reduced
-// to a head that names the epoch of its pages. This module has the pure functions that encode, lay out and change them.
+/**
+ * A shard's machines (its block) are stored either in the shard's record, or in several pages with the record reduced
+ * to a head that names the epoch of its pages. This module has the pure functions that encode, lay out and change them.
+ */
 
 import { asNonNegativeInteger, isObject, type MachineId, type Revision, type ShardName } from '../kernel/index.js';
 import {
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,4 +1,4 @@
-// Membership of the cluster: node leases, the leader election, shard ownership, and the stored blocks of machines.
+/** Membership of the cluster: node leases, the leader election, shard ownership, and the stored blocks of machines. */
 
 export * from './membership.js';
 export * from './shard-record.js';
--- a/src/placement/first-tasks.ts
+++ b/src/placement/first-tasks.ts
@@ -1,4 +1,4 @@
-// Starts the first task of arrays that have waited long.
+/** Starts the first task of arrays that have waited long. */
 
 import type { JobSpec } from '../jobs/index.js';
 import type { JobId } from '../kernel/index.js';
--- a/src/placement/fit.ts
+++ b/src/placement/fit.ts
@@ -1,5 +1,7 @@
-// The order of pending jobs, the constraints and the score that decide where a task goes, and room held for starved
-// gangs.
+/**
+ * The order of pending jobs, the constraints and the score that decide where a task goes, and room held for starved
+ * gangs.
+ */
 
 import { Priority, maxTasksPerZone, type JobSpec } from '../jobs/index.js';
 import { EPSILON, type MachineView, type PendingJob, type GpuReserve, type PlanMachine } from './model.js';
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,4 +1,4 @@
-// Placement: which task starts on which machine, and which tasks are preempted for it.
+/** Placement: which task starts on which machine, and which tasks are preempted for it. */
 
 export { allowsMachine, allowsZone, leavesReserve, mayUseReserve, comparePending, machineFilterFor } from './fit.js';
 export type {
--- a/src/placement/model.ts
+++ b/src/placement/model.ts
@@ -1,4 +1,4 @@
-// Input and result of a placement plan.
+/** Input and result of a placement plan. */
 
 import type { JobId, MachineId } from '../kernel/index.js';
 import { Priority, type JobSpec } from '../jobs/index.js';
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -1,4 +1,4 @@
-// The placement planner: decides which tasks start where and which are preempted.
+/** The placement planner: decides which tasks start where and which are preempted. */
 
 import type { JobId } from '../kernel/index.js';
 import type { JobSpec } from '../jobs/index.js';
--- a/src/placement/preempt.ts
+++ b/src/placement/preempt.ts
@@ -1,4 +1,4 @@
-// Placement of gangs and of late replicas, and preemption.
+/** Placement of gangs and of late replicas, and preemption. */
 
 import { Priority, type JobSpec } from '../jobs/index.js';
 import {
--- a/src/placement/slack.ts
+++ b/src/placement/slack.ts
@@ -1,4 +1,4 @@
-// How much time a job has until it misses its deadline or the objectives of its class.
+/** How much time a job has until it misses its deadline or the objectives of its class. */
 
 import type { JobSpec } from '../jobs/index.js';
 
--- a/src/quota/allocation.ts
+++ b/src/quota/allocation.ts
@@ -1,4 +1,4 @@
-// Divides a team's limit between shards. All functions are pure: controllers with the same input decide the same.
+/** Divides a team's limit between shards. All functions are pure: controllers with the same input decide the same. */
 
 import type { ShardName } from '../kernel/index.js';
 import {
--- a/src/quota/amount.ts
+++ b/src/quota/amount.ts
@@ -1,4 +1,4 @@
-// Arithmetic on amounts of the resources that team limits apply to.
+/** Arithmetic on amounts of the resources that team limits apply to. */
 
 import type { TeamQuota } from '../config/index.js';
 
--- a/src/quota/index.ts
+++ b/src/quota/index.ts
@@ -1,4 +1,4 @@
-// Quotas: divides the resource limits of teams between shards.
+/** Quotas: divides the resource limits of teams between shards. */
 
 export * from './amount.js';
 export * from './allocation.js';
--- a/src/quota/need-reports.ts
+++ b/src/quota/need-reports.ts
@@ -1,4 +1,4 @@
-// The latest needs reported for each shard.
+/** The latest needs reported for each shard. */
 
 import type { Millis, Revision, ShardName } from '../kernel/index.js';
 import type { Amount } from './amount.js';
--- a/src/quota/record.ts
+++ b/src/quota/record.ts
@@ -1,4 +1,4 @@
-// The stored record of a team's shares.
+/** The stored record of a team's shares. */
 
 import { isObject, shardName, type ShardName } from '../kernel/index.js';
 import { isNewerFormat, unknownFields, type RecordFields } from '../state/index.js';
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -1,4 +1,4 @@
-// Keeps the quota records of all teams up to date and tells how much of a team's limit a shard may use.
+/** Keeps the quota records of all teams up to date and tells how much of a team's limit a shard may use. */
 
 import type { TeamQuota } from '../config/index.js';
 import type { Logger, Millis, Revision, Runtime, ShardName } from '../kernel/index.js';
--- a/src/service/rollout-overview.ts
+++ b/src/service/rollout-overview.ts
@@ -90,7 +90,7 @@
         }),
       ),
     overview: () => rolloutOverview(deps),
-    updateWishes: (change) => rollout.updateRequests(change),
+    updateRequests: (change) => rollout.updateRequests(change),
     startLeaving: () => ownership.leave(),
     cancelLeaving: () => ownership.cancelLeaving('an operator cancelled the shutdown'),
     leaveStatus: () => {
--- a/src/workers/worker-tracker.ts
+++ b/src/workers/worker-tracker.ts
@@ -64,7 +64,7 @@
   /** The tasks that the worker's newest message lists. */
   private listedTasks = new Map<TaskKey, ListedTask>();
   private readonly starts = new Map<TaskKey, PendingStart>();
-  /** The highest token that the worker has acknowledged in its present life. */
+  /** The highest token that the worker has acknowledged in its present incarnation. */
   private ackedToken = fencingToken(0);
   /** Session and sequence of the newest message. */
   private at: { session: Session; sequence: Sequence } = { session: session(0), sequence: sequence(0) };
@@ -130,7 +130,7 @@
     return this.ackedToken === this.token;
   }
 
-  /** True once a message of the worker's present life has been applied. */
+  /** True once a message of the worker's present incarnation has been applied. */
   get hasMessage(): boolean {
     return this.at.session > 0;
   }
@@ -210,7 +210,7 @@
     return this.applyIfNewer(message, now);
   }
 
-  /** Discards what is known of the worker's earlier life. */
+  /** Discards what is known of the worker's earlier incarnation. */
   private handleRestart(now: Millis): void {
     this.expireLease();
     this.expiredSession = session(0);
@@ -235,7 +235,7 @@
 
   /**
    * True when a message of the present session omits a task that has not exited. Within one session a task exits and
-   * stays listed until the worker is told to forget it, so the message is from another life of the worker, and the
+   * stays listed until the worker is told to forget it, so the message is from another incarnation of the worker, and the
    * worker has to be probed.
    */
   private omitsLiveTask({ session: messageSession, tasks }: WorkerMessage): boolean {
@@ -252,7 +252,7 @@
   /** Applies a message if it is newer than the newest known one. */
   private applyIfNewer(message: WorkerMessage, now: Millis): MessageOutcome {
     if (message.token > this.token) return 'superseded';
-    // A worker's token never falls until it restarts: such a message is from another life, whatever its session is.
+    // A worker's token never falls until it restarts: such a message is from another incarnation, whatever its session is.
     const tokenFell = message.token < this.ackedToken;
     if (message.session <= this.expiredSession || tokenFell || !isAfter(message, this.at)) {
       this.staleMessages += 1;
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -220,8 +220,8 @@
 
 /** Simulates controllers that share a limit, with a random order of events and optionally without one safeguard. */
 async function runInterleaved(seed: number, omitted: OmittedSafeguard, steps = 500): Promise<Run> {
-  const luck = new RandomStream(seed, 'quotas');
-  const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, omitted);
+  const random = new RandomStream(seed, 'quotas');
+  const world = new QuotaSimulation(() => random.next(), LIMIT_CPUS, omitted);
   const ran = new Set<ShardName>();
   let most = 0;
   for (let i = 0; i < steps; i++) {
@@ -256,8 +256,8 @@
 
 test('model: after a limit is lowered below the current use, nothing starts until the use fits', async () => {
   for (let seed = 1; seed <= 10; seed++) {
-    const luck = new RandomStream(seed, 'lowered');
-    const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
+    const random = new RandomStream(seed, 'lowered');
+    const world = new QuotaSimulation(() => random.next(), LIMIT_CPUS, 'nothing');
     for (let i = 0; i < 250; i++) await world.tick();
     const lower = 5;
     world.setLimit(lower);
@@ -273,8 +273,8 @@
 
 test('model: tasks that ran in several shards before limits were divided are counted before any share is given away', async () => {
   for (let seed = 1; seed <= 20; seed++) {
-    const luck = new RandomStream(seed, 'accounts');
-    const world = new QuotaSimulation(() => luck.next(), LIMIT_CPUS, 'nothing');
+    const random = new RandomStream(seed, 'accounts');
+    const world = new QuotaSimulation(() => random.next(), LIMIT_CPUS, 'nothing');
     world.startWithUse([5, 6, 1]);
     for (let i = 0; i < 400; i++) {
       await world.tick();
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -42,9 +42,9 @@
 const all = ['first', 'second'];
 const registered = (features: readonly string[] = all): RolloutNode[] =>
   NAMES.map((node) => ({ node, announced: announcementOf(`${node}-a`, features) }));
-const withRequest = (name: string, wish: FeatureRequest, at = 50): OperatorRequests => ({
+const withRequest = (name: string, request: FeatureRequest, at = 50): OperatorRequests => ({
   ...NO_OPERATOR_REQUESTS,
-  features: new Map([[name, { wish, at: wallMillis(at) }]]),
+  features: new Map([[name, { wish: request, at: wallMillis(at) }]]),
 });
 const isOn = (state: RolloutState, name: string): boolean => state.features.get(name)?.state === 'on';
 
@@ -415,16 +415,16 @@
     runtime,
     lab.log,
   );
-  const switches = new FeatureGates(mirror, new Set(['first']));
+  const gates = new FeatureGates(mirror, new Set(['first']));
   const put = (value: unknown, version: number): void =>
     mirror.apply({ key: ROLLOUT_STATE_KEY, value, removed: false, version: version as never });
-  assert.equal(switches.isOn('first'), false);
+  assert.equal(gates.isOn('first'), false);
   put({ features: { first: { state: 'on' }, second: { state: 'on' } } }, 5);
-  assert.deepEqual([switches.isOn('first'), switches.isOn('second')], [true, false]);
+  assert.deepEqual([gates.isOn('first'), gates.isOn('second')], [true, false]);
   put({ v: 2, features: {} }, 6);
-  assert.equal(switches.isOn('first'), true);
+  assert.equal(gates.isOn('first'), true);
   put({ features: { first: { state: 'returning' } } }, 7);
-  assert.equal(switches.isOn('first'), false);
+  assert.equal(gates.isOn('first'), false);
 });
 
 test('the next controller may be replaced when all are registered, none is leaving and no shard is displaced', () => {
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -79,20 +79,20 @@
   },
   async () => {
     const day = parseScenario(DAY, 'the test');
-    const seats: ControllerSpec[] = [];
+    const specs: ControllerSpec[] = [];
     for (const name of ['n-0', 'n-1']) {
       const [serveOn, peerOn] = [
         { host: HOST, port: await freePort() },
         { host: HOST, port: await freePort() },
       ];
-      seats.push({ name, zone: 'z', serveOn, peerOn });
+      specs.push({ name, zone: 'z', serveOn, peerOn });
     }
     const events: string[] = [];
-    const region = await startLoopbackRegion(day, 3, seats, log, (what) => events.push(what));
-    const services = seats.map(
-      (seat) => new Service(parseSettings(controllerSettingsToml(day, seat, seats, region)), log, systemRuntime),
+    const region = await startLoopbackRegion(day, 3, specs, log, (what) => events.push(what));
+    const services = specs.map(
+      (spec) => new Service(parseSettings(controllerSettingsToml(day, spec, specs, region)), log, systemRuntime),
     );
-    const clients = seats.map(({ serveOn }) => new HttpClient(serveOn, 2));
+    const clients = specs.map(({ serveOn }) => new HttpClient(serveOn, 2));
     const call = async (node: number, path: string, body?: unknown): Promise<{ status: number; phase: unknown }> => {
       const answer = await clients[node]?.call({
         ...{ method: body === undefined ? 'GET' : 'POST', path, timeoutMs: 5000 },
@@ -134,7 +134,7 @@
       // The first controller stops as in a crash; the second takes over its shard, and the replica keeps running.
       services[0]?.stop();
       await until('the second holds both shards', () =>
-        seats.every(({ name }) => {
+        specs.every(({ name }) => {
           const value = region.parts.state.get(`live/shards/${name}`);
           return isObject(value) && value['holder'] === 'n-1';
         }),
--- a/test/socket-budget.test.ts
+++ b/test/socket-budget.test.ts
@@ -68,9 +68,9 @@
   const node = lab.process('10.0.0.1', null, undefined, 0);
   const nodeWithSockets = lab.process('10.0.0.2');
   const commandSender = (from: typeof node, host: string): CommandSender => {
-    const belief = new WorkerTracker(revision(3), millis(0));
+    const tracker = new WorkerTracker(revision(3), millis(0));
     const hooks = { heard: () => undefined, superseded: () => undefined };
-    const sender = new CommandSender(machineId(host), belief, from, lab.log, hooks, new SocketBudget(5));
+    const sender = new CommandSender(machineId(host), tracker, from, lab.log, hooks, new SocketBudget(5));
     sender.setAddress(`${host}:${PORT}`);
     return sender;
   };
--- a/test/standins/simulated-cluster.ts
+++ b/test/standins/simulated-cluster.ts
@@ -74,7 +74,7 @@
 /** One incarnation of a controller: the production code for cancellations on a lagging mirror and modelled holders. */
 class Controller {
   readonly incarnation: Incarnation;
-  readonly carrier: CancellationPropagator;
+  readonly propagator: CancellationPropagator;
   readonly held = new Map<ShardName, HeldShard>();
   readonly endedJobs = new Set<JobId>();
   readonly entries = new Map<string, Entry>();
@@ -92,7 +92,7 @@
   ) {
     this.incarnation = incarnation(`incarnation-${cluster.startedControllers++}`);
     const self = nodeName(`n-${n}`);
-    this.carrier = new CancellationPropagator({
+    this.propagator = new CancellationPropagator({
       ...{ self, incarnation: this.incarnation, facts: TIMINGS, runtime: cluster.runtimeOf(n) },
       others: cluster.nodes.filter((node) => node !== n).map((node) => nodeName(`n-${node}`)),
       log: { info: () => undefined, warn: () => undefined },
@@ -182,12 +182,12 @@
       incarnation: senderIncarnation,
       lastHelloAt: this.cluster.clockOf(this.n),
     });
-    this.carrier.onPeerMessage(node, message);
+    this.propagator.onPeerMessage(node, message);
   }
 
   /** Reports whether this incarnation answers workers as the holder of the shard. */
   answersFor(shard: ShardName): boolean {
-    if (this.cluster.omittedGuard !== 'deadline' && this.carrier.holderMode === 'nothing') return false;
+    if (this.cluster.omittedGuard !== 'deadline' && this.propagator.holderMode === 'nothing') return false;
     return this.held.has(shard);
   }
 }
@@ -318,7 +318,7 @@
     if (this.now % 1000 === 0) {
       this.requestCancellations();
       await Promise.all(
-        this.controllers.map((each) => (each && !this.hasFault('pause', each.n) ? each.carrier.round() : undefined)),
+        this.controllers.map((each) => (each && !this.hasFault('pause', each.n) ? each.propagator.round() : undefined)),
       );
     }
   }
@@ -422,7 +422,7 @@
       }
       const version = this.store.keys.get(final)?.version ?? revision(0);
       const { n } = controller;
-      void controller.carrier
+      void controller.propagator
         .awaitAcknowledgement(job, { phase: 'cancelled', done: 0, at: wallMillis(0) }, version)
         .then((acknowledged) => {
           if (acknowledged && this.controllers[n] === controller && !this.told.has(job)) this.told.set(job, this.now);
