--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -143,23 +143,23 @@
 test('concurrent freshness checks share a request, and none accepts an outdated mirror', async () => {
   const lab = new SimulationHarness();
   const runtime = lab.process('10.0.0.1');
-  const { model: state, at } = lab.state();
+  const { model, at } = lab.state();
   const client = new StateClient(at, { rps: 1000, writeRps: 1000 }, lab.log, runtime);
   const mirror = new Mirror(client, LIVE_PREFIX, runtime, lab.log);
-  state.put('live/jobs/j-1', { at: 0 });
+  model.put('live/jobs/j-1', { at: 0 });
   void mirror.run();
   const freshness = new FreshnessChecker(client, mirror, runtime);
   await lab.advance(500);
   assert.ok(mirror.loaded);
   for (let i = 1; i <= 10; i++) {
-    state.put('live/jobs/j-1', { at: i });
+    model.put('live/jobs/j-1', { at: i });
     const fresh = await lab.runUntilSettled(
       Promise.all([freshness.waitUntilFresh(), freshness.waitUntilFresh(), freshness.waitUntilFresh()]),
     );
     assert.deepEqual(fresh, [true, true, true]);
     assert.deepEqual(mirror.get('live/jobs/j-1')?.value, { at: i });
   }
-  state.setOutage(true);
+  model.setOutage(true);
   assert.equal(
     await lab.runUntilSettled(freshness.waitUntilFresh()),
     false,
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -6,7 +6,7 @@
 import { SimulationHarness } from '../packages/region/test/simulation-harness.js';
 
 const lab = new SimulationHarness();
-const { model: state, at: address } = lab.state();
+const { model, at: address } = lab.state();
 const key = nodeKey(nodeName('n-0'));
 let processes = 0;
 
@@ -23,13 +23,13 @@
   return new Membership(nodeName('n-0'), [], name, client, mirror, directory, hooks, runtime, lab.log);
 }
 
-const registeredIncarnation = (): unknown => (state.get(key) as { incarnation?: unknown } | undefined)?.incarnation;
+const registeredIncarnation = (): unknown => (model.get(key) as { incarnation?: unknown } | undefined)?.incarnation;
 
 test('a delayed registration of an earlier incarnation does not replace that of the next one', async () => {
   const [earlier, later] = [incarnation('earlier'), incarnation('later')];
   // The first registration is lost in transit, while its lease is still valid for a moment.
   const lost: unknown[] = [];
-  state.injectFault = ({ path, body }) => {
+  model.injectFault = ({ path, body }) => {
     if (path !== '/txn') return null;
     lost.push(body);
     return 'lost-request';
@@ -37,7 +37,7 @@
   const first = startMembership(earlier);
   await lab.runUntilSettled(first.maintainLease());
   assert.equal(first.registered, false);
-  state.injectFault = () => null;
+  model.injectFault = () => null;
   const next = startMembership(later);
   await lab.runUntilSettled(next.maintainLease());
   assert.ok(next.registered && registeredIncarnation() === later);
@@ -52,9 +52,9 @@
 });
 
 test('an incarnation whose registration was applied without an answer registers on the next attempt', async () => {
-  state.injectFault = ({ path }) => {
+  model.injectFault = ({ path }) => {
     if (path !== '/txn') return null;
-    state.injectFault = () => null;
+    model.injectFault = () => null;
     return 'lost-answer';
   };
   const own = incarnation('third');
@@ -91,10 +91,10 @@
   await lab.advance(5000);
   assert.ok(refused > 20, `${refused} submissions were refused`);
   const since = runtime.now();
-  for (let i = 0; i < 3 && !state.get(LEADER_KEY); i++) await lab.runUntilSettled(node.elect());
+  for (let i = 0; i < 3 && !model.get(LEADER_KEY); i++) await lab.runUntilSettled(node.elect());
   const waitedMs = runtime.now() - since;
   submissions.cancel();
   leaseRenewal.cancel();
-  assert.deepEqual(state.get(LEADER_KEY), { node: self, incarnation: own });
+  assert.deepEqual(model.get(LEADER_KEY), { node: self, incarnation: own });
   assert.ok(waitedMs < 1000, `${waitedMs} ms`);
 });
--- a/test/registry.test.ts
+++ b/test/registry.test.ts
@@ -20,14 +20,14 @@
 
 const lab = new SimulationHarness();
 const { log } = lab;
-const { model: state, at: address } = lab.state();
+const { model, at: address } = lab.state();
 let nodeCount = 0;
 
 /** Makes the next transaction fail in the given way. */
 function failNextTransaction(fault: InjectedFault): void {
-  state.injectFault = ({ path }) => {
+  model.injectFault = ({ path }) => {
     if (path !== '/txn') return null;
-    state.injectFault = () => null;
+    model.injectFault = () => null;
     return fault;
   };
 }
@@ -112,13 +112,13 @@
     'later',
     'the write may still be applied, so nothing is promised',
   );
-  assert.equal(state.get(jobKey(jobId('j-3'))) !== undefined, false);
+  assert.equal(model.get(jobKey(jobId('j-3'))) !== undefined, false);
   assert.equal((await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-3' })))).kind, 'created');
 });
 
 test('without the state service users are told at once to retry later', async () => {
   const a = startNode();
-  state.setOutage(true);
+  model.setOutage(true);
   for (const outcome of [
     await lab.runUntilSettled(a.registry.submit(spec({ id: 'j-4' }))),
     await lab.runUntilSettled(a.registry.query(jobId('j-1'))),
@@ -126,7 +126,7 @@
   ]) {
     assert.equal(outcome.kind, 'later');
   }
-  state.setOutage(false);
+  model.setOutage(false);
 });
 
 test('an ended job stays ended on every node, and a cancellation never overrides a completion', async () => {
@@ -143,8 +143,8 @@
   assert.ok(answer.kind === 'known' && answer.view.phase === 'done');
   const again = await lab.runUntilSettled(a.registry.submit(spec({ id })));
   assert.ok(again.kind === 'known' && again.view.phase === 'done');
-  assert.equal(state.get(jobKey(id)) !== undefined, false);
-  assert.equal(state.get(finalKey(id)) !== undefined, true);
+  assert.equal(model.get(jobKey(id)) !== undefined, false);
+  assert.equal(model.get(finalKey(id)) !== undefined, true);
   assert.deepEqual(a.cancelled, []);
 });
 
@@ -154,7 +154,7 @@
   await lab.runUntilSettled(a.registry.submit(spec({ id, tasks: 4 })));
   const stale = await lab.runUntilSettled(a.registry.readState(id));
   assert.ok(stale.kind === 'open');
-  state.put(jobKey(id), state.get(jobKey(id)));
+  model.put(jobKey(id), model.get(jobKey(id)));
   assert.equal(
     await lab.runUntilSettled(a.registry.storeFinal(id, stale.version, { phase: 'done', at: null, done: 4 }, 1000)),
     'conflict',
@@ -179,7 +179,7 @@
     () => b.registry.submit(job),
   ];
   for (const request of requests) assert.equal((await lab.runUntilSettled(request())).kind, 'later');
-  assert.equal(state.get(jobKey(id)), undefined, 'the cancellation is stored all the same, and holders are told');
+  assert.equal(model.get(jobKey(id)), undefined, 'the cancellation is stored all the same, and holders are told');
   assert.deepEqual([...a.cancelled, ...b.cancelled], Array<JobId>(6).fill(id));
   for (const node of [a, b]) node.holdersConfirm = true;
   for (const request of requests) {
@@ -239,7 +239,7 @@
   const submit = (id: string, dependencies: readonly JobId[], node = b, overrides: object = {}) =>
     lab.runUntilSettled(node.registry.submit(spec({ id, ...overrides }), dependencies));
   const stored = (id: string): Record<string, unknown> | undefined =>
-    state.get(jobKey(jobId(id))) as Record<string, unknown> | undefined;
+    model.get(jobKey(jobId(id))) as Record<string, unknown> | undefined;
 
   const refused = await submit('j-30', [open, neverAccepted]);
   assert.ok(refused.kind === 'never' && refused.reason.includes('j-none'));
@@ -262,9 +262,9 @@
   const again = await submit('j-33', [open, cancelledId], a);
   assert.ok(again.kind === 'known' && again.view.phase === 'cancelled');
 
-  state.setOutage(true);
+  model.setOutage(true);
   assert.equal((await submit('j-34', [open])).kind, 'later');
-  state.setOutage(false);
+  model.setOutage(false);
 });
 
 test('a job with a hundred dependencies fits the smaller size limit; a job that never fits is refused with the reason', async () => {
@@ -287,8 +287,8 @@
   assert.equal((await put(3)).kind, 'ok');
   assert.equal((await put(5)).kind, 'refused', 'the value exceeds the current limit');
   assert.equal(client.limits.lowerLimitsInForce, false);
-  state.limit({ valueKb: 1 });
+  model.limit({ valueKb: 1 });
   assert.deepEqual(await put(3), { kind: 'refused', tooLarge: true });
   assert.deepEqual([client.limits.lowerLimitsInForce, client.limits.writeRps], [true, 20]);
-  state.limit({ valueKb: 32 });
+  model.limit({ valueKb: 32 });
 });
