--- a/src/placement/fit.ts
+++ b/src/placement/fit.ts
@@ -224,9 +224,9 @@
 function couldEverFit({ spec, ready }: PendingJob, candidates: readonly PlanMachine[]): boolean {
   const slots = new Map<string, number>();
   const by = (need: number, there: number): number => (need <= 0 ? Infinity : Math.floor((there + EPSILON) / need));
-  for (const { view: m } of candidates) {
-    const here = Math.min(by(spec.cpus, m.cpus), by(spec.gpus, m.gpus), by(spec.memoryGb, m.memoryGb));
-    const zone = spec.oneZone ? m.zone : '';
+  for (const { view } of candidates) {
+    const here = Math.min(by(spec.cpus, view.cpus), by(spec.gpus, view.gpus), by(spec.memoryGb, view.memoryGb));
+    const zone = spec.oneZone ? view.zone : '';
     slots.set(zone, (slots.get(zone) ?? 0) + here);
   }
   return [...slots.values()].some((count) => count >= ready.length);
