--- a/packages/region/src/cli/command.ts
+++ b/packages/region/src/cli/command.ts
@@ -139,10 +139,10 @@
   const day = loadDay(nameOrPath);
   const log = createLogger(process.env['LOG_LEVEL'], 'region');
   const logLine = (what: string): void => log.info(what);
-  const seats = loopbackControllerSpecs(day, flags.basePort);
-  const region = await startLoopbackRegion(day, flags.seed ?? day.seed, seats, log, logLine);
+  const specs = loopbackControllerSpecs(day, flags.basePort);
+  const region = await startLoopbackRegion(day, flags.seed ?? day.seed, specs, log, logLine);
   const settingsFiles: Record<string, readonly string[]> = {};
-  for (const seat of seats) settingsFiles[`${seat.name}.toml`] = [controllerSettingsToml(day, seat, seats, region)];
+  for (const spec of specs) settingsFiles[`${spec.name}.toml`] = [controllerSettingsToml(day, spec, specs, region)];
   writeFiles(flags.out, settingsFiles);
   process.stdout.write('The models are running. Start each controller in its own shell:\n\n');
   for (const name of Object.keys(settingsFiles))
@@ -153,7 +153,7 @@
     process.stdout.write(
       `\nor, to run an earlier release:\n\n  node target/main.cjs region controller ${earlier} --config ${join(flags.out, file)}\n`,
     );
-  const [first] = seats;
+  const [first] = specs;
   if (first)
     process.stdout.write(`\nThen, for example: export WOODDRIFT_NODE=${first.serveOn.host}:${first.serveOn.port}\n`);
   if (flags.users) region.parts.startUsers();
@@ -170,7 +170,7 @@
   readonly mixed?: string;
 }
 
-/** Searches for a schedule of troubles that violates a rule, and writes the shortened day to a file. */
+/** Searches for a schedule of faults that violates a rule, and writes the shortened day to a file. */
 async function huntDay(nameOrPath: string, flags: HuntFlags): Promise<void> {
   const day = loadDay(nameOrPath);
   const frozen = frozenReleases();
@@ -208,7 +208,7 @@
   .description('play a day in simulated time and report the result')
   .argument(...dayArgument)
   .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
-  .option('--share <part>', 'scale machines, arrivals, limits and counted troubles by this factor', parseFraction, 1)
+  .option('--share <part>', 'scale machines, arrivals, limits and counted faults by this factor', parseFraction, 1)
   .addOption(
     new Option('--speed <times>', 'simulated seconds per second; max: as fast as possible')
       .argParser(parseSpeed)
@@ -223,7 +223,7 @@
 regionCommand
   .command('serve')
   .description(
-    'serve the models of a day on loopback in real time, without troubles, for controllers that you start yourself',
+    'serve the models of a day on loopback in real time, without faults, for controllers that you start yourself',
   )
   .argument(...dayArgument)
   .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
@@ -235,13 +235,13 @@
 regionCommand
   .command('hunt')
   .description(
-    'play random schedules of troubles until a rule is violated, and reduce the failing schedule to a short day',
+    'play random schedules of faults until a rule is violated, and reduce the failing schedule to a short day',
   )
   .argument(...dayArgument)
   .option('--minutes <n>', 'how long to search', parsePositiveNumber, 5)
   .option('--seed <n>', 'seed of the first schedule', parseWholeNumber, 1)
   .option('--out <dir>', 'directory for the reduced day', 'region-found')
-  .option('--keep', 'keep the troubles of the day in addition to the random ones')
+  .option('--keep', 'keep the faults of the day in addition to the random ones')
   .option(
     '--mixed <release>',
     'mix controllers of this earlier release with current ones, and replace each by the other',
@@ -250,7 +250,7 @@
 
 regionCommand
   .command('meetings')
-  .description('play random pairs of overlapping troubles, and continue where an earlier run stopped')
+  .description('play random pairs of overlapping faults, and continue where an earlier run stopped')
   .argument(...dayArgument)
   .option('--from <n>', 'the first seed', parseWholeNumber, 1)
   .option('--count <n>', 'number of seeds', parseWholeNumber, 100)
@@ -260,7 +260,7 @@
     'file with one line for each seed that was played; those seeds are skipped',
     'meetings.jsonl',
   )
-  .addHelpText('after', `\nOverlapping troubles, played two at a time:\n${Object.keys(FAULT_COMBINATIONS).join('\n')}`)
+  .addHelpText('after', `\nOverlapping faults, played two at a time:\n${Object.keys(FAULT_COMBINATIONS).join('\n')}`)
   .action(async (nameOrPath: string, flags: CombinationRunOptions) => {
     const frozen = frozenReleases();
     frozen.get(flags.as);
@@ -344,7 +344,7 @@
   });
 measure
   .command('cancels')
-  .description('measure how long users wait for the confirmation of a cancellation, without troubles')
+  .description('measure how long users wait for the confirmation of a cancellation, without faults')
   .option('--machines <n>', 'number of machines', parseWholeNumber, 900)
   .option('--seeds <n>', 'number of seeds, from 1', parseWholeNumber, 2)
   .option('--as <release>', 'release of all controllers', 'this')
--- a/packages/region/src/cli/scale.ts
+++ b/packages/region/src/cli/scale.ts
@@ -139,7 +139,7 @@
     .option('--changes-per-minute <n>', "rate of changes to the operators' settings", parseWholeNumber, 12)
     .option('--changes-at-once <n>', 'further changes at once in the middle of the measurement', parseWholeNumber, 0)
     .option('--seed <n>', 'seed instead of that of the day', parseWholeNumber)
-    .option('--quiet', 'without the troubles of the day')
+    .option('--quiet', 'without the faults of the day')
     .option('--json', 'print the result as one line of JSON')
     .action((day: string, flags: ScaleFlags) => runScaleCommand(day, flags));
   region.command('hollow-workers', { hidden: true }).action(runHollowWorkers);
--- a/packages/region/src/hunt/search.ts
+++ b/packages/region/src/hunt/search.ts
@@ -16,22 +16,22 @@
 });
 
 /** Draws one fault of any kind, which starts between 20 s and the scenario's quiet end. */
-export function drawFault(luck: RandomStream, day: SimulationScenario): Fault {
+export function drawFault(random: RandomStream, day: SimulationScenario): Fault {
   const latestStartS = day.duration_s - day.quiet_end_s;
-  const at_s = Math.floor(luck.uniform(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS)));
-  const for_s = Math.round(luck.logNormal({ median: 12, p95: 45, max: 70 }) * 10) / 10;
-  const share = Math.round(luck.uniform(0.05, 0.5) * 100) / 100;
-  const manner = luck.chance(0.6) ? 'hold' : 'reset';
-  const controller = luck.chance(0.25)
-    ? luck.chance(0.5)
+  const at_s = Math.floor(random.uniform(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS)));
+  const for_s = Math.round(random.logNormal({ median: 12, p95: 45, max: 70 }) * 10) / 10;
+  const share = Math.round(random.uniform(0.05, 0.5) * 100) / 100;
+  const manner = random.chance(0.6) ? 'hold' : 'reset';
+  const controller = random.chance(0.25)
+    ? random.chance(0.5)
       ? 'leader'
       : 'all'
-    : luck.integerBelow(day.controllers.count);
-  const jobClass = luck.pickOne(day.classes)?.name ?? '';
-  const zone = luck.pickOne(day.zones) ?? '';
+    : random.integerBelow(day.controllers.count);
+  const jobClass = random.pickOne(day.classes)?.name ?? '';
+  const zone = random.pickOne(day.zones) ?? '';
   const from =
-    luck.pickOne(['all', 'state', 'workers', 'controllers', 'users', 'state and controllers'] as const) ?? 'all';
-  const shortDowntimeS = luck.pickOne([0.05, 0.2, 0.9]) ?? 0.2;
+    random.pickOne(['all', 'state', 'workers', 'controllers', 'users', 'state and controllers'] as const) ?? 'all';
+  const shortDowntimeS = random.pickOne([0.05, 0.2, 0.9]) ?? 0.2;
   const candidates: readonly Fault[] = [
     { kind: 'burst', at_s, for_s, class: jobClass, times: 4 },
     { kind: 'machines_die', at_s, share },
@@ -45,7 +45,7 @@
     { kind: 'machines_restart', at_s, share, down_s: shortDowntimeS },
     { kind: 'reports_again', at_s, for_s, share, late_s: for_s },
     { kind: 'reports_again', at_s, for_s, share, for_next: true },
-    { kind: 'spot_wave', at_s, share, notice: luck.chance(0.7) },
+    { kind: 'spot_wave', at_s, share, notice: random.chance(0.7) },
     { kind: 'controller_crash', at_s, controller, down_s: for_s },
     { kind: 'controller_crash', at_s, controller, down_s: shortDowntimeS },
     { kind: 'controller_pause', at_s, for_s, controller },
@@ -59,7 +59,7 @@
     { kind: 'late_writes', at_s, for_s, share: Math.min(0.3, share) },
     { kind: 'late_writes', at_s, for_s, share: Math.min(0.3, share), at_once: true },
     { kind: 'answers_held', at_s, for_s, share },
-    { kind: 'cancel_now', at_s, count: 12, ...(luck.chance(0.6) ? { hang_s: for_s } : {}) },
+    { kind: 'cancel_now', at_s, count: 12, ...(random.chance(0.6) ? { hang_s: for_s } : {}) },
     { kind: 'cancel_at_end', at_s, for_s, share },
     { kind: 'odd_requests', at_s, for_s },
     { kind: 'close_looks', at_s, for_s },
@@ -71,14 +71,14 @@
     { kind: 'boots_never', at_s, for_s, share },
     { kind: 'zone_cut', at_s, for_s, zone, manner },
   ];
-  return luck.pickOne(candidates) ?? { kind: 'watch_forgets', at_s };
+  return random.pickOne(candidates) ?? { kind: 'watch_forgets', at_s };
 }
 
 /** Draws a schedule of 1 to 9 faults, which depends on the seed and the scenario alone. */
 export function drawFaultSchedule(seed: number, day: SimulationScenario): Fault[] {
-  const luck = new RandomStream(seed, 'schedule');
-  const count = 1 + luck.integerBelow(MAX_FAULTS);
-  return Array.from({ length: count }, () => drawFault(luck, day)).sort((a, b) => a.at_s - b.at_s);
+  const random = new RandomStream(seed, 'schedule');
+  const count = 1 + random.integerBelow(MAX_FAULTS);
+  return Array.from({ length: count }, () => drawFault(random, day)).sort((a, b) => a.at_s - b.at_s);
 }
 
 /**
@@ -86,25 +86,25 @@
  * with one or two rollouts beside its faults. The draw depends on the seed alone.
  */
 export function drawReleaseMix(seed: number, day: SimulationScenario, olderRelease: string): SimulationScenario {
-  const luck = new RandomStream(seed, 'releases');
+  const random = new RandomStream(seed, 'releases');
   const { count } = day.controllers;
-  const drawRelease = (): string => (luck.chance(0.5) ? olderRelease : CURRENT_RELEASE);
+  const drawRelease = (): string => (random.chance(0.5) ? olderRelease : CURRENT_RELEASE);
   const latestStartS = day.duration_s - day.quiet_end_s;
-  const rollouts = Array.from({ length: 1 + luck.integerBelow(2) }, (): Fault => ({
+  const rollouts = Array.from({ length: 1 + random.integerBelow(2) }, (): Fault => ({
     kind: 'rollout',
-    at_s: Math.floor(luck.uniform(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS * 0.8))),
-    gap_s: Math.round(luck.uniform(3, 25) * 10) / 10,
+    at_s: Math.floor(random.uniform(FIRST_FAULT_AT_S, Math.max(FIRST_FAULT_AT_S + 1, latestStartS * 0.8))),
+    gap_s: Math.round(random.uniform(3, 25) * 10) / 10,
     to: drawRelease(),
-    order: luck.sample(
+    order: random.sample(
       Array.from({ length: count }, (_, i) => i),
-      1 + luck.integerBelow(count),
+      1 + random.integerBelow(count),
     ),
-    leave: luck.chance(0.4),
+    leave: random.chance(0.4),
   }));
-  const troubles = [...day.troubles, ...rollouts].sort((a, b) => a.at_s - b.at_s);
+  const faults = [...day.troubles, ...rollouts].sort((a, b) => a.at_s - b.at_s);
   return {
     ...day,
-    troubles,
+    troubles: faults,
     controllers: { ...day.controllers, releases: Array.from({ length: count }, drawRelease) },
   };
 }
--- a/packages/region/src/loopback-region.ts
+++ b/packages/region/src/loopback-region.ts
@@ -77,7 +77,7 @@
   const rng = new RandomStream(seed, day.name);
   const parts = new RegionParts({
     day,
-    luck: rng,
+    random: rng,
     place,
     log,
     controllers,
--- a/packages/region/src/measure/cancels.ts
+++ b/packages/region/src/measure/cancels.ts
@@ -39,7 +39,7 @@
   readonly breaches: number;
 }
 
-/** Measures how long users wait for the confirmation of a cancellation, on a day without troubles. */
+/** Measures how long users wait for the confirmation of a cancellation, on a day without faults. */
 export async function measureCancels(
   machines: number,
   seed: number,
--- a/packages/region/src/measure/fleet-day.ts
+++ b/packages/region/src/measure/fleet-day.ts
@@ -3,7 +3,7 @@
 import { parseScenario, type SimulationScenario, type Fault } from '../scenario/index.js';
 
 /** Returns a day for measurements: its machines are all up from the start, and its load is in proportion to them. */
-export function fleetDay(machines: number, durationS: number, troubles: readonly Fault[] = []): SimulationScenario {
+export function fleetDay(machines: number, durationS: number, faults: readonly Fault[] = []): SimulationScenario {
   // The amounts below are those of a fleet of 900 machines.
   const sizeFactor = machines / 900;
   const scaledCount = (countOf900: number): number => Math.max(1, Math.round(countOf900 * sizeFactor));
@@ -101,5 +101,5 @@
 `,
     'fleet',
   );
-  return { ...day, troubles: [...troubles] };
+  return { ...day, troubles: [...faults] };
 }
--- a/packages/region/src/measure/recovery.ts
+++ b/packages/region/src/measure/recovery.ts
@@ -92,13 +92,13 @@
     two: leader ? [leader, ...otherControllers.slice(0, 1)] : [],
     all: region.controllers,
   }[ended];
-  const crashedNames = new Set(crashed.map(({ spec: seat }) => seat.name));
+  const crashedNames = new Set(crashed.map(({ spec }) => spec.name));
   const shardRecord = (shard: string) => decodeShard(parts.state.get(`live/shards/${shard}`));
   const machinesByShard = new Map<string, Set<string>>();
-  for (const { spec: seat } of region.controllers) {
-    const record = shardRecord(seat.name);
+  for (const { spec } of region.controllers) {
+    const record = shardRecord(spec.name);
     if (record && crashedNames.has(record.holder))
-      machinesByShard.set(seat.name, new Set(record.machines.map(({ id }) => id)));
+      machinesByShard.set(spec.name, new Set(record.machines.map(({ id }) => id)));
   }
   const incarnationsBefore = new Map(
     [...machinesByShard.keys()].map((shard) => [shard, shardRecord(shard)?.incarnation]),
--- a/packages/region/src/measure/rollout.ts
+++ b/packages/region/src/measure/rollout.ts
@@ -81,11 +81,11 @@
   const before = { ...parts.state.counts };
   const liveIncarnation = (name: string): string | null => {
     const key = parts.state.get(`live/nodes/${name}`);
-    const up = region.controllers.find(({ spec: seat }) => seat.name === name)?.process?.running === true;
+    const up = region.controllers.find(({ spec }) => spec.name === name)?.process?.running === true;
     return up && isObject(key) && typeof key['incarnation'] === 'string' ? key['incarnation'] : null;
   };
-  const shards = region.controllers.map(({ spec: seat }) => ({
-    name: seat.name,
+  const shards = region.controllers.map(({ spec }) => ({
+    name: spec.name,
     lastIncarnation: '',
     totalUnheldS: 0,
     currentUnheldS: 0,
--- a/packages/region/src/measure/speed.ts
+++ b/packages/region/src/measure/speed.ts
@@ -16,7 +16,7 @@
   readonly residentMb: number;
 }
 
-/** Measures how fast a fleet of a given size is simulated from its start, without troubles. */
+/** Measures how fast a fleet of a given size is simulated from its start, without faults. */
 export async function measureSpeed(
   machines: number,
   simulatedS: number,
--- a/packages/region/src/models/adversarial-users.ts
+++ b/packages/region/src/models/adversarial-users.ts
@@ -13,7 +13,7 @@
 /** What {@link AdversarialUsers} depends on. */
 export interface AdversarialUserDeps {
   readonly runtime: Runtime;
-  readonly luck: RandomStream;
+  readonly random: RandomStream;
   /** The user-facing endpoints of the controllers, which bypass the balancer. */
   readonly nodes: readonly Endpoint[];
   readonly checker: UserObserver;
@@ -80,40 +80,40 @@
 
   /** A node has reported that a job is accepted, or that it is done or cancelled (`over`). */
   onJobReported(view: UserView, event: 'accepted' | 'over'): void {
-    const { runtime, luck, nodes, checker } = this.deps;
+    const { runtime, random, nodes, checker } = this.deps;
     if (!this.behavior.queriesAllNodes || this.stopped) return;
     const { spec } = view.job;
     for (let round = 0; round < QUERY_ROUNDS; round++) {
-      for (const node of nodes) runtime.after(luck.uniform(0, QUERY_WINDOW_MS), () => void this.pollJob(node, view));
+      for (const node of nodes) runtime.after(random.uniform(0, QUERY_WINDOW_MS), () => void this.pollJob(node, view));
     }
-    const target = luck.pickOne(nodes);
+    const target = random.pickOne(nodes);
     if (target)
-      runtime.after(luck.uniform(0, QUERY_WINDOW_MS), () => {
+      runtime.after(random.uniform(0, QUERY_WINDOW_MS), () => {
         const known = checker.reportedSoFar(spec.ref);
         void this.callNode(target, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) => {
           if (answer.kind === 'answered') checker.submitAnswered(spec.ref, answer.status, phaseOf(answer), known);
         });
       });
-    if (event === 'accepted' && luck.chance(IMMEDIATE_CANCEL_SHARE))
-      runtime.after(luck.uniform(0, QUERY_WINDOW_MS), () => this.deps.cancel(view));
+    if (event === 'accepted' && random.chance(IMMEDIATE_CANCEL_SHARE))
+      runtime.after(random.uniform(0, QUERY_WINDOW_MS), () => this.deps.cancel(view));
   }
 
   /** Called when the last task of a job has just completed; cancels the configured share of these jobs. */
   onJobCompleted(job: SimulatedJob): void {
-    if (!this.deps.luck.chance(this.behavior.cancelAtCompletionShare)) return;
+    if (!this.deps.random.chance(this.behavior.cancelAtCompletionShare)) return;
     const view = this.deps.accepted.find((candidate) => candidate.job === job);
     if (view) this.deps.cancel(view);
   }
 
   /** Cancels up to `count` running jobs with long tasks, all within 200 ms, and returns them. */
   cancelRunningJobs(count: number, running: (job: SimulatedJob) => boolean): UserView[] {
-    const { runtime, luck, accepted } = this.deps;
+    const { runtime, random, accepted } = this.deps;
     const openJobs = accepted.filter(
       ({ job, toldDone, toldCancelled, cancelAskedAt }) =>
         !toldDone && !toldCancelled && cancelAskedAt === null && job.runS(0) > MIN_RUN_S && running(job),
     );
-    const chosen = luck.sample(openJobs, count);
-    for (const view of chosen) runtime.after(luck.uniform(0, 200), () => this.deps.cancel(view));
+    const chosen = random.sample(openJobs, count);
+    for (const view of chosen) runtime.after(random.uniform(0, 200), () => this.deps.cancel(view));
     return chosen;
   }
 
@@ -139,18 +139,18 @@
   }
 
   private sendUnusualRequest(): void {
-    const { luck, accepted, checker, nodes, resubmit } = this.deps;
+    const { random, accepted, checker, nodes, resubmit } = this.deps;
     const recent = accepted.slice(-MAX_RECENT_JOBS);
-    const node = luck.pickOne(nodes);
+    const node = random.pickOne(nodes);
     if (!node) return;
-    switch (luck.integerBelow(4)) {
+    switch (random.integerBelow(4)) {
       case 0: {
-        const openJob = luck.pickOne(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
+        const openJob = random.pickOne(recent.filter(({ toldDone, toldCancelled }) => !toldDone && !toldCancelled));
         if (openJob) resubmit(openJob);
         return;
       }
       case 1: {
-        const doneJob = luck.pickOne(recent.filter(({ toldDone }) => toldDone));
+        const doneJob = random.pickOne(recent.filter(({ toldDone }) => toldDone));
         if (!doneJob) return;
         const { ref } = doneJob.job.spec;
         const known = checker.reportedSoFar(ref);
@@ -161,7 +161,7 @@
       }
       case 2: {
         const spec = this.deps.drawSubmission();
-        const impossible = luck.pickOne<Partial<Submission>>([
+        const impossible = random.pickOne<Partial<Submission>>([
           { vcpus: 100_000 },
           { ram_gb: 1_000_000 },
           { hulls: ['no-such-type'] },
@@ -174,7 +174,7 @@
       }
       default: {
         const entries = Object.entries(this.deps.drawSubmission());
-        const field = luck.pickOne(entries.map(([name]) => name).filter((name) => !NULLABLE_FIELDS.has(name)));
+        const field = random.pickOne(entries.map(([name]) => name).filter((name) => !NULLABLE_FIELDS.has(name)));
         const spec = Object.fromEntries(entries.filter(([name]) => name !== field));
         void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) =>
           checker.invalidSubmissionAnswered(`a submission without ${field ?? ''}`, 400, statusOf(answer)),
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -135,7 +135,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly luck: RandomStream,
+    private readonly random: RandomStream,
     private readonly config: CloudConfig,
     private readonly hooks: CloudHooks,
   ) {
@@ -183,7 +183,7 @@
       this.removeMachine(machine);
       return;
     }
-    this.reclaimAfter(machine, this.config.spot.noticeS * 1000 * this.luck.uniform(0.5, 1.5));
+    this.reclaimAfter(machine, this.config.spot.noticeS * 1000 * this.random.uniform(0.5, 1.5));
   }
 
   /** Gives notice of a reclaim, and removes the machine when the notice is over. */
@@ -211,7 +211,7 @@
 
   private async handleRequest(request: JsonRequest): Promise<JsonResponse> {
     this.counts.calls += 1;
-    await this.runtime.sleep(this.config.latencyMs * this.luck.uniform(0.6, 1.6));
+    await this.runtime.sleep(this.config.latencyMs * this.random.uniform(0.6, 1.6));
     if (this.inOutage) return { status: 503, body: { error: 'trouble' } };
     if (!this.requestBucket.take(1)) {
       this.counts.refused += 1;
@@ -301,13 +301,13 @@
       else this.runtime.after(bootS * 1000, () => this.markRunning(machine));
       return;
     }
-    if (this.luck.chance(Math.max(machine.type.bootFail, this.neverBootShare))) {
+    if (this.random.chance(Math.max(machine.type.bootFail, this.neverBootShare))) {
       this.counts.neverUp += 1;
       return;
     }
-    const lateFactor = this.luck.chance(LATE_BOOT_SHARE) ? this.luck.uniform(2, 4) : 1;
-    const normalBootS = machine.type.bootS * this.luck.uniform(0.6, 1.5) * lateFactor * this.bootTimeFactor;
-    const bootS = this.luck.chance(this.bootsFast ? 1 : QUICK_BOOT_SHARE) ? this.luck.uniform(0.5, 2) : normalBootS;
+    const lateFactor = this.random.chance(LATE_BOOT_SHARE) ? this.random.uniform(2, 4) : 1;
+    const normalBootS = machine.type.bootS * this.random.uniform(0.6, 1.5) * lateFactor * this.bootTimeFactor;
+    const bootS = this.random.chance(this.bootsFast ? 1 : QUICK_BOOT_SHARE) ? this.random.uniform(0.5, 2) : normalBootS;
     this.runtime.after(bootS * 1000, () => this.markRunning(machine));
   }
 
@@ -318,8 +318,8 @@
     if (machine.script) this.applyScript(machine, machine.script);
     const { reclaimsPerHour: perHour, noNoticeShare: silentShare } = this.config.spot;
     if (machine.spot && perHour > 0 && !machine.script) {
-      const withNotice = !this.luck.chance(silentShare);
-      this.runtime.after(this.luck.exponential(3600 / perHour) * 1000, () => this.reclaim(machine, withNotice));
+      const withNotice = !this.random.chance(silentShare);
+      this.runtime.after(this.random.exponential(3600 / perHour) * 1000, () => this.reclaim(machine, withNotice));
     }
     this.hooks.up(machine);
   }
@@ -376,7 +376,7 @@
     // Time before the change is billed at the old price.
     for (const machine of this.machines.values()) if (machine.spot) this.billToNow(machine);
     for (const { name, spotPrice } of this.config.types) {
-      const next = (this.spotPrices.get(name) ?? spotPrice) * this.luck.uniform(0.95, 1.05);
+      const next = (this.spotPrices.get(name) ?? spotPrice) * this.random.uniform(0.95, 1.05);
       this.spotPrices.set(name, Math.min((spotPrice * 4) / 3, Math.max((spotPrice * 2) / 3, next)));
     }
   }
@@ -388,7 +388,7 @@
   private listMachines(query: URLSearchParams): JsonResponse {
     const after = query.get('after') ?? '';
     const maxEntries = Math.min(500, Math.max(1, Number(query.get('most') ?? 500) || 500));
-    const lagMs = this.config.listLagS * 1000 * this.luck.uniform(0.3, this.luck.chance(0.1) ? 2 : 1);
+    const lagMs = this.config.listLagS * 1000 * this.random.uniform(0.3, this.random.chance(0.1) ? 2 : 1);
     const asOf = this.runtime.now() - lagMs;
     const entries: unknown[] = [];
     let truncated = false;
--- a/packages/region/src/models/gangs.ts
+++ b/packages/region/src/models/gangs.ts
@@ -43,7 +43,7 @@
   constructor(
     private readonly job: SimulatedJob,
     private readonly runtime: Runtime,
-    private readonly luck: RandomStream,
+    private readonly random: RandomStream,
     private readonly timeouts: GangTimeouts,
   ) {}
 
@@ -105,7 +105,7 @@
     this.finishTimer?.cancel();
     this.saveProgress(this.job.lastCheckpointBefore(this.progressS));
     for (const member of this.members.values()) {
-      this.runtime.after(this.luck.uniform(0.2, 1) * this.timeouts.peerS * 1000, () => {
+      this.runtime.after(this.random.uniform(0.2, 1) * this.timeouts.peerS * 1000, () => {
         if (this.members.get(member.index) === member) member.exit('mates_gone', false);
       });
     }
@@ -163,7 +163,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly luck: RandomStream,
+    private readonly random: RandomStream,
     private readonly timeouts: GangTimeouts,
   ) {}
 
@@ -171,7 +171,7 @@
     const key = `${job.spec.ref}#${attempt}`;
     let gangAttempt = this.attempts.get(key);
     if (!gangAttempt)
-      this.attempts.set(key, (gangAttempt = new GangAttempt(job, this.runtime, this.luck, this.timeouts)));
+      this.attempts.set(key, (gangAttempt = new GangAttempt(job, this.runtime, this.random, this.timeouts)));
     return gangAttempt;
   }
 
--- a/packages/region/src/models/state-service.ts
+++ b/packages/region/src/models/state-service.ts
@@ -132,7 +132,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly luck: RandomStream,
+    private readonly random: RandomStream,
     private config: StateServiceConfig,
   ) {
     this.requestBucket = new TokenBucket(runtime, config.rps, 1);
@@ -217,22 +217,22 @@
   private async handleRequest(request: JsonRequest): Promise<JsonResponse> {
     this.counts.requests += 1;
     this.operations[operationOf(request)] += 1;
-    const delayFactor = this.luck.chance(SLOW_REQUEST_SHARE) ? this.luck.uniform(20, 60) : 1;
-    await this.runtime.sleep(this.config.latencyMs * this.luck.uniform(0.5, 1.5) * delayFactor * this.slowness);
+    const delayFactor = this.random.chance(SLOW_REQUEST_SHARE) ? this.random.uniform(20, 60) : 1;
+    await this.runtime.sleep(this.config.latencyMs * this.random.uniform(0.5, 1.5) * delayFactor * this.slowness);
     if (this.inOutage || this.refusedNodes.has(request.from)) return UNAVAILABLE;
     if (!this.requestBucket.take(1)) {
       this.counts.refused += 1;
       return TOO_MANY_REQUESTS;
     }
-    if (this.lateWriteShare > 0 && request.path === '/txn' && this.luck.chance(this.lateWriteShare)) {
+    if (this.lateWriteShare > 0 && request.path === '/txn' && this.random.chance(this.lateWriteShare)) {
       if (this.appliesLateWritesAtOnce) void this.dispatch(request);
-      else this.runtime.after(this.luck.uniform(...LATE_WRITE_DELAY_MS), () => void this.dispatch(request));
+      else this.runtime.after(this.random.uniform(...LATE_WRITE_DELAY_MS), () => void this.dispatch(request));
       return new Promise<JsonResponse>(() => undefined);
     }
     const mayHold = this.heldAnswerShare > 0 && request.path !== '/follow' && !request.path.startsWith('/leases');
-    if (mayHold && this.luck.chance(this.heldAnswerShare)) {
+    if (mayHold && this.random.chance(this.heldAnswerShare)) {
       const answer = this.dispatch(request);
-      await this.runtime.sleep(this.luck.uniform(...HELD_ANSWER_DELAY_MS));
+      await this.runtime.sleep(this.random.uniform(...HELD_ANSWER_DELAY_MS));
       return answer;
     }
     const fault = this.injectFault(request);
@@ -405,7 +405,7 @@
   }
 
   private scheduleExpiry(id: number, ttlMs: number): Timer {
-    return this.runtime.after(ttlMs + this.luck.next() * MAX_EXPIRY_DELAY_MS, () => this.endLease(id));
+    return this.runtime.after(ttlMs + this.random.next() * MAX_EXPIRY_DELAY_MS, () => this.endLease(id));
   }
 
   private grantLease(body: unknown): JsonResponse {
--- a/packages/region/src/models/users.ts
+++ b/packages/region/src/models/users.ts
@@ -13,7 +13,7 @@
   readonly runtime: Runtime;
   /** True time in milliseconds since the start of the day. */
   readonly now: () => number;
-  readonly luck: RandomStream;
+  readonly random: RandomStream;
   readonly day: SimulationScenario;
   readonly balancer: Balancer;
   readonly jobs: SimulatedJobs;
@@ -59,10 +59,10 @@
   readonly close: AdversarialUsers;
 
   constructor(private readonly deps: UserDeps) {
-    const { runtime, luck, nodes, checker, day } = deps;
-    const adversarialRandom = luck.fork('close');
+    const { runtime, random, nodes, checker, day } = deps;
+    const adversarialRandom = random.fork('close');
     this.close = new AdversarialUsers({
-      ...{ runtime, nodes, checker, luck: adversarialRandom, accepted: this.accepted },
+      ...{ runtime, nodes, checker, random: adversarialRandom, accepted: this.accepted },
       drawSubmission: () => this.drawJob(adversarialRandom.pickOne(day.classes)).spec,
       resubmit: (view) => void this.withSession((session) => this.submitOnce(session, view)),
       cancel: (view) => void this.withSession((session) => this.cancel(session, view)),
@@ -83,7 +83,7 @@
 
   /** Submits the initial jobs and starts the arrivals, or schedules the scripted jobs. */
   start(): void {
-    const { runtime, day, luck, script } = this.deps;
+    const { runtime, day, random, script } = this.deps;
     if (script) {
       for (const scriptedJob of script)
         runtime.after(scriptedJob.atS * 1000, () => void this.simulateScriptedJob(scriptedJob));
@@ -91,12 +91,12 @@
     }
     for (const jobClass of day.classes) {
       for (let i = 0; i < jobClass.initial; i++)
-        runtime.after(luck.uniform(0, INITIAL_JOBS_WINDOW_MS), () => void this.simulateJob(jobClass));
+        runtime.after(random.uniform(0, INITIAL_JOBS_WINDOW_MS), () => void this.simulateJob(jobClass));
     }
     for (const pipeline of day.pipelines) {
       for (let i = 0; i < pipeline.initial; i++)
         runtime.after(
-          pipeline.start_s * 1000 + luck.uniform(0, INITIAL_JOBS_WINDOW_MS),
+          pipeline.start_s * 1000 + random.uniform(0, INITIAL_JOBS_WINDOW_MS),
           () => void this.simulatePipeline(pipeline),
         );
     }
@@ -113,25 +113,25 @@
 
   /** Draws the arrivals of the next second; there are none in the quiet time at the end of the day. */
   private scheduleArrivals(): void {
-    const { runtime, day, luck, now } = this.deps;
+    const { runtime, day, random, now } = this.deps;
     if (this.stopped || now() > (day.duration_s - day.quiet_end_s) * 1000) return;
     for (const jobClass of day.classes) {
       const mean = (jobClass.per_minute / 60) * (this.arrivalFactors.get(jobClass.name) ?? 1);
-      const arrivals = luck.poisson(mean);
-      for (let i = 0; i < arrivals; i++) runtime.after(luck.uniform(0, 1000), () => void this.simulateJob(jobClass));
+      const arrivals = random.poisson(mean);
+      for (let i = 0; i < arrivals; i++) runtime.after(random.uniform(0, 1000), () => void this.simulateJob(jobClass));
     }
     for (const pipeline of day.pipelines) {
       if (pipeline.per_minute === 0 || now() < pipeline.start_s * 1000) continue;
-      const arrivals = luck.poisson(pipeline.per_minute / 60);
+      const arrivals = random.poisson(pipeline.per_minute / 60);
       for (let i = 0; i < arrivals; i++)
-        runtime.after(luck.uniform(0, 1000), () => void this.simulatePipeline(pipeline));
+        runtime.after(random.uniform(0, 1000), () => void this.simulatePipeline(pipeline));
     }
   }
 
   /** Returns an unused job id. */
   private newRef(): string {
     for (;;) {
-      const candidate = `j-${String(this.deps.luck.integerBelow(1_000_000)).padStart(6, '0')}`;
+      const candidate = `j-${String(this.deps.random.integerBelow(1_000_000)).padStart(6, '0')}`;
       if (this.usedRefs.has(candidate)) continue;
       this.usedRefs.add(candidate);
       return candidate;
@@ -141,9 +141,9 @@
   /** Draws a job of a class. */
   private drawJob(jobClass: JobClass | undefined, overrides: Partial<Submission> = {}): SimulatedJob {
     if (!jobClass) throw new Error('the day defines no job classes');
-    const { luck, day } = this.deps;
+    const { random, day } = this.deps;
     const ref = this.newRef();
-    const jobRandom = luck.fork(ref);
+    const jobRandom = random.fork(ref);
     const pieces =
       'sizes' in jobClass.tasks
         ? (jobClass.tasks.sizes[jobRandom.weightedIndex(jobClass.tasks.weights)] ?? 1)
@@ -196,9 +196,9 @@
 
   /** Simulates the user of one job, from its submission to the last poll. */
   private async simulateJob(jobClass: JobClass): Promise<void> {
-    const { runtime, luck } = this.deps;
+    const { runtime, random } = this.deps;
     const job = this.drawJob(jobClass);
-    const userRandom = luck.fork(`${job.spec.ref} user`);
+    const userRandom = random.fork(`${job.spec.ref} user`);
     const { view, session } = this.prepareSubmission(job);
     try {
       if (!(await this.submit(session, view))) return;
@@ -224,7 +224,7 @@
    */
   private async simulatePipeline(pipeline: PipelineTemplate): Promise<void> {
     const { day, jobs } = this.deps;
-    const pipelineRandom = this.deps.luck.fork(`pipeline ${this.newRef()}`);
+    const pipelineRandom = this.deps.random.fork(`pipeline ${this.newRef()}`);
     const lastStageWaits = pipelineRandom.chance(pipeline.late);
     const earlierRef = pipelineRandom.chance(pipeline.on_earlier)
       ? this.pickUnfinishedBatchJob(pipelineRandom)
@@ -286,13 +286,13 @@
 
   /** Simulates the user of one scripted job: no request is repeated, and the job is cancelled when the script says so. */
   private async simulateScriptedJob({ job, cancelAtS }: ScriptedJob): Promise<void> {
-    const { runtime, luck, now } = this.deps;
+    const { runtime, random, now } = this.deps;
     const { view, session } = this.prepareSubmission(job);
     try {
       if (!(await this.submit(session, view))) return;
       if (cancelAtS !== null)
         runtime.after(Math.max(0, cancelAtS * 1000 - now()), () => void this.cancel(session, view));
-      await this.pollUntilEnded(session, view, luck.fork(`${job.spec.ref} user`));
+      await this.pollUntilEnded(session, view, random.fork(`${job.spec.ref} user`));
     } finally {
       session.close();
     }
@@ -333,7 +333,7 @@
     const retryAfterS = answer.kind === 'answered' ? answer.retryAfterS : null;
     const ms =
       Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, (retryAfterS ?? 0) * 1000)) +
-      this.deps.luck.uniform(0, 200);
+      this.deps.random.uniform(0, 200);
     if (this.deps.now() + ms - startedAt > RETRY_DEADLINE_MS) return false;
     await this.deps.runtime.sleep(ms);
     return true;
@@ -406,7 +406,7 @@
   /** Asks about a job that doesn't exist. */
   private async pollUnknownJob(): Promise<void> {
     if (this.stopped) return;
-    const ref = `j-x${String(this.deps.luck.integerBelow(1_000_000)).padStart(6, '0')}`;
+    const ref = `j-x${String(this.deps.random.integerBelow(1_000_000)).padStart(6, '0')}`;
     const session = this.deps.balancer.openSession();
     const known = this.deps.checker.reportedSoFar(ref);
     const answer = await session.call({ method: 'GET', path: `/v1/jobs/${ref}`, timeoutMs: POLL_TIMEOUT_MS });
--- a/packages/region/src/region-parts.ts
+++ b/packages/region/src/region-parts.ts
@@ -77,7 +77,7 @@
 /** Options of `RegionParts`. */
 export interface RegionPartsOptions {
   readonly day: SimulationScenario;
-  readonly luck: RandomStream;
+  readonly random: RandomStream;
   /** Creates the hosts of the models and tells the time. */
   readonly place: HostProvider;
   readonly log: Logger;
@@ -85,7 +85,7 @@
   /** Called with one line of text for each event. */
   readonly note: (what: string) => void;
   /** Called for each violated rule. */
-  readonly broken?: (breach: RuleViolation) => void;
+  readonly broken?: (violation: RuleViolation) => void;
   /** Jobs and the fates of machines, instead of those drawn at random for the day. */
   readonly script?: Script;
   /** Runs the workers outside this process; when given, no worker models are created here. */
@@ -122,7 +122,7 @@
   private readonly timings: WorkerTimings;
 
   constructor(private readonly options: RegionPartsOptions) {
-    const { day, luck: rng, place } = options;
+    const { day, random: rng, place } = options;
     this.timings = workerTimings(day);
     // A job that no simulated user submitted is looked up with `findJob`, if given.
     this.jobs = new SimulatedJobs(options.findJob && ((ref) => options.findJob?.(ref, this.state)));
@@ -175,7 +175,7 @@
       options.controllers.map(({ serveOn }) => serveOn),
     );
     this.users = new UserModel({
-      ...{ runtime, now, luck: rng.fork('users'), day, balancer: this.balancer, jobs: this.jobs },
+      ...{ runtime, now, random: rng.fork('users'), day, balancer: this.balancer, jobs: this.jobs },
       checker: this.checker,
       arrived: (view) => {
         const { ref, jobclass, pieces } = view.job.spec;
@@ -217,7 +217,7 @@
 
   /** Starts the worker of a machine that has come up. */
   private startWorker(machine: Machine): void {
-    const { place, luck: rng, log, controllers, note: logEvent, hosts: externalWorkers } = this.options;
+    const { place, random: rng, log, controllers, note: logEvent, hosts: externalWorkers } = this.options;
     if (externalWorkers) {
       logEvent(`up ${machine.id} ${machine.type.name} ${machine.zone}`);
       externalWorkers.up(machine);
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -47,7 +47,7 @@
   /** Called with each line of the event log, up to `MAX_EVENT_LOG_BYTES` in total. */
   readonly event?: (line: string) => void;
   /** Called for each violated rule. */
-  readonly broken?: (breach: RuleViolation) => void;
+  readonly broken?: (violation: RuleViolation) => void;
   /** Jobs and the fates of machines and controllers, instead of those drawn at random for the day. */
   readonly script?: Script;
   /** How many of its latest events each controller keeps for recorders to fetch. */
@@ -151,7 +151,7 @@
       now: () => this.world.now,
     };
     this.parts = new RegionParts({
-      ...{ day, luck: this.rng, place, log: this.log, controllers: specs },
+      ...{ day, random: this.rng, place, log: this.log, controllers: specs },
       note: (what) => this.logEvent(what),
       ...(options.broken ? { broken: options.broken } : {}),
       ...(options.script ? { script: options.script } : {}),
--- a/packages/region/src/report/charts.ts
+++ b/packages/region/src/report/charts.ts
@@ -13,9 +13,9 @@
 /** Horizontal axis of the charts over time. */
 const timeAxis = { field: 'atS', type: 'quantitative', title: 'seconds since the start of the day' } as const;
 
-/** Marks troubles in a chart: a line at the beginning of each, and a band for those with a duration. */
-const troubleMarks = (troubles: readonly Fault[]): UnitSpec<Field>[] => {
-  const values = troubles.map((t) => ({
+/** Marks faults in a chart: a line at the beginning of each, and a band for those with a duration. */
+const faultMarks = (faults: readonly Fault[]): UnitSpec<Field>[] => {
+  const values = faults.map((t) => ({
     kind: t.kind,
     atS: t.at_s,
     endS: t.at_s + ('for_s' in t ? t.for_s : 0),
@@ -38,7 +38,7 @@
 export function renderTasksChart(
   { timeline }: DayResult,
   which: 'running' | 'waiting',
-  troubles: readonly Fault[],
+  faults: readonly Fault[],
 ): Promise<string> {
   const values = timeline.flatMap((sample) =>
     Object.entries(sample[which]).map(([name, tasks]) => ({ atS: sample.atS, class: name, tasks })),
@@ -56,7 +56,7 @@
           color: { field: 'class', type: 'nominal' },
         },
       },
-      ...troubleMarks(troubles),
+      ...faultMarks(faults),
     ],
   });
 }
@@ -65,7 +65,7 @@
 export function renderUpChart(
   { timeline }: DayResult,
   which: 'machinesUp' | 'controllersUp',
-  troubles: readonly Fault[],
+  faults: readonly Fault[],
 ): Promise<string> {
   const machines = which === 'machinesUp';
   return renderSvg({
@@ -85,7 +85,7 @@
           },
         },
       },
-      ...troubleMarks(troubles),
+      ...faultMarks(faults),
     ],
   });
 }
--- a/packages/region/src/scale/controller-processes.ts
+++ b/packages/region/src/scale/controller-processes.ts
@@ -64,7 +64,7 @@
 
 /** A controller of the run and its current process. */
 interface ControllerProcess {
-  readonly seat: ControllerSpec;
+  readonly spec: ControllerSpec;
   /** Path of the settings file. */
   readonly file: string;
   child: ChildProcess | undefined;
@@ -78,7 +78,7 @@
 /** What controller processes need in order to start and to report failures. */
 export interface ControllerProcessesOptions {
   readonly day: SimulationScenario;
-  readonly seats: readonly ControllerSpec[];
+  readonly specs: readonly ControllerSpec[];
   /** Addresses of the state service and of the cloud API. */
   readonly services: { readonly state: Endpoint; readonly cloud: Endpoint };
   readonly launch: ProcessLaunch;
@@ -98,11 +98,11 @@
   private lastLine = '';
 
   constructor(private readonly options: ControllerProcessesOptions) {
-    const { day, seats, services } = options;
-    this.controllers = seats.map((seat) => {
-      const file = join(this.dir, `${seat.name}.toml`);
-      writeFileSync(file, controllerSettingsToml(day, seat, seats, services));
-      return { seat, file, child: undefined, exited: false, exitExpected: false, launches: 0 };
+    const { day, specs, services } = options;
+    this.controllers = specs.map((spec) => {
+      const file = join(this.dir, `${spec.name}.toml`);
+      writeFileSync(file, controllerSettingsToml(day, spec, specs, services));
+      return { spec, file, child: undefined, exited: false, exitExpected: false, launches: 0 };
     });
   }
 
@@ -122,7 +122,7 @@
     child.stderr.setEncoding('utf8');
     child.stderr.on('data', (text: string) => this.readLog(text));
     child.on('error', (error) =>
-      this.options.failed(new ScaleError(`${controller.seat.name} could not be started: ${error.message}`)),
+      this.options.failed(new ScaleError(`${controller.spec.name} could not be started: ${error.message}`)),
     );
     child.on('exit', (code, signal) => {
       if (controller.child !== child) return;
@@ -130,7 +130,7 @@
       if (this.ending || controller.exitExpected) return;
       const cause = signal ?? `exit code ${code}`;
       this.options.failed(
-        new ScaleError(`${controller.seat.name} exited unexpectedly (${cause}); last log line: ${this.lastLine}`),
+        new ScaleError(`${controller.spec.name} exited unexpectedly (${cause}); last log line: ${this.lastLine}`),
       );
     });
   }
@@ -157,7 +157,7 @@
 
   /** Polls the health check until the controller answers it, exits or times out. */
   private async waitUntilHealthy(controller: ControllerProcess): Promise<void> {
-    const { name, serveOn } = controller.seat;
+    const { name, serveOn } = controller.spec;
     const { runtime } = this.options;
     const client = new HttpClient(serveOn, 1, runtime);
     const deadlineMs = runtime.now() + HEALTHY_TIMEOUT_MS;
@@ -179,20 +179,20 @@
   }
 
   /** Names, zones and addresses of the controllers. */
-  get seats(): readonly ControllerSpec[] {
-    return this.controllers.map(({ seat }) => seat);
+  get specs(): readonly ControllerSpec[] {
+    return this.controllers.map(({ spec }) => spec);
   }
 
   /** Process ids by controller name. Controllers that are down have no entry. */
   get pids(): ReadonlyMap<string, number> {
     const pids = new Map<string, number>();
-    for (const { seat, child, exited } of this.controllers)
-      if (child?.pid !== undefined && !exited) pids.set(seat.name, child.pid);
+    for (const { spec, child, exited } of this.controllers)
+      if (child?.pid !== undefined && !exited) pids.set(spec.name, child.pid);
     return pids;
   }
 
   private findController(name: string): ControllerProcess | undefined {
-    return this.controllers.find(({ seat }) => seat.name === name);
+    return this.controllers.find(({ spec }) => spec.name === name);
   }
 
   /** Kills a controller with SIGKILL, which it cannot handle, and restarts it after `downS` seconds. */
--- a/packages/region/src/scale/fault-injection.ts
+++ b/packages/region/src/scale/fault-injection.ts
@@ -1,4 +1,4 @@
-/** Injects the troubles of a day into the processes and models of a scale run. */
+/** Injects the faults of a day into the processes and models of a scale run. */
 
 import { isObject, type Runtime } from '../../../../src/kernel/index.js';
 import type { SimulationScenario, Fault } from '../scenario/index.js';
@@ -9,7 +9,7 @@
 import { ScaleError } from './errors.js';
 import type { HollowFleet } from './hollow-fleet.js';
 
-/** Kinds of troubles that can be injected into real processes. */
+/** Kinds of faults that can be injected into real processes. */
 const SUPPORTED_FAULTS = new Set<Fault['kind']>([
   'machines_restart',
   'machines_die',
@@ -22,7 +22,7 @@
 ]);
 
 /**
- * Checks that a scale run supports the machines and troubles of a day.
+ * Checks that a scale run supports the machines and faults of a day.
  *
  * @throws ScaleError that names the unsupported field.
  */
@@ -34,11 +34,9 @@
   if (spotCapacityIndex >= 0)
     throw new ScaleError(`${day.name}: capacity.${spotCapacityIndex}.spot: a scale run does not support spot machines`);
   const unsupportedIndex = day.troubles.findIndex(({ kind }) => !SUPPORTED_FAULTS.has(kind));
-  const trouble = day.troubles[unsupportedIndex];
-  if (trouble)
-    throw new ScaleError(
-      `${day.name}: troubles.${unsupportedIndex}.kind: a scale run does not support ${trouble.kind}`,
-    );
+  const fault = day.troubles[unsupportedIndex];
+  if (fault)
+    throw new ScaleError(`${day.name}: troubles.${unsupportedIndex}.kind: a scale run does not support ${fault.kind}`);
 }
 
 /** What faults are injected into. */
@@ -51,53 +49,52 @@
   readonly rng: RandomStream;
 }
 
-/** Returns the names of the controllers that a trouble means; none if there is no leader now. */
+/** Returns the names of the controllers that a fault means; none if there is no leader now. */
 function targetControllers({ parts, controllers }: FaultTargets, which: number | 'leader' | 'all'): string[] {
-  const names = controllers.seats.map(({ name }) => name);
+  const names = controllers.specs.map(({ name }) => name);
   if (which === 'all') return names;
   if (which !== 'leader') return names.slice(which, which + 1);
   const leader = parts.state.get('live/leader');
   return isObject(leader) && typeof leader['node'] === 'string' ? [leader['node']] : [];
 }
 
-/** Begins a trouble and schedules its end. A zone cut only disconnects the workers of the zone; its controllers stay reachable. */
-export function injectFault(trouble: Fault, targets: FaultTargets): void {
+/** Begins a fault and schedules its end. A zone cut only disconnects the workers of the zone; its controllers stay reachable. */
+export function injectFault(fault: Fault, targets: FaultTargets): void {
   const { day, parts, fleet, controllers, runtime, rng } = targets;
   const schedule = (seconds: number, action: () => void): void => void runtime.after(seconds * 1000, action);
-  switch (trouble.kind) {
+  switch (fault.kind) {
     case 'machines_restart':
-      for (const { id } of chooseMachines(parts.cloud.up, rng, trouble))
-        fleet.applyFault(id, 'restart', trouble.down_s);
+      for (const { id } of chooseMachines(parts.cloud.up, rng, fault)) fleet.applyFault(id, 'restart', fault.down_s);
       break;
     case 'machines_die':
-      for (const machine of chooseMachines(parts.cloud.up, rng, trouble)) parts.cloud.failMachine(machine);
+      for (const machine of chooseMachines(parts.cloud.up, rng, fault)) parts.cloud.failMachine(machine);
       break;
     case 'zone_cut': {
-      const cutMachines = parts.cloud.up.filter(({ zone }) => zone === trouble.zone);
+      const cutMachines = parts.cloud.up.filter(({ zone }) => zone === fault.zone);
       for (const { id } of cutMachines) fleet.applyFault(id, 'cut');
-      schedule(trouble.for_s, () => cutMachines.forEach(({ id }) => fleet.applyFault(id, 'heal')));
+      schedule(fault.for_s, () => cutMachines.forEach(({ id }) => fleet.applyFault(id, 'heal')));
       break;
     }
     case 'controller_crash':
-      for (const name of targetControllers(targets, trouble.controller))
-        controllers.crash(name, trouble.down_s ?? day.controllers.restart_s);
+      for (const name of targetControllers(targets, fault.controller))
+        controllers.crash(name, fault.down_s ?? day.controllers.restart_s);
       break;
     case 'controller_pause':
-      for (const name of targetControllers(targets, trouble.controller)) controllers.pause(name, trouble.for_s);
+      for (const name of targetControllers(targets, fault.controller)) controllers.pause(name, fault.for_s);
       break;
     case 'state_outage':
       parts.state.setOutage(true);
-      schedule(trouble.for_s, () => parts.state.setOutage(false));
+      schedule(fault.for_s, () => parts.state.setOutage(false));
       break;
     case 'state_slow':
-      parts.state.slowness = trouble.times;
-      schedule(trouble.for_s, () => (parts.state.slowness = 1));
+      parts.state.slowness = fault.times;
+      schedule(fault.for_s, () => (parts.state.slowness = 1));
       break;
     case 'burst':
-      parts.users.setArrivalFactor(trouble.class, trouble.times);
-      schedule(trouble.for_s, () => parts.users.setArrivalFactor(trouble.class, 1));
+      parts.users.setArrivalFactor(fault.class, fault.times);
+      schedule(fault.for_s, () => parts.users.setArrivalFactor(fault.class, 1));
       break;
     default:
-      throw new ScaleError(`a scale run does not support ${trouble.kind}`);
+      throw new ScaleError(`a scale run does not support ${fault.kind}`);
   }
 }
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -124,7 +124,7 @@
 }
 
 /** A part of the region that runs in this process, with its own runtime so that its traffic is counted separately. */
-interface MeteredSeat extends ModelHost {
+interface MeteredHost extends ModelHost {
   readonly runtime: DisposableRuntime;
 }
 
@@ -135,7 +135,7 @@
  */
 export class ScaleRun {
   private readonly runtime: Runtime;
-  private readonly meteredSeats = new Map<string, MeteredSeat>();
+  private readonly meteredHosts = new Map<string, MeteredHost>();
   private readonly events: OrderedEvents<TaskEvent>;
   private readonly meter: StartMeter;
   private readonly usage: UsageMeter;
@@ -190,7 +190,7 @@
     this.configuration?.close();
     this.controllers?.end();
     this.fleet?.end();
-    for (const { runtime } of this.meteredSeats.values()) runtime.dispose();
+    for (const { runtime } of this.meteredHosts.values()) runtime.dispose();
     (this.runtime as DisposableRuntime).dispose();
   }
 
@@ -215,11 +215,11 @@
   }
 
   /** Creates a runtime of its own for a part of the region. */
-  private createSeat(name: string): MeteredSeat {
+  private createMeteredHost(name: string): MeteredHost {
     const runtime = new DisposableRuntime();
-    const seat: MeteredSeat = { runtime, watchdog: runtime, at: ANY_LOOPBACK_PORT, close: () => runtime.dispose() };
-    this.meteredSeats.set(name, seat);
-    return seat;
+    const host: MeteredHost = { runtime, watchdog: runtime, at: ANY_LOOPBACK_PORT, close: () => runtime.dispose() };
+    this.meteredHosts.set(name, host);
+    return host;
   }
 
   /** Keeps the first failure, with which the run rejects. */
@@ -227,11 +227,11 @@
     this.failure ??= error;
   };
 
-  /** Starts the workers, the models and the controllers, then starts the users and schedules the troubles of the day. */
+  /** Starts the workers, the models and the controllers, then starts the users and schedules the faults of the day. */
   private async startAll(): Promise<void> {
     const { day, hollowProcesses, launch, log, progress } = this.options;
     const ports = await findFreePorts(2 * day.controllers.count);
-    const seats = Array.from({ length: day.controllers.count }, (_, i): ControllerSpec => ({
+    const specs = Array.from({ length: day.controllers.count }, (_, i): ControllerSpec => ({
       name: `node-${i}`,
       zone: day.zones[i % day.zones.length] ?? '',
       serveOn: { host: LOOPBACK_ADDRESS, port: ports[2 * i] ?? 0 },
@@ -240,36 +240,36 @@
     const rng = new RandomStream(day.seed, day.name);
     const fleet = new HollowFleet({
       ...{ day, seed: day.seed, processes: hollowProcesses, launch, runtime: this.runtime, failed: this.recordFailure },
-      controllers: seats.map(({ name, serveOn }) => ({ name, at: serveOn })),
+      controllers: specs.map(({ name, serveOn }) => ({ name, at: serveOn })),
       task: (event) => this.receiveEvent(event),
     });
     this.fleet = fleet;
     progress?.(`starting ${hollowProcesses} worker processes`);
     await fleet.start();
-    const place: HostProvider = { createHost: (name) => this.createSeat(name), now: () => this.now() };
+    const place: HostProvider = { createHost: (name) => this.createMeteredHost(name), now: () => this.now() };
     const parts = new RegionParts({
-      ...{ day, luck: rng, place, log, controllers: seats, note: () => undefined, hosts: fleet },
+      ...{ day, random: rng, place, log, controllers: specs, note: () => undefined, hosts: fleet },
       observer: this.createObserver(fleet),
     });
     this.parts = parts;
     const [state = 0, cloud = 0] = await parts.start();
     const controllers = new ControllerProcesses({
-      ...{ day, seats, launch, runtime: this.runtime, failed: this.recordFailure },
+      ...{ day, specs, launch, runtime: this.runtime, failed: this.recordFailure },
       services: { state: { host: LOOPBACK_ADDRESS, port: state }, cloud: { host: LOOPBACK_ADDRESS, port: cloud } },
     });
     this.controllers = controllers;
-    progress?.(`starting ${seats.length} controllers`);
+    progress?.(`starting ${specs.length} controllers`);
     await controllers.start();
     this.runtime.every(EVENT_RELEASE_INTERVAL_MS, () => this.events.advance(this.runtime.wall()));
     this.configuration = new ConfigurationLoad(
-      seats.map(({ serveOn }) => serveOn),
+      specs.map(({ serveOn }) => serveOn),
       this.runtime,
       () => parts.cloud.up.map(({ id }) => id),
     );
     parts.startUsers();
-    for (const trouble of day.troubles) {
+    for (const fault of day.troubles) {
       const targets = { day, parts, fleet, controllers, runtime: this.runtime, rng: rng.fork('faults') };
-      this.runtime.after(trouble.at_s * 1000, () => injectFault(trouble, targets));
+      this.runtime.after(fault.at_s * 1000, () => injectFault(fault, targets));
     }
   }
 
@@ -358,7 +358,7 @@
     const { fleet, parts } = this;
     if (!fleet || !parts) throw new ScaleError('the scale run has not been started');
     const traffic = (name: string): Traffic => {
-      const { opened, accepted } = this.meteredSeats.get(name)?.runtime.traffic ?? ZERO_DIRECTED_TRAFFIC;
+      const { opened, accepted } = this.meteredHosts.get(name)?.runtime.traffic ?? ZERO_DIRECTED_TRAFFIC;
       return name === 'users' ? opened : accepted;
     };
     return {
@@ -374,7 +374,7 @@
   /** Totals that all controllers have sent to their peers, by kind of frame. Controllers that do not answer are left out. */
   private async peerTraffic(): Promise<Snapshot['peers']> {
     const total = new Map<string, { frames: number; bytes: number }>();
-    for (const { serveOn } of this.controllers?.seats ?? []) {
+    for (const { serveOn } of this.controllers?.specs ?? []) {
       const client = new HttpClient(serveOn, 1, this.runtime);
       const path = '/admin/v1/status';
       const answer = await client.call({ method: 'GET', path, timeoutMs: STATUS_TIMEOUT_MS, maxResponseBytes: 32e6 });
--- a/packages/region/src/scenario/parse.ts
+++ b/packages/region/src/scenario/parse.ts
@@ -16,14 +16,14 @@
 
 /** Replaces alternative names of fault kinds; anything else stays for the schema to check. */
 function resolveFaultAliases(raw: unknown): unknown {
-  const troubles = isObject(raw) ? raw['troubles'] : undefined;
-  if (!isObject(raw) || !Array.isArray(troubles)) return raw;
+  const faults = isObject(raw) ? raw['troubles'] : undefined;
+  if (!isObject(raw) || !Array.isArray(faults)) return raw;
   const resolveAlias = (fault: unknown): unknown => {
     const kind = isObject(fault) ? fault['kind'] : undefined;
     const resolved = typeof kind === 'string' ? FAULT_KIND_ALIASES[kind] : undefined;
     return isObject(fault) && resolved !== undefined ? { ...fault, kind: resolved } : fault;
   };
-  return { ...raw, troubles: troubles.map(resolveAlias) };
+  return { ...raw, troubles: faults.map(resolveAlias) };
 }
 
 /** Path of a field: keys and array indexes. */
@@ -116,33 +116,28 @@
       return { path: ['pipelines', i], message: 'no pipeline of this kind ever arrives: initial and per_minute are 0' };
   }
   if (day.troubles.some(({ kind }) => kind === 'state_limits') && !day.state.next)
-    return { path: ['state', 'next'], message: 'required by the trouble state_limits' };
+    return { path: ['state', 'next'], message: 'required by the fault state_limits' };
   if (day.controllers.releases.length > day.controllers.count)
     return { path: ['controllers', 'releases'], message: `more releases than controllers (${day.controllers.count})` };
-  for (const [i, trouble] of day.troubles.entries()) {
+  for (const [i, fault] of day.troubles.entries()) {
     const path = ['troubles', i];
-    if (trouble.at_s >= day.duration_s)
+    if (fault.at_s >= day.duration_s)
       return { path: [...path, 'at_s'], message: 'starts after the end of the scenario' };
     const problem =
-      ('zone' in trouble && trouble.zone !== undefined
-        ? unknown([...path, 'zone'], 'zone', trouble.zone, zones)
-        : null) ?? ('class' in trouble ? unknown([...path, 'class'], 'class', trouble.class, classes) : null);
+      ('zone' in fault && fault.zone !== undefined ? unknown([...path, 'zone'], 'zone', fault.zone, zones) : null) ??
+      ('class' in fault ? unknown([...path, 'class'], 'class', fault.class, classes) : null);
     if (problem) return problem;
-    if (
-      'controller' in trouble &&
-      typeof trouble.controller === 'number' &&
-      trouble.controller >= day.controllers.count
-    )
+    if ('controller' in fault && typeof fault.controller === 'number' && fault.controller >= day.controllers.count)
       return {
         path: [...path, 'controller'],
         message: `there are ${day.controllers.count} controllers, numbered from 0`,
       };
-    if (trouble.kind === 'rollout' && trouble.order?.some((controller) => controller >= day.controllers.count))
+    if (fault.kind === 'rollout' && fault.order?.some((controller) => controller >= day.controllers.count))
       return { path: [...path, 'order'], message: `there are ${day.controllers.count} controllers, numbered from 0` };
-    if (trouble.kind === 'reports_again' && trouble.for_next === true && trouble.late_s !== undefined)
+    if (fault.kind === 'reports_again' && fault.for_next === true && fault.late_s !== undefined)
       return { path: [...path, 'late_s'], message: 'late_s and for_next exclude each other' };
-    if (trouble.kind.startsWith('machines_') || trouble.kind === 'commands_held') {
-      const { count, share } = trouble as { readonly count?: number; readonly share?: number };
+    if (fault.kind.startsWith('machines_') || fault.kind === 'commands_held') {
+      const { count, share } = fault as { readonly count?: number; readonly share?: number };
       if ((count === undefined) === (share === undefined)) return { path, message: 'needs either a count or a share' };
     }
   }
--- a/packages/region/src/scenario/scale.ts
+++ b/packages/region/src/scenario/scale.ts
@@ -55,12 +55,12 @@
 }
 
 /** Scales the count of a fault, and maps its zone to one that is kept. */
-function scaleFault(trouble: Fault, share: number, day: SimulationScenario, zones: readonly string[]): Fault {
-  const zone = 'zone' in trouble ? trouble.zone : undefined;
+function scaleFault(fault: Fault, share: number, day: SimulationScenario, zones: readonly string[]): Fault {
+  const zone = 'zone' in fault ? fault.zone : undefined;
   const kept = zone === undefined ? undefined : zones[day.zones.indexOf(zone) % zones.length];
-  const count = 'count' in trouble && trouble.count !== undefined ? atLeastOne(trouble.count * share) : undefined;
+  const count = 'count' in fault && fault.count !== undefined ? atLeastOne(fault.count * share) : undefined;
   return {
-    ...trouble,
+    ...fault,
     ...(kept === undefined ? {} : { zone: kept }),
     ...(count === undefined ? {} : { count }),
   } as Fault;
@@ -101,6 +101,6 @@
       initial: p.initial === 0 ? 0 : atLeastOne(p.initial * share),
       per_minute: p.per_minute * share,
     })),
-    troubles: day.troubles.map((trouble) => scaleFault(trouble, share, day, zones)),
+    troubles: day.troubles.map((fault) => scaleFault(fault, share, day, zones)),
   };
 }
--- a/packages/region/src/scenario/schema.ts
+++ b/packages/region/src/scenario/schema.ts
@@ -250,7 +250,7 @@
       value_kb: withDefault(positive, 32),
       txn_ops: withDefault(positiveInteger, 16),
       latency_ms: withDefault(positive, 5),
-      /** Lower limits that are announced to the controllers; they come into force with the trouble `state_limits`. */
+      /** Lower limits that are announced to the controllers; they come into force with the fault `state_limits`. */
       next: v.optional(v.strictObject({ write_rps: positive, value_kb: positive, txn_ops: positiveInteger })),
     }),
     {},
--- a/packages/region/test/fault-combinations.test.ts
+++ b/packages/region/test/fault-combinations.test.ts
@@ -40,8 +40,8 @@
 }
 
 /** A short scenario with many long arrays, most of which are cancelled within a minute. */
-const withManyCancellations = (troubles: readonly Fault[], seed: number, durationS = 190): SimulationScenario => {
-  const day = shortDay(durationS, troubles, seed);
+const withManyCancellations = (faults: readonly Fault[], seed: number, durationS = 190): SimulationScenario => {
+  const day = shortDay(durationS, faults, seed);
   return {
     ...day,
     classes: day.classes.map((c) =>
@@ -175,8 +175,8 @@
 test('each fault combination of docs/meetings.md alone violates no rule', async () => {
   for (const [i, [name, draw]] of Object.entries(FAULT_COMBINATIONS).entries()) {
     const base = shortDay(150, [], 40 + i);
-    const troubles = [...draw(new RandomStream(40 + i, name), 50, base)].sort((a, b) => a.at_s - b.at_s);
-    await runWithoutViolation(withManyCancellations(troubles, 40 + i, 150));
+    const faults = [...draw(new RandomStream(40 + i, name), 50, base)].sort((a, b) => a.at_s - b.at_s);
+    await runWithoutViolation(withManyCancellations(faults, 40 + i, 150));
   }
 });
 
@@ -230,13 +230,13 @@
     const p95Ms = delaysMs[Math.floor(delaysMs.length * 0.95)] ?? Infinity;
     assert.ok(p95Ms < 300, `${p95Ms} ms`);
   }
-  const troubles: Fault[] = [
+  const faults: Fault[] = [
     { kind: 'close_looks', at_s: 20, for_s: 70 },
     { kind: 'controller_crash', at_s: 45, controller: 'leader', down_s: 8 },
     { kind: 'late_writes', at_s: 60, for_s: 20, share: 0.1, at_once: true },
     { kind: 'cancel_at_end', at_s: 20, for_s: 90, share: 0.2 },
   ];
-  await acceptanceDelaysMs(withLowWriteRate(highArrivalRateDay(120, troubles, 9)));
+  await acceptanceDelaysMs(withLowWriteRate(highArrivalRateDay(120, faults, 9)));
 });
 
 test('further fault combinations during a rollout, from the previous release and from production, and during a rollback', async () => {
@@ -253,12 +253,12 @@
       ] as const) {
         const seed = 60 + 10 * i + j;
         const base = shortDay(160, [], seed);
-        const troubles = [
+        const faults = [
           rollout(to, 42, [0, 1, 2], j === 1),
           ...(FAULT_COMBINATIONS[name]?.(new RandomStream(seed, name), 60, base) ?? []),
         ];
         const day = withManyCancellations(
-          troubles.sort((a, b) => a.at_s - b.at_s),
+          faults.sort((a, b) => a.at_s - b.at_s),
           seed,
           160,
         );
--- a/packages/region/test/fault-schedules.test.ts
+++ b/packages/region/test/fault-schedules.test.ts
@@ -26,8 +26,8 @@
   return { result, events };
 }
 
-const gangScenario = (troubles: readonly Fault[]): SimulationScenario => {
-  const day = shortDay(200, troubles);
+const gangScenario = (faults: readonly Fault[]): SimulationScenario => {
+  const day = shortDay(200, faults);
   return {
     ...day,
     classes: day.classes.map((c) => (c.shape === 'gang' ? { ...c, initial: 3, per_minute: 1 } : c)),
--- a/packages/region/test/inherited-runs.test.ts
+++ b/packages/region/test/inherited-runs.test.ts
@@ -26,7 +26,7 @@
   const logLines: string[] = [];
   const region = new Region({ day, controllerLog: { level: 'info', write: (line) => logLines.push(line) } });
   await region.play();
-  const slownessLogs = logLines.filter((line) => /lost or faulty|a straggler is restarted/.test(line));
+  const slownessLogs = logLines.filter((line) => /lost or faulty|stopping a straggler to restart it/.test(line));
   const result = region.close();
   assert.deepEqual([result.breaches, result.defects], [[], []]);
   assert.ok((result.classes[0]?.tasksStarted ?? 0) > 300);
--- a/packages/region/test/job-survival.test.ts
+++ b/packages/region/test/job-survival.test.ts
@@ -8,10 +8,10 @@
 /** Length of the end of a day in which no job arrives. */
 const QUIET_END_S = 130;
 /** A short day with these faults, in the order of their times. */
-const dayWith = (troubles: readonly Fault[], seed = 7): SimulationScenario => {
+const dayWith = (faults: readonly Fault[], seed = 7): SimulationScenario => {
   const short = shortDay(
     260,
-    [...troubles].sort((a, b) => a.at_s - b.at_s),
+    [...faults].sort((a, b) => a.at_s - b.at_s),
     seed,
   );
   return { ...short, quiet_end_s: QUIET_END_S };
@@ -107,10 +107,10 @@
   ],
 };
 
-for (const [name, troubles] of Object.entries(CASES)) {
+for (const [name, faults] of Object.entries(CASES)) {
   test(`${name}: every accepted job runs or stays known`, async () => {
     for (const additional of Object.values(ADDITIONAL_FAULTS))
-      await playKeepingJobs(dayWith([...troubles, ...additional]));
+      await playKeepingJobs(dayWith([...faults, ...additional]));
   });
 }
 
@@ -146,8 +146,8 @@
       const base = shortDay(150, [], seed);
       const drawn: Fault[] = [];
       while (drawn.length < 5) {
-        const trouble = drawFault(rng, base);
-        if (kinds.has(trouble.kind) || drawn.length === 4) drawn.push(trouble);
+        const fault = drawFault(rng, base);
+        if (kinds.has(fault.kind) || drawn.length === 4) drawn.push(fault);
       }
       const region = new Region({ day: { ...base, troubles: drawn } });
       await region.play();
--- a/packages/region/test/pipelines.test.ts
+++ b/packages/region/test/pipelines.test.ts
@@ -9,11 +9,11 @@
 const LIMIT_DROP: Fault = { kind: 'state_limits', at_s: 45 };
 
 /** The day `chain` with another duration and faults, and with pipelines that arrive from 15 s on. */
-function chainDay(durationS: number, troubles: readonly Fault[], releases: readonly string[] = []): SimulationScenario {
+function chainDay(durationS: number, faults: readonly Fault[], releases: readonly string[] = []): SimulationScenario {
   const day = shippedDay('chain');
   return {
     ...day,
-    ...{ duration_s: durationS, quiet_end_s: 70, troubles: [...troubles] },
+    ...{ duration_s: durationS, quiet_end_s: 70, troubles: [...faults] },
     controllers: { ...day.controllers, releases: [...releases] },
     pipelines: day.pipelines.map((p) => ({ ...p, start_s: 15, per_minute: 10 })),
   };
@@ -69,7 +69,7 @@
   );
 });
 
-const FAULTS_AROUND_LIMIT_DROP: readonly [name: string, troubles: readonly Fault[]][] = [
+const FAULTS_AROUND_LIMIT_DROP: readonly [name: string, faults: readonly Fault[]][] = [
   ['the leader crashes', [{ kind: 'controller_crash', at_s: 45.2, controller: 'leader' }]],
   [
     'one crashes just before the drop, and its shard is taken over after it',
@@ -87,12 +87,12 @@
 ];
 
 test('controllers and the state service fail around the drop of the limits: every rule is kept, all shards end up in pages', async () => {
-  for (const [name, troubles] of FAULTS_AROUND_LIMIT_DROP) {
+  for (const [name, faults] of FAULTS_AROUND_LIMIT_DROP) {
     const day = await playKeepingRules(
       withLargeFleet(
         chainDay(
           170,
-          [...troubles, LIMIT_DROP].sort((a, b) => a.at_s - b.at_s),
+          [...faults, LIMIT_DROP].sort((a, b) => a.at_s - b.at_s),
         ),
       ),
     );
@@ -101,14 +101,14 @@
 });
 
 test('while jobs wait for dependencies: holders crash between a completion and the next start, machines die, a controller is cut off', async () => {
-  const troubles: Fault[] = [
+  const faults: Fault[] = [
     { kind: 'controller_crash', at_s: 40, controller: 0 },
     { kind: 'controller_crash', at_s: 55, controller: 'all' },
     { kind: 'machines_die', at_s: 70, share: 0.3 },
     { kind: 'controller_cut', at_s: 80, for_s: 25, controller: 1, from: 'state', manner: 'hold' },
     { kind: 'state_outage', at_s: 115, for_s: 15 },
   ];
-  const day = await playKeepingRules(chainDay(240, troubles));
+  const day = await playKeepingRules(chainDay(240, faults));
   assert.ok(doneOf(day, 'close') >= 5, String(doneOf(day, 'close')));
 });
 
@@ -129,13 +129,13 @@
       // Pipelines arrive only after all controllers run this release.
       const early = chainDay(150, []);
       const base = { ...early, pipelines: early.pipelines.map((p) => ({ ...p, start_s: 40 })) };
-      const troubles = [...drawFaultSchedule(seed, base), { kind: 'state_limits', at_s: 40 + (seed % 70) } as const];
+      const faults = [...drawFaultSchedule(seed, base), { kind: 'state_limits', at_s: 40 + (seed % 70) } as const];
       const mixed = drawReleaseMix(seed, { ...base, seed, troubles: [] }, 'production');
       // Production is replaced before the limits drop, because it cannot read what is stored afterwards.
-      const withRollout = mixed.troubles.map((trouble) =>
-        trouble.kind === 'rollout' ? { ...trouble, to: 'this', at_s: 15, gap_s: 6, order: [0, 1, 2] } : trouble,
+      const withRollout = mixed.troubles.map((fault) =>
+        fault.kind === 'rollout' ? { ...fault, to: 'this', at_s: 15, gap_s: 6, order: [0, 1, 2] } : fault,
       );
-      const day = { ...mixed, troubles: [...withRollout, ...troubles].sort((a, b) => a.at_s - b.at_s) };
+      const day = { ...mixed, troubles: [...withRollout, ...faults].sort((a, b) => a.at_s - b.at_s) };
       const region = new Region({ day });
       await region.play();
       const { breaches, defects } = region.close();
--- a/packages/region/test/quota.test.ts
+++ b/packages/region/test/quota.test.ts
@@ -12,8 +12,8 @@
 const SHARDS = 'live/shards/';
 
 /** A short day on which both teams reach their limits, with quota shares allowed from the beginning. */
-function sharedDay(durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario {
-  const day = shortDay(durationS, troubles, seed);
+function sharedDay(durationS: number, faults: readonly Fault[], seed = 7): SimulationScenario {
+  const day = shortDay(durationS, faults, seed);
   const limits = [
     { name: 'mail', cpus: 0, cpus_max: 60, gpus: 0, gpus_max: 0 },
     { name: 'atlas', cpus: 24, cpus_max: 48, gpus: 0, gpus_max: 6 },
@@ -59,7 +59,7 @@
 }
 
 test('quota shares while controllers crash, the state service is unavailable and responses are lost: every rule is kept', async () => {
-  const troubles: Fault[] = [
+  const faults: Fault[] = [
     { kind: 'late_writes', at_s: 30, for_s: 40, share: 0.25 },
     { kind: 'controller_crash', at_s: 50, controller: 'leader' },
     { kind: 'state_outage', at_s: 80, for_s: 15 },
@@ -70,7 +70,7 @@
   let recordsSeen = 0;
   for (const seed of [3, 4]) {
     await playKeepingRules(
-      sharedDay(190, troubles, seed),
+      sharedDay(190, faults, seed),
       [20, 40, 60, 90, 110, 140, 160].map(
         (atS) => [atS, (region) => (recordsSeen += countQuotaRecords(region))] as const,
       ),
@@ -117,8 +117,8 @@
 });
 
 test('a rollout from the previous release to this one and back, and the reverse, without quota shares', async () => {
-  const withoutShares = (troubles: readonly Fault[], releases: readonly string[]): SimulationScenario => {
-    const day = sharedDay(170, troubles, 8);
+  const withoutShares = (faults: readonly Fault[], releases: readonly string[]): SimulationScenario => {
+    const day = sharedDay(170, faults, 8);
     return { ...day, controllers: { ...day.controllers, allow: [], releases: [...releases] } };
   };
   const PREVIOUS_RELEASE = 'before-quotas';
@@ -140,14 +140,14 @@
 });
 
 test('a team at its limit does not exceed it while cancelled tasks remain on hung machines', async () => {
-  const troubles: Fault[] = [
+  const faults: Fault[] = [
     { kind: 'cancel_now', at_s: 45, count: 6, hang_s: 20 },
     { kind: 'controller_crash', at_s: 48, controller: 'leader' },
     { kind: 'cancel_now', at_s: 80, count: 6, hang_s: 20 },
     { kind: 'rolling_restart', at_s: 85, gap_s: 10 },
   ];
   for (const seed of [1, 2]) {
-    const day = sharedDay(150, troubles, seed);
+    const day = sharedDay(150, faults, seed);
     const tightLimits = day.teams.map((team) => (team.name === 'mail' ? { ...team, cpus_max: 24 } : team));
     await playKeepingRules({ ...day, teams: tightLimits }, []);
   }
--- a/packages/region/test/rollout.test.ts
+++ b/packages/region/test/rollout.test.ts
@@ -120,11 +120,11 @@
 });
 
 test('a rollback from this release to the old one, leaving first, and a rollout from the old one to this one', async () => {
-  const troubles = [
+  const faults = [
     rolloutTo(OLD_RELEASE, 30, { leave: true, order: [1, 2, 0] }),
     rolloutTo('this', 100, { leave: true }),
   ];
-  const day = await playMixed(shortDay(190, troubles), []);
+  const day = await playMixed(shortDay(190, faults), []);
   assert.equal(startsIn(day).length, 9);
   // The old release does not know the leave request, so its controllers are killed.
   assert.equal(day.events.filter((line) => line.includes(' leaves ')).length, 3);
@@ -152,8 +152,8 @@
 });
 
 test('the feature stays off while one controller is old, goes on once it is replaced, and stays on when an old one returns', async () => {
-  const troubles = [rolloutTo('this', 40, { order: [2] }), rolloutTo(OLD_RELEASE, 100, { order: [1] })];
-  const day = await playMixed(shortDay(200, troubles), ['this', 'this', OLD_RELEASE]);
+  const faults = [rolloutTo('this', 40, { order: [2] }), rolloutTo(OLD_RELEASE, 100, { order: [1] })];
+  const day = await playMixed(shortDay(200, faults), ['this', 'this', OLD_RELEASE]);
   const [first, ...rest] = loggedSwitches(day);
   assert.ok(first && first.to === 'on' && first.time > 60 && first.time < 75, JSON.stringify(first));
   assert.deepEqual(rest, []);
@@ -202,7 +202,7 @@
   controller: 'leader',
   down_s: 3,
 }));
-const FAULTS_AROUND_SWITCH: readonly [name: string, troubles: readonly Fault[]][] = [
+const FAULTS_AROUND_SWITCH: readonly [name: string, faults: readonly Fault[]][] = [
   ...CRASHES.map((crash): [string, Fault[]] => [`the leader crashes at ${crash.at_s} s`, [crash]]),
   ['all crash at once', [{ kind: 'controller_crash', at_s: 21.5, controller: 'all', down_s: 3 }]],
   ['the state service is unavailable', [{ kind: 'state_outage', at_s: 19, for_s: 14 }]],
@@ -216,34 +216,34 @@
 ];
 
 test('controllers and the state service fail around a switch: every rule is kept, and the feature ends up on', async () => {
-  for (const [name, troubles] of FAULTS_AROUND_SWITCH) {
-    const day = await playMixed(shortDay(90, troubles), []);
+  for (const [name, faults] of FAULTS_AROUND_SWITCH) {
+    const day = await playMixed(shortDay(90, faults), []);
     assert.equal(storedFeatureState(day.state[ROLLOUT_STATE]), 'on', name);
   }
 });
 
 test('controllers or the state service fail while the feature is reverted: grouped records are still moved back', async () => {
   const burst: Fault = { kind: 'burst', at_s: 35, for_s: 30, class: 'letters', times: 6 };
-  const faults: readonly (readonly Fault[])[] = [
+  const faultLists: readonly (readonly Fault[])[] = [
     [{ kind: 'controller_crash', at_s: 60.3, controller: 'leader', down_s: 3 }],
     [{ kind: 'controller_crash', at_s: 60.6, controller: 'all', down_s: 3 }],
     [{ kind: 'state_outage', at_s: 60.4, for_s: 8 }],
   ];
-  for (const troubles of faults) {
-    const day = await playMixed(shortDay(130, [burst, ...troubles]), [], { actions: [[60, requestFeature('back')]] });
+  for (const faults of faultLists) {
+    const day = await playMixed(shortDay(130, [burst, ...faults]), [], { actions: [[60, requestFeature('back')]] });
     assert.equal(storedFeatureState(day.state[ROLLOUT_STATE]), 'off');
     for (const shard of SHARDS) assert.equal(day.state[`live/progress/${shard}`], undefined);
   }
 });
 
 test('an old controller that is paused and cut off during the whole rollout continues afterwards', async () => {
-  const troubles: Fault[] = [
+  const faults: Fault[] = [
     rolloutTo('this', 30, { order: [0, 1], gap_s: 12 }),
     { kind: 'controller_cut', at_s: 24, for_s: 46, controller: 2, from: 'all', manner: 'hold' },
     { kind: 'controller_pause', at_s: 26, for_s: 40, controller: 2 },
     rolloutTo('this', 95, { order: [2] }),
   ];
-  const day = await playMixed(shortDay(160, troubles), [OLD_RELEASE, OLD_RELEASE, OLD_RELEASE]);
+  const day = await playMixed(shortDay(160, faults), [OLD_RELEASE, OLD_RELEASE, OLD_RELEASE]);
   const [switchedOn] = loggedSwitches(day);
   assert.ok(switchedOn && switchedOn.time > 115, JSON.stringify(switchedOn));
 });
--- a/packages/region/test/scale.test.ts
+++ b/packages/region/test/scale.test.ts
@@ -40,8 +40,8 @@
     }
     // The limits of the teams admit the largest jobs, which would be refused otherwise.
     for (const team of part.teams) assert.ok(team.gpus_max >= 64 && team.cpus_max >= 256);
-    for (const trouble of part.troubles)
-      if ('zone' in trouble && trouble.zone !== undefined) assert.ok(part.zones.includes(trouble.zone));
+    for (const fault of part.troubles)
+      if ('zone' in fault && fault.zone !== undefined) assert.ok(part.zones.includes(fault.zone));
   }
   for (const dimension of CAPACITY_DIMENSIONS) assert.equal(capacityRun(day, dimension, 1).day.troubles.length, 0);
 });
--- a/packages/region/test/scenario.test.ts
+++ b/packages/region/test/scenario.test.ts
@@ -51,8 +51,8 @@
 });
 
 test("the operators' names of faults are accepted; shares above 1, missing and contradicting fields are reported", () => {
-  const day = (trouble: string): string => `${dayText('quiet')}\n[[troubles]]\nat_s = 7.0\n${trouble}\n`;
-  const kindOf = (trouble: string): string | undefined => parseScenario(day(trouble), 'm').troubles[0]?.kind;
+  const day = (fault: string): string => `${dayText('quiet')}\n[[troubles]]\nat_s = 7.0\n${fault}\n`;
+  const kindOf = (fault: string): string | undefined => parseScenario(day(fault), 'm').troubles[0]?.kind;
   assert.equal(kindOf('kind = "machine_mute"\nfor_s = 3.0\nshare = 0.2'), 'machines_mute');
   assert.equal(kindOf('kind = "machine_deaf"\nfor_s = 3.0\ncount = 2'), 'machines_deaf');
   assert.equal(kindOf('kind = "late_reports"\nfor_s = 3.0\nshare = 0.2\nfor_next = true'), 'reports_again');
@@ -67,7 +67,7 @@
     ],
     ['kind = "close_look"\nfor_s = 3.0', /troubles\.0\.kind: /],
   ];
-  for (const [trouble, pattern] of wrong) assert.throws(() => parseScenario(day(trouble), 'm'), pattern);
+  for (const [fault, pattern] of wrong) assert.throws(() => parseScenario(day(fault), 'm'), pattern);
 });
 
 test('the shipped scenarios are valid, and every drawn schedule survives formatting and parsing unchanged', () => {
@@ -91,7 +91,7 @@
   let runs = 0;
   const left = await shrink(many, (tried) => {
     runs += 1;
-    return Promise.resolve(needed.every((trouble) => trouble !== undefined && tried.includes(trouble)));
+    return Promise.resolve(needed.every((fault) => fault !== undefined && tried.includes(fault)));
   });
   assert.deepEqual(left, needed);
   assert.ok(runs < many.length * 6, `${runs} plays`);
--- a/packages/region/test/test-days.ts
+++ b/packages/region/test/test-days.ts
@@ -17,18 +17,18 @@
 export const shippedDay = (name: string): SimulationScenario => parseScenario(dayText(name), `${name}.toml`);
 
 /** The fleet and job classes of the day `quiet`, with another duration and these faults. */
-export const shortDay = (durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario => ({
+export const shortDay = (durationS: number, faults: readonly Fault[], seed = 7): SimulationScenario => ({
   ...shippedDay('quiet'),
   name: 'short',
   seed,
   duration_s: durationS,
   quiet_end_s: 0,
-  troubles: [...troubles],
+  troubles: [...faults],
 });
 
 /** A day on which four one-task jobs arrive per second, a quarter of which are cancelled, and little else. */
-export const highArrivalRateDay = (durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario => {
-  const day = shortDay(durationS, troubles, seed);
+export const highArrivalRateDay = (durationS: number, faults: readonly Fault[], seed = 7): SimulationScenario => {
+  const day = shortDay(durationS, faults, seed);
   const oneTask = { sizes: [1], weights: [1] };
   const arrivals = { per_minute: 240, cancel_share: 0.25, cancel_within_s: 12 };
   return {
--- a/packages/tools/src/cli/main.ts
+++ b/packages/tools/src/cli/main.ts
@@ -1,4 +1,4 @@
-// Entry point of the tools bundle: the commands region, record, trace and whatif.
+/** Entry point of the tools bundle: the commands region, record, trace and whatif. */
 import { isMainThread } from 'node:worker_threads';
 import { Command } from 'commander';
 import { exitOnBrokenPipe } from '../../../../src/cli/index.js';
--- a/packages/trace/src/index.ts
+++ b/packages/trace/src/index.ts
@@ -1,4 +1,4 @@
-// Records the event trails of all controllers into a trace on disk, and reads such traces.
+/** Records the event trails of all controllers into a trace on disk, and reads such traces. */
 export { mergeRows, readTrace, readTraceDirectory, verifyTrace, type Trace } from './read-trace.js';
 export {
   Recorder,
--- a/packages/whatif/src/replay/controller-replay.ts
+++ b/packages/whatif/src/replay/controller-replay.ts
@@ -119,7 +119,7 @@
 ): Promise<void> {
   const { store, rowsById: ids } = await TraceStore.open(files, region.dayStartWallMs);
   const runtime = region.createExternalProcess('recorder');
-  const sources = region.controllers.map(({ spec: seat }) => ({ node: seat.name, at: seat.serveOn }));
+  const sources = region.controllers.map(({ spec }) => ({ node: spec.name, at: spec.serveOn }));
   const options = { pollMs, segmentRows: 50_000, segmentMs: 60_000, keep: { ageMs: null, bytes: null } };
   const recorder = new Recorder(store, ids, sources, options, runtime, pino({ level: 'silent' }));
   recorder.start();
@@ -161,13 +161,13 @@
   options: ReplayOptions = {},
 ): Promise<ReplayResult> {
   const warmUpS = scenario.coldStart ? 0 : WARM_UP_S;
-  const luck = new RandomStream(seed, 'replay');
+  const random = new RandomStream(seed, 'replay');
   const script: Script = {
-    machine: machineScripts(scenario, warmUpS, luck.fork('boots')).scriptOf,
+    machine: machineScripts(scenario, warmUpS, random.fork('boots')).scriptOf,
     crashes: scenario.crashes.map((crash) => ({ ...crash, atS: crash.atS + warmUpS })),
     jobs: scenario.jobs.map((job) => ({
       atS: Math.max(0, job.atS + warmUpS),
-      job: new SimulatedJob(submissionOf(job.spec), runTimesOf(job, scenario, luck), job.mistaken),
+      job: new SimulatedJob(submissionOf(job.spec), runTimesOf(job, scenario, random), job.mistaken),
       cancelAtS: job.cancelAtS === null ? null : job.cancelAtS + warmUpS,
     })),
   };
--- a/packages/whatif/src/replay/decision-replay.ts
+++ b/packages/whatif/src/replay/decision-replay.ts
@@ -323,13 +323,13 @@
       const m = this.machines.get(machine);
       if (m?.tasks.size === 0) this.releaseMachine(m);
     }
-    for (const wish of splitIntoCalls(plan.rents)) {
-      const kind = kindKeyOf(wish);
+    for (const request of splitIntoCalls(plan.rents)) {
+      const kind = kindKeyOf(request);
       const available = cloudCapacity(this.scenario, kind) - (this.heldPerKind.get(kind) ?? 0);
-      const granted = Math.min(available, wish.count);
-      for (let i = 0; i < granted; i++) this.rentMachine(wish.type, wish.zone, wish.spot);
-      if (granted < wish.count)
-        this.refusedUntilS.set(machineKindKey(wish.type, wish.zone, wish.spot), nowS + CAPACITY_BACKOFF_S);
+      const granted = Math.min(available, request.count);
+      for (let i = 0; i < granted; i++) this.rentMachine(request.type, request.zone, request.spot);
+      if (granted < request.count)
+        this.refusedUntilS.set(machineKindKey(request.type, request.zone, request.spot), nowS + CAPACITY_BACKOFF_S);
     }
   }
 
--- a/packages/whatif/src/replay/machine-simulation.ts
+++ b/packages/whatif/src/replay/machine-simulation.ts
@@ -44,8 +44,8 @@
     if (!booting) return;
     this.bootingMachines.delete(id);
     const { type, zone, spot, script } = booting;
-    const machineLuck = this.luck.fork(id);
-    const m = new SimMachine(id, type, zone, spot, booting.rentedS, machineLuck.uniform(0.67, 1.33), script.slowness);
+    const machineRandom = this.random.fork(id);
+    const m = new SimMachine(id, type, zone, spot, booting.rentedS, machineRandom.uniform(0.67, 1.33), script.slowness);
     m.emptySinceS = this.nowS;
     m.failsFromS = script.failsFromS;
     this.machines.set(id, m);
--- a/packages/whatif/src/replay/scripted-inputs.ts
+++ b/packages/whatif/src/replay/scripted-inputs.ts
@@ -8,7 +8,7 @@
 export function machineScripts(
   scenario: Scenario,
   offsetS: number,
-  luck: RandomStream,
+  random: RandomStream,
 ): { readonly byKind: ReadonlyMap<string, ScenarioMachine[]>; readonly scriptOf: Script['machine'] } {
   const byKind = new Map<string, ScenarioMachine[]>();
   // Machines that are up when the night begins come first, as in the simulated region.
@@ -26,7 +26,7 @@
       const boots = (byKind.get(kind) ?? scenario.machines).filter((x) => !x.initial).map((x) => x.upAfterS);
       const type = scenario.facts.types.find(({ name }) => kind.startsWith(`${name} `));
       const typicalBootS = type?.bootS ?? 30;
-      const bootS = boots.length > 0 ? (luck.pickOne(boots) ?? null) : typicalBootS * luck.uniform(0.6, 1.5);
+      const bootS = boots.length > 0 ? (random.pickOne(boots) ?? null) : typicalBootS * random.uniform(0.6, 1.5);
       return { bootS, diesAtS: null, takenBack: null, slowness: 1, failsFromS: null };
     }
     const up = m.upAfterS;
@@ -44,17 +44,17 @@
  * Returns the run time of each task of a job in seconds: the recorded one, or one drawn from the runs of the job's
  * class.
  */
-export function runTimesOf(job: ScenarioJob, scenario: Scenario, luck: RandomStream): (index: number) => number {
+export function runTimesOf(job: ScenarioJob, scenario: Scenario, random: RandomStream): (index: number) => number {
   const { spec, workS: work } = job;
   const { runTimeModel: fits } = scenario.runs;
-  const jobLuck = luck.fork(spec.id);
-  const typicalS = fits.sampleJobRunS(spec, () => jobLuck.next());
+  const jobRandom = random.fork(spec.id);
+  const typicalS = fits.sampleJobRunS(spec, () => jobRandom.next());
   const drawn = new Map<number, number>();
   return (index) => {
     const task = spec.kind === 'gang' ? 0 : index;
     const known = work.get(task) ?? drawn.get(task);
     if (known !== undefined) return known;
-    const run = fits.sampleTaskRunS(spec, typicalS, () => jobLuck.fork(String(task)).next());
+    const run = fits.sampleTaskRunS(spec, typicalS, () => jobRandom.fork(String(task)).next());
     drawn.set(task, run);
     return run;
   };
--- a/packages/whatif/src/replay/task-simulation.ts
+++ b/packages/whatif/src/replay/task-simulation.ts
@@ -50,7 +50,7 @@
   protected readonly refusedUntilS = new Map<string, number>();
   protected readonly types: ReadonlyMap<string, MachineTypeFacts>;
   protected readonly tunables: Tunables;
-  protected readonly luck: RandomStream;
+  protected readonly random: RandomStream;
   protected readonly machineScript: Script['machine'];
   protected readonly timeline: TimelineSample[] = [];
   /** Limits of the teams that have one. */
@@ -79,11 +79,11 @@
     seed: number,
   ) {
     const { facts } = scenario;
-    this.luck = new RandomStream(seed, 'decisions');
+    this.random = new RandomStream(seed, 'decisions');
     this.followingRecord = scenario.divergesAtS > 0;
     this.types = new Map(facts.types.map((type) => [type.name, type]));
     this.tunables = { ...DEFAULT_TUNABLES, ...facts.settings.tunables };
-    this.machineScript = machineScripts(scenario, 0, this.luck.fork('boots')).scriptOf;
+    this.machineScript = machineScripts(scenario, 0, this.random.fork('boots')).scriptOf;
     this.teamLimits = new Map(Object.entries(facts.teams).filter(([, t]) => t.cpusMax > 0 || t.gpusMax > 0));
     for (const name of this.teamLimits.keys()) this.teamUse.set(name, { cpus: 0, gpus: 0 });
   }
@@ -110,8 +110,8 @@
 
   /** Adds a job at the time of its submission. */
   protected submitJob(played: Scenario['jobs'][number]): void {
-    const luck = this.luck.fork('runs');
-    const job = new SimJob(played, this.nowS, runTimesOf(played, this.scenario, luck));
+    const random = this.random.fork('runs');
+    const job = new SimJob(played, this.nowS, runTimesOf(played, this.scenario, random));
     const { spec } = job;
     this.jobs.set(spec.id, job);
     this.openJobs.set(spec.id, job);
--- a/packages/whatif/test/night-fixtures.ts
+++ b/packages/whatif/test/night-fixtures.ts
@@ -11,9 +11,9 @@
 import { recordRegion } from '../src/index.js';
 
 /** Returns the simulated region's quiet day with another duration and the given faults. */
-export const shortDay = (durationS: number, troubles: readonly Fault[], seed = 7): SimulationScenario => ({
+export const shortDay = (durationS: number, faults: readonly Fault[], seed = 7): SimulationScenario => ({
   ...parseScenario(readFileSync(join(process.cwd(), 'packages/region/days/quiet.toml'), 'utf8'), 'quiet.toml'),
-  ...{ name: 'short', seed, duration_s: durationS, quiet_end_s: 0, troubles: [...troubles] },
+  ...{ name: 'short', seed, duration_s: durationS, quiet_end_s: 0, troubles: [...faults] },
 });
 
 /** Simulates a day of the region and returns the trace that the recorder wrote, polling every `pollMs`. */
--- a/packages/whatif/test/replay.test.ts
+++ b/packages/whatif/test/replay.test.ts
@@ -37,8 +37,8 @@
 
 test('replaying a night unchanged reproduces the recorded finishing times, also with whole controllers', async () => {
   const crash = { kind: 'controller_crash', at_s: 90, controller: 0, down_s: 8 } as const;
-  for (const troubles of [[], [{ kind: 'machines_die', at_s: 70, count: 2 } as const], [crash]]) {
-    const night = readNight(await recordTrace(shortDay(240, troubles, 12)));
+  for (const faults of [[], [{ kind: 'machines_die', at_s: 70, count: 2 } as const], [crash]]) {
+    const night = readNight(await recordTrace(shortDay(240, faults, 12)));
     const scenario = buildScenario(night);
     const { jobs, within, unfinished } = replayErrors(
       scenario,
