--- a/packages/region/src/fault-injection.ts
+++ b/packages/region/src/fault-injection.ts
@@ -19,7 +19,7 @@
   readonly parts: RegionParts;
   readonly network: Network;
   readonly world: EventQueue;
-  readonly rng: RandomStream;
+  readonly random: RandomStream;
   readonly controllers: readonly Controller[];
   readonly leader: Controller | undefined;
   /** Appends a line to the event log. */
@@ -80,7 +80,7 @@
  * controller within 1.5 s.
  */
 function holdReportsUntilTakeover(region: FaultTarget, share: number, forS: number): void {
-  const { parts, world, rng } = region;
+  const { parts, world, random } = region;
   const held: unknown[] = [];
   const keep = (body: unknown): void => {
     held.push(body);
@@ -98,7 +98,7 @@
     if (latest !== roles) {
       roles = latest;
       for (const body of held.splice(0)) {
-        world.schedule(world.now + rng.uniform(0, 1500), () => parts.deliverReport(body));
+        world.schedule(world.now + random.uniform(0, 1500), () => parts.deliverReport(body));
       }
     }
     if (world.now < endAt + HELD_REPORT_RETENTION_S * 1000)
@@ -127,16 +127,16 @@
 /** Chooses machines at random, by count or else by share, from one zone if given. `all` holds the machines up. */
 export function chooseMachines(
   all: readonly Machine[],
-  rng: RandomStream,
+  random: RandomStream,
   { count, share, zone }: MachineSelection,
 ): Machine[] {
   const candidates = all.filter((machine) => zone === undefined || machine.zone === zone);
-  return rng.sample(candidates, count ?? Math.round(candidates.length * (share ?? 0)));
+  return random.sample(candidates, count ?? Math.round(candidates.length * (share ?? 0)));
 }
 
 /** Chooses the machines that a fault affects, with a random stream for this moment. */
 const selectMachines = (region: FaultTarget, which: MachineSelection): Machine[] =>
-  chooseMachines(region.parts.cloud.up, region.rng.fork(`drawn ${region.world.now}`), which);
+  chooseMachines(region.parts.cloud.up, region.random.fork(`drawn ${region.world.now}`), which);
 
 /** The controllers that a fault affects; none while there is no leader. */
 function controllersOf(region: FaultTarget, which: number | 'leader' | 'all'): readonly Controller[] {
@@ -217,8 +217,8 @@
     }
     case 'spot_wave': {
       const spot = parts.cloud.up.filter((machine) => machine.spot);
-      const rng = region.rng.fork(`wave ${region.world.now}`);
-      for (const machine of rng.sample(spot, Math.round(spot.length * fault.share)))
+      const random = region.random.fork(`wave ${region.world.now}`);
+      for (const machine of random.sample(spot, Math.round(spot.length * fault.share)))
         parts.cloud.reclaim(machine, fault.notice);
       break;
     }
@@ -304,7 +304,7 @@
       // The jobs are cancelled within 200 ms. Spreading the hangs over 250 ms makes some machines hang before the
       // cancellation and some after it.
       for (const worker of [...machines].slice(0, MAX_HUNG_WORKERS))
-        world.schedule(world.now + region.rng.uniform(0, 250), () => hangWorkers(region, [worker], hang_s));
+        world.schedule(world.now + region.random.uniform(0, 250), () => hangWorkers(region, [worker], hang_s));
       break;
     }
     case 'cancel_at_end':
--- a/packages/region/src/hunt/search.ts
+++ b/packages/region/src/hunt/search.ts
@@ -163,9 +163,9 @@
 /** Runs drawn fault schedules until one fails, and shrinks it; returns null if the search ends without a failure. */
 export async function searchForFailure(
   day: SimulationScenario,
-  { seed, shouldContinue: goOn, told, keep, mixed, releases }: FaultSearchOptions,
+  { seed, shouldContinue, told, keep, mixed, releases }: FaultSearchOptions,
 ): Promise<{ readonly day: SimulationScenario; readonly first: DayResult } | null> {
-  for (let currentSeed = seed; goOn(); currentSeed++) {
+  for (let currentSeed = seed; shouldContinue(); currentSeed++) {
     const ownFaults = keep === true ? day.troubles : [];
     const schedule = [...ownFaults, ...drawFaultSchedule(currentSeed, day)].sort((a, b) => a.at_s - b.at_s);
     const drawn = withFaults(day, schedule, currentSeed);
--- a/packages/region/src/loopback-region.ts
+++ b/packages/region/src/loopback-region.ts
@@ -74,14 +74,14 @@
     createHost: (): ModelHost => ({ runtime, watchdog: runtime, at, close: () => undefined }),
     now: () => runtime.now() - startedAt,
   };
-  const rng = new RandomStream(seed, day.name);
+  const random = new RandomStream(seed, day.name);
   const parts = new RegionParts({
     day,
-    random: rng,
+    random,
     place,
     log,
     controllers,
-    note: logEvent,
+    logEvent,
     findJob: jobFromStoredRecord,
   });
   const [state = 0, cloud = 0] = await parts.start();
--- a/packages/region/src/measure/speed.ts
+++ b/packages/region/src/measure/speed.ts
@@ -28,11 +28,11 @@
   await region.play();
   const tookS = (clockMs() - startedMs) / 1000;
   const residentMb = Math.round(residentBytes() / 1e6);
-  const { executedCount: played } = region.world;
+  const { executedCount } = region.world;
   region.close();
   return {
     ...{ machines, simulatedS, tookS, residentMb },
     timesRealTime: simulatedS / tookS,
-    happeningsPerSimulatedS: Math.round(played / simulatedS),
+    happeningsPerSimulatedS: Math.round(executedCount / simulatedS),
   };
 }
--- a/packages/region/src/models/cloud.ts
+++ b/packages/region/src/models/cloud.ts
@@ -316,10 +316,12 @@
     machine.fate = 'running';
     machine.runningAt = this.runtime.now();
     if (machine.script) this.applyScript(machine, machine.script);
-    const { reclaimsPerHour: perHour, noNoticeShare: silentShare } = this.config.spot;
-    if (machine.spot && perHour > 0 && !machine.script) {
-      const withNotice = !this.random.chance(silentShare);
-      this.runtime.after(this.random.exponential(3600 / perHour) * 1000, () => this.reclaim(machine, withNotice));
+    const { reclaimsPerHour, noNoticeShare } = this.config.spot;
+    if (machine.spot && reclaimsPerHour > 0 && !machine.script) {
+      const withNotice = !this.random.chance(noNoticeShare);
+      this.runtime.after(this.random.exponential(3600 / reclaimsPerHour) * 1000, () =>
+        this.reclaim(machine, withNotice),
+      );
     }
     this.hooks.up(machine);
   }
--- a/packages/region/src/region-parts.ts
+++ b/packages/region/src/region-parts.ts
@@ -83,13 +83,13 @@
   readonly log: Logger;
   readonly controllers: readonly ControllerSpec[];
   /** Called with one line of text for each event. */
-  readonly note: (what: string) => void;
+  readonly logEvent: (what: string) => void;
   /** Called for each violated rule. */
   readonly broken?: (violation: RuleViolation) => void;
   /** Jobs and the fates of machines, instead of those drawn at random for the day. */
   readonly script?: Script;
   /** Runs the workers outside this process; when given, no worker models are created here. */
-  readonly hosts?: ExternalWorkers;
+  readonly externalWorkers?: ExternalWorkers;
   /** Observes every task's start command, start and end, and every job, in addition to the checker. */
   readonly observer?: RegionObserver;
   /** Looks up a job that no simulated user submitted; undefined if there is none. */
@@ -97,9 +97,9 @@
 }
 
 /** Intervals and limits of a day's workers, in seconds. */
-export const workerTimings = ({ workers: w }: SimulationScenario): WorkerTimings => ({
-  ...{ reportS: w.report_s, leaseS: w.lease_s, cancelS: w.cancel_s },
-  ...{ gangWaitS: w.gang_wait_s, gangPeerS: w.gang_peer_s },
+export const workerTimings = ({ workers }: SimulationScenario): WorkerTimings => ({
+  ...{ reportS: workers.report_s, leaseS: workers.lease_s, cancelS: workers.cancel_s },
+  ...{ gangWaitS: workers.gang_wait_s, gangPeerS: workers.gang_peer_s },
 });
 
 /** All models of a region except its controllers, in simulated time or on real sockets. */
@@ -122,7 +122,7 @@
   private readonly timings: WorkerTimings;
 
   constructor(private readonly options: RegionPartsOptions) {
-    const { day, random: rng, place } = options;
+    const { day, random, place } = options;
     this.timings = workerTimings(day);
     // A job that no simulated user submitted is looked up with `findJob`, if given.
     this.jobs = new SimulatedJobs(options.findJob && ((ref) => options.findJob?.(ref, this.state)));
@@ -137,19 +137,19 @@
       this.timings.cancelS,
       (ms, work) => runtime.after(ms, work),
       (violation) => {
-        options.note(`broken ${violation.rule}: ${violation.what}`);
+        options.logEvent(`broken ${violation.rule}: ${violation.what}`);
         options.broken?.(violation);
       },
     );
     this.statistics = new JobStatistics(day, now);
     const { state, cloud } = day;
-    this.state = new StateModel(this.stateHost.runtime, rng.fork('state'), {
+    this.state = new StateModel(this.stateHost.runtime, random.fork('state'), {
       ...{ rps: state.rps, writeRps: state.write_rps, valueKb: state.value_kb },
       ...{ txnOps: state.txn_ops, latencyMs: state.latency_ms },
     });
     this.cloud = new CloudModel(
       this.cloudHost.runtime,
-      rng.fork('cloud'),
+      random.fork('cloud'),
       {
         ...{ rps: cloud.rps, latencyMs: cloud.latency_ms, listLagS: cloud.list_lag_s },
         spot: {
@@ -167,7 +167,7 @@
       },
       { up: (machine) => this.startWorker(machine), gone: (machine) => this.endWorker(machine) },
     );
-    this.gangs = new GangCoordinator(this.cloudHost.runtime, rng.fork('gangs'), {
+    this.gangs = new GangCoordinator(this.cloudHost.runtime, random.fork('gangs'), {
       ...{ waitS: this.timings.gangWaitS, peerS: this.timings.gangPeerS },
     });
     this.balancer = new Balancer(
@@ -175,11 +175,11 @@
       options.controllers.map(({ serveOn }) => serveOn),
     );
     this.users = new UserModel({
-      ...{ runtime, now, random: rng.fork('users'), day, balancer: this.balancer, jobs: this.jobs },
+      ...{ runtime, now, random: random.fork('users'), day, balancer: this.balancer, jobs: this.jobs },
       checker: this.checker,
       arrived: (view) => {
         const { ref, jobclass, pieces } = view.job.spec;
-        options.note(`arrives ${ref} ${jobclass} ${pieces}`);
+        options.logEvent(`arrives ${ref} ${jobclass} ${pieces}`);
         this.statistics.addJob(view);
         options.observer?.jobSubmitted(view);
       },
@@ -217,7 +217,7 @@
 
   /** Starts the worker of a machine that has come up. */
   private startWorker(machine: Machine): void {
-    const { place, random: rng, log, controllers, note: logEvent, hosts: externalWorkers } = this.options;
+    const { place, random, log, controllers, logEvent, externalWorkers } = this.options;
     if (externalWorkers) {
       logEvent(`up ${machine.id} ${machine.type.name} ${machine.zone}`);
       externalWorkers.up(machine);
@@ -227,7 +227,7 @@
     const model = new WorkerModel(machine, {
       runtime: host.runtime,
       watchdog: host.watchdog,
-      luck: rng.fork(machine.id),
+      luck: random.fork(machine.id),
       log,
       facts: this.timings,
       controllers: controllers.map(({ name, serveOn }) => ({ name, at: serveOn })),
@@ -252,11 +252,11 @@
 
   /** Ends the worker of a machine that is gone. */
   private endWorker(machine: Machine): void {
-    this.options.hosts?.gone(machine);
+    this.options.externalWorkers?.gone(machine);
     const hosted = this.workers.get(machine.id);
     if (!hosted) return;
     this.workers.delete(machine.id);
-    this.options.note(`gone ${machine.id} ${machine.fate}`);
+    this.options.logEvent(`gone ${machine.id} ${machine.fate}`);
     hosted.host.close();
     hosted.model.end();
   }
@@ -264,7 +264,7 @@
   // ---- Tasks
 
   entered(machine: Machine, job: SimulatedJob, index: number, attempt: number): void {
-    this.options.note(`on ${job.spec.ref}/${index} ${attempt} ${machine.id}`);
+    this.options.logEvent(`on ${job.spec.ref}/${index} ${attempt} ${machine.id}`);
     this.checker.entered(machine, job, index, attempt);
     this.options.observer?.entered(machine, job, index, attempt);
   }
@@ -274,13 +274,13 @@
   }
 
   running(machine: Machine, job: SimulatedJob, index: number, attempt: number): void {
-    this.options.note(`runs ${job.spec.ref}/${index} ${machine.id}`);
+    this.options.logEvent(`runs ${job.spec.ref}/${index} ${machine.id}`);
     this.statistics.running(machine, job, index);
     this.options.observer?.running(machine, job, index, attempt);
   }
 
   left(machine: Machine, job: SimulatedJob, index: number, attempt: number, cause: TaskExitCause | 'killed'): void {
-    this.options.note(`off ${job.spec.ref}/${index} ${attempt} ${machine.id} ${cause}`);
+    this.options.logEvent(`off ${job.spec.ref}/${index} ${attempt} ${machine.id} ${cause}`);
     this.checker.left(machine, job, index);
     this.statistics.left(machine, job, index, attempt, cause);
     this.options.observer?.left(machine, job, index, attempt, cause);
--- a/packages/region/src/region.ts
+++ b/packages/region/src/region.ts
@@ -110,7 +110,7 @@
   readonly network: Network;
   readonly parts: RegionParts;
   readonly controllers: readonly Controller[];
-  readonly rng: RandomStream;
+  readonly random: RandomStream;
   readonly day: SimulationScenario;
   readonly seed: number;
   /** Processes of the models, by name; a worker's is named after its machine. */
@@ -130,12 +130,12 @@
     this.releases = options.releases ?? new ReleaseCatalog(RELEASES_DIR);
     this.day = day;
     this.seed = options.seed ?? day.seed;
-    this.rng = new RandomStream(this.seed, day.name);
-    const { network: latencies } = day;
+    this.random = new RandomStream(this.seed, day.name);
+    const { network } = day;
     this.network = new Network(
       this.world,
-      { sameZoneMs: latencies.same_zone_ms, crossZoneMs: latencies.cross_zone_ms, jitter: latencies.jitter },
-      this.rng.fork('network'),
+      { sameZoneMs: network.same_zone_ms, crossZoneMs: network.cross_zone_ms, jitter: network.jitter },
+      this.random.fork('network'),
     );
     const specs = Array.from({ length: day.controllers.count }, (_, i): ControllerSpec => {
       const host = `10.0.0.${i + 1}`;
@@ -151,8 +151,8 @@
       now: () => this.world.now,
     };
     this.parts = new RegionParts({
-      ...{ day, random: this.rng, place, log: this.log, controllers: specs },
-      note: (what) => this.logEvent(what),
+      ...{ day, random: this.random, place, log: this.log, controllers: specs },
+      logEvent: (what) => this.logEvent(what),
       ...(options.broken ? { broken: options.broken } : {}),
       ...(options.script ? { script: options.script } : {}),
     });
@@ -190,12 +190,12 @@
     const workerNumber = fixedAddress ? 0 : this.nextWorkerNumber++;
     const at = fixedAddress ?? { host: `10.1.${workerNumber >> 8}.${workerNumber & 255}`, port: WORKER_PORT };
     const host = this.network.addHost(at.host, zone);
-    const rng = this.rng.fork(`process ${name}`);
+    const random = this.random.fork(`process ${name}`);
     // The clocks of the services and users are exact. Those of the workers drift, as they do on real machines.
-    const drift = fixedAddress ? 0 : rng.uniform(-1, 1) * this.day.controllers.drift;
+    const drift = fixedAddress ? 0 : random.uniform(-1, 1) * this.day.controllers.drift;
     const clocks = { drift, wanderMs: 0 };
-    const process = new SimProcess(name, host, this.world, this.network, rng, clocks);
-    const watchdog = new SimProcess(`${name} watchdog`, host, this.world, this.network, rng, clocks);
+    const process = new SimProcess(name, host, this.world, this.network, random, clocks);
+    const watchdog = new SimProcess(`${name} watchdog`, host, this.world, this.network, random, clocks);
     this.processes.set(name, process);
     return {
       ...{ runtime: process, watchdog, at },
@@ -214,7 +214,7 @@
   /** Creates a process outside the region, such as an operator's tool, on a host of its own. */
   createExternalProcess(name: string): SimProcess {
     const host = this.network.addHost(`10.4.0.${++this.externalProcessCount}`, null);
-    return new SimProcess(name, host, this.world, this.network, this.rng.fork(name));
+    return new SimProcess(name, host, this.world, this.network, this.random.fork(name));
   }
 
   /** The process of a machine's worker; undefined when the machine is not up. */
@@ -229,10 +229,10 @@
   ): { process: SimProcess; service: ControllerHandle } {
     const { day, settings, controllerLog, trailEvents } = this.options;
     const { spec, host, starts, release } = controller;
-    const rng = this.rng.fork(`${spec.name} ${starts}`);
-    const clocks = { drift: rng.uniform(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
+    const random = this.random.fork(`${spec.name} ${starts}`);
+    const clocks = { drift: random.uniform(0, 1) * day.controllers.drift, wanderMs: day.controllers.skew_ms / 2 };
     const { max_connections: maxConnections } = day.controllers;
-    const process = new SimProcess(spec.name, host, this.world, this.network, rng, clocks, maxConnections);
+    const process = new SimProcess(spec.name, host, this.world, this.network, random, clocks, maxConnections);
     const toml = controllerSettingsToml(day, spec, specs, { state: STATE_ADDRESS, cloud: CLOUD_ADDRESS });
     const log: Logger = controllerLog
       ? pino(
--- a/packages/region/src/report/table.ts
+++ b/packages/region/src/report/table.ts
@@ -44,13 +44,13 @@
       c.restarts,
     ]);
   }
-  const { money, machines: m, state, breaches, defects, failures } = result;
+  const { money, machines, state, breaches, defects, failures } = result;
   const lines = [
     `${result.day}, seed ${result.seed}: ${result.simulatedS.toFixed(0)} s of simulated time`,
     table.toString(),
     'times to the first start and to completion at the 50th / 95th / 99th percentile, in seconds since submission',
     `cost: ${money.spent.toFixed(2)} spent, ${money.price === null ? 'no useful work' : `${money.price.toFixed(2)} times the lowest possible cost of the useful work`}`,
-    `machines: ${m.rented} rented, ${m.neverUp} never came up, ${m.takenBack} reclaimed, ${m.died} failed`,
+    `machines: ${machines.rented} rented, ${machines.neverUp} never came up, ${machines.takenBack} reclaimed, ${machines.died} failed`,
     `state service: ${state.requests} requests, ${state.changes} changes, ${state.refused} refused by the rate limit`,
     `controller starts: ${result.controllerStarts}`,
     breaches.length === 0 ? 'rules: all kept' : `rules: ${breaches.length} broken`,
--- a/packages/region/src/scale/fault-injection.ts
+++ b/packages/region/src/scale/fault-injection.ts
@@ -46,7 +46,7 @@
   readonly fleet: HollowFleet;
   readonly controllers: ControllerProcesses;
   readonly runtime: Runtime;
-  readonly rng: RandomStream;
+  readonly random: RandomStream;
 }
 
 /** Returns the names of the controllers that a fault means; none if there is no leader now. */
@@ -60,14 +60,14 @@
 
 /** Begins a fault and schedules its end. A zone cut only disconnects the workers of the zone; its controllers stay reachable. */
 export function injectFault(fault: Fault, targets: FaultTargets): void {
-  const { day, parts, fleet, controllers, runtime, rng } = targets;
+  const { day, parts, fleet, controllers, runtime, random } = targets;
   const schedule = (seconds: number, action: () => void): void => void runtime.after(seconds * 1000, action);
   switch (fault.kind) {
     case 'machines_restart':
-      for (const { id } of chooseMachines(parts.cloud.up, rng, fault)) fleet.applyFault(id, 'restart', fault.down_s);
+      for (const { id } of chooseMachines(parts.cloud.up, random, fault)) fleet.applyFault(id, 'restart', fault.down_s);
       break;
     case 'machines_die':
-      for (const machine of chooseMachines(parts.cloud.up, rng, fault)) parts.cloud.failMachine(machine);
+      for (const machine of chooseMachines(parts.cloud.up, random, fault)) parts.cloud.failMachine(machine);
       break;
     case 'zone_cut': {
       const cutMachines = parts.cloud.up.filter(({ zone }) => zone === fault.zone);
--- a/packages/region/src/scale/hollow-workers.ts
+++ b/packages/region/src/scale/hollow-workers.ts
@@ -80,8 +80,8 @@
   }
 
   private configure(command: Extract<HollowCommand, { kind: 'configure' }>): void {
-    const rng = new RandomStream(command.seed, 'hollow gangs');
-    this.configuration = { ...command, gangBook: new GangCoordinator(this.runtime, rng, command.gangs) };
+    const random = new RandomStream(command.seed, 'hollow gangs');
+    this.configuration = { ...command, gangBook: new GangCoordinator(this.runtime, random, command.gangs) };
     this.channel.send({ kind: 'ready' });
   }
 
@@ -90,9 +90,9 @@
     if (!configuration) throw new Error('received a machine before the configuration');
     const { facts, controllers, gangBook: gangs, seed } = configuration;
     const machine = toMachine(hollowMachine);
-    const rng = new RandomStream(seed, `hollow ${hollowMachine.id}`);
+    const random = new RandomStream(seed, `hollow ${hollowMachine.id}`);
     const model = new WorkerModel(machine, {
-      ...{ runtime, watchdog: runtime, luck: rng, log, facts, controllers, jobs, gangs },
+      ...{ runtime, watchdog: runtime, luck: random, log, facts, controllers, jobs, gangs },
       watch: this.taskWatch,
       noticeS: () => null,
     });
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -237,7 +237,7 @@
       serveOn: { host: LOOPBACK_ADDRESS, port: ports[2 * i] ?? 0 },
       peerOn: { host: LOOPBACK_ADDRESS, port: ports[2 * i + 1] ?? 0 },
     }));
-    const rng = new RandomStream(day.seed, day.name);
+    const random = new RandomStream(day.seed, day.name);
     const fleet = new HollowFleet({
       ...{ day, seed: day.seed, processes: hollowProcesses, launch, runtime: this.runtime, failed: this.recordFailure },
       controllers: specs.map(({ name, serveOn }) => ({ name, at: serveOn })),
@@ -248,7 +248,7 @@
     await fleet.start();
     const place: HostProvider = { createHost: (name) => this.createMeteredHost(name), now: () => this.now() };
     const parts = new RegionParts({
-      ...{ day, random: rng, place, log, controllers: specs, note: () => undefined, hosts: fleet },
+      ...{ day, random, place, log, controllers: specs, logEvent: () => undefined, externalWorkers: fleet },
       observer: this.createObserver(fleet),
     });
     this.parts = parts;
@@ -268,7 +268,7 @@
     );
     parts.startUsers();
     for (const fault of day.troubles) {
-      const targets = { day, parts, fleet, controllers, runtime: this.runtime, rng: rng.fork('faults') };
+      const targets = { day, parts, fleet, controllers, runtime: this.runtime, random: random.fork('faults') };
       this.runtime.after(fault.at_s * 1000, () => injectFault(fault, targets));
     }
   }
--- a/packages/region/test/job-survival.test.ts
+++ b/packages/region/test/job-survival.test.ts
@@ -142,11 +142,11 @@
   const kinds = new Set(['machines_deaf', 'reports_again', 'machines_restart', 'controller_cut', 'controller_crash']);
   await fc.assert(
     fc.asyncProperty(fc.integer({ min: 0, max: 2 ** 30 }), async (seed) => {
-      const rng = new RandomStream(seed, 'left out');
+      const random = new RandomStream(seed, 'left out');
       const base = shortDay(150, [], seed);
       const drawn: Fault[] = [];
       while (drawn.length < 5) {
-        const fault = drawFault(rng, base);
+        const fault = drawFault(random, base);
         if (kinds.has(fault.kind) || drawn.length === 4) drawn.push(fault);
       }
       const region = new Region({ day: { ...base, troubles: drawn } });
--- a/packages/region/test/rule-checker.test.ts
+++ b/packages/region/test/rule-checker.test.ts
@@ -51,7 +51,7 @@
 });
 
 test('ran_twice: fencing that counts leases from the last answered report alone', async () => {
-  const { applyReport: take, applyAnswer: takeAnswer } = WorkerTracker.prototype;
+  const { applyReport, applyAnswer } = WorkerTracker.prototype;
   const countingReportsOnly = <A extends unknown[]>(original: (this: WorkerTracker, ...given: A) => MessageOutcome) =>
     function (this: WorkerTracker, ...given: A): MessageOutcome {
       const before = this.lastAnswerAt;
@@ -64,10 +64,14 @@
     };
   const detectedSeeds: number[] = [];
   for (const seed of SEEDS) {
-    const rules = await withPatchedMethod(WorkerTracker.prototype, 'applyReport', countingReportsOnly(take), () =>
-      withPatchedMethod(WorkerTracker.prototype, 'applyAnswer', countingReportsOnly(takeAnswer), () =>
-        violatedRules(isolatedControllersNight(seed), noSabotage),
-      ),
+    const rules = await withPatchedMethod(
+      WorkerTracker.prototype,
+      'applyReport',
+      countingReportsOnly(applyReport),
+      () =>
+        withPatchedMethod(WorkerTracker.prototype, 'applyAnswer', countingReportsOnly(applyAnswer), () =>
+          violatedRules(isolatedControllersNight(seed), noSabotage),
+        ),
     );
     if (rules.includes('ran_twice')) detectedSeeds.push(seed);
   }
--- a/packages/trace/src/cli/command.ts
+++ b/packages/trace/src/cli/command.ts
@@ -87,7 +87,7 @@
     if (flags.forS !== undefined) setTimeout(stop, flags.forS * 1000);
   });
   const unlock = lockDirectory(flags.out);
-  const { store, rowsById: rowsById } = await TraceStore.open(diskFiles(flags.out), systemRuntime.wall());
+  const { store, rowsById } = await TraceStore.open(diskFiles(flags.out), systemRuntime.wall());
   const options = {
     pollMs: flags.pollS * 1000,
     segmentRows: flags.segmentRows,
--- a/packages/trace/src/read-trace.ts
+++ b/packages/trace/src/read-trace.ts
@@ -69,7 +69,7 @@
     rows,
     gaps: [...manifest.gaps, ...unreadGaps(manifest.cursors, manifest.recordedToMs, READ_TOLERANCE_MS)],
     nodes: manifest.cursors.map(({ node }) => node),
-    duplicates: duplicates,
+    duplicates,
   };
 }
 
--- a/packages/trace/src/store/trace-store.ts
+++ b/packages/trace/src/store/trace-store.ts
@@ -96,7 +96,7 @@
     // The manifest is written before the first segment: if the writer were killed between the two in the other order,
     // the trace would look like one whose manifest was lost.
     if (!manifest) await store.commitManifest(emptyManifest);
-    return { store, rowsById: rowsById };
+    return { store, rowsById };
   }
 
   /** The manifest as last written. */
--- a/packages/trace/test/store.test.ts
+++ b/packages/trace/test/store.test.ts
@@ -25,7 +25,7 @@
 
 /** Stands in for a recorder: appends the events after the stored cursor, up to `last`, four to a segment. */
 async function recordUpTo(files: MemoryFiles, last: number): Promise<void> {
-  const { store, rowsById: rowsById } = await TraceStore.open(files, 0);
+  const { store, rowsById } = await TraceStore.open(files, 0);
   let after = store.manifest.cursors[0]?.after ?? 0;
   while (after < last) {
     const upTo = Math.min(last, after + 4);
--- a/packages/whatif/src/cli/command.ts
+++ b/packages/whatif/src/cli/command.ts
@@ -98,8 +98,8 @@
   const tookS = (performance.now() - startedAtMs) / 1000;
   const errors = replayErrors(scenario, jobOutcomes(night), played.outcomes);
   if (flags.json) {
-    const { engine: name, seed } = flags;
-    const report = { engine: name, seed, free, nightS: night.lengthS, tookS, gaps: trace.gaps, ...errors };
+    const { engine, seed } = flags;
+    const report = { engine, seed, free, nightS: night.lengthS, tookS, gaps: trace.gaps, ...errors };
     process.stdout.write(`${JSON.stringify(report)}\n`);
     return;
   }
--- a/packages/whatif/src/forecast/forecast.ts
+++ b/packages/whatif/src/forecast/forecast.ts
@@ -150,7 +150,7 @@
   const [firstUnchanged, firstPlanned] = [unchangedRuns[0], plannedRuns[0]];
   if (!firstUnchanged || !firstPlanned) throw new Error('a forecast needs at least one seed');
   const jobs = planned.jobs.map((job): JobForecast => {
-    const { spec, atS, workS: work, changed } = job;
+    const { spec, atS, workS, changed } = job;
     const [unchangedFinishesS, plannedFinishesS] = [
       finishTimesS(unchangedRuns, spec.id),
       finishTimesS(plannedRuns, spec.id),
@@ -175,7 +175,7 @@
         spec.kind !== 'service' &&
         finishes &&
         isSignificant(laterS, unchangedFinishesS, (unchangedS ?? atS) - atS),
-      estimated: spec.kind !== 'service' && (changed === 'added' || work.size < expectedEntries),
+      estimated: spec.kind !== 'service' && (changed === 'added' || workS.size < expectedEntries),
       decided: firstPlanned.outcomes.get(spec.id)?.decided ?? ['it never started'],
       decidedUnchanged: recordedJob?.decided ?? [],
     };
--- a/packages/whatif/src/replay/controller-replay.ts
+++ b/packages/whatif/src/replay/controller-replay.ts
@@ -117,11 +117,11 @@
   play: () => Promise<void>,
   pollMs = 500,
 ): Promise<void> {
-  const { store, rowsById: ids } = await TraceStore.open(files, region.dayStartWallMs);
+  const { store, rowsById } = await TraceStore.open(files, region.dayStartWallMs);
   const runtime = region.createExternalProcess('recorder');
   const sources = region.controllers.map(({ spec }) => ({ node: spec.name, at: spec.serveOn }));
   const options = { pollMs, segmentRows: 50_000, segmentMs: 60_000, keep: { ageMs: null, bytes: null } };
-  const recorder = new Recorder(store, ids, sources, options, runtime, pino({ level: 'silent' }));
+  const recorder = new Recorder(store, rowsById, sources, options, runtime, pino({ level: 'silent' }));
   recorder.start();
   await play();
   let closed = false;
--- a/packages/whatif/src/replay/scripted-inputs.ts
+++ b/packages/whatif/src/replay/scripted-inputs.ts
@@ -45,16 +45,16 @@
  * class.
  */
 export function runTimesOf(job: ScenarioJob, scenario: Scenario, random: RandomStream): (index: number) => number {
-  const { spec, workS: work } = job;
-  const { runTimeModel: fits } = scenario.runs;
+  const { spec, workS } = job;
+  const { runTimeModel } = scenario.runs;
   const jobRandom = random.fork(spec.id);
-  const typicalS = fits.sampleJobRunS(spec, () => jobRandom.next());
+  const typicalS = runTimeModel.sampleJobRunS(spec, () => jobRandom.next());
   const drawn = new Map<number, number>();
   return (index) => {
     const task = spec.kind === 'gang' ? 0 : index;
-    const known = work.get(task) ?? drawn.get(task);
+    const known = workS.get(task) ?? drawn.get(task);
     if (known !== undefined) return known;
-    const run = fits.sampleTaskRunS(spec, typicalS, () => jobRandom.fork(String(task)).next());
+    const run = runTimeModel.sampleTaskRunS(spec, typicalS, () => jobRandom.fork(String(task)).next());
     drawn.set(task, run);
     return run;
   };
--- a/packages/whatif/test/plan.test.ts
+++ b/packages/whatif/test/plan.test.ts
@@ -73,7 +73,7 @@
   const scaled = apply('[[scale]]\nclass = "porting"\njobs = 2\ntasks = 0.5\nrun = 2');
   const portingJobs = scaled.jobs.filter(({ spec }) => spec.jobClass === 'porting');
   assert.deepEqual(
-    portingJobs.map(({ spec, workS: work }) => [spec.id, spec.tasks, Math.round(work.get(0) ?? 0)]),
+    portingJobs.map(({ spec, workS }) => [spec.id, spec.tasks, Math.round(workS.get(0) ?? 0)]),
     [
       ['j-a', 3, 60],
       ['j-a-more-1', 3, 60],
