--- a/packages/region/src/controller-settings.ts
+++ b/packages/region/src/controller-settings.ts
@@ -9,11 +9,11 @@
 /** The objectives of all job classes of a day, as the settings file lists them. */
 const objectives = (day: SimulationScenario): unknown[] =>
   day.classes.flatMap((c) =>
-    c.aims.map((aim) => ({
-      kind: aim.kind,
+    c.aims.map((objective) => ({
+      kind: objective.kind,
       class: c.name,
-      ...('within_s' in aim ? { within_s: aim.within_s } : {}),
-      share: aim.share,
+      ...('within_s' in objective ? { within_s: objective.within_s } : {}),
+      share: objective.share,
     })),
   );
 
--- a/packages/region/src/job-statistics.ts
+++ b/packages/region/src/job-statistics.ts
@@ -153,8 +153,8 @@
   /** The time span in which a job's uptime counts: from the objective's start allowance to the user's cancellation. */
   private uptimeWindow({ view }: JobHistory): { from: number; to: number } {
     const jobClass = this.day.classes.find(({ name }) => name === view.job.spec.jobclass);
-    const aim = jobClass?.aims.find(({ kind }) => kind === 'up');
-    const withinMs = aim && 'within_s' in aim ? aim.within_s * 1000 : 0;
+    const objective = jobClass?.aims.find(({ kind }) => kind === 'up');
+    const withinMs = objective && 'within_s' in objective ? objective.within_s * 1000 : 0;
     return { from: view.submittedAt + withinMs, to: view.cancelAskedAt ?? Number.POSITIVE_INFINITY };
   }
 
@@ -204,7 +204,7 @@
       finishS: quantiles(finishes),
       served: servedShare(this.eligible(entries)),
       largestServed: servedShare(this.largest(this.eligible(entries))),
-      aims: c.aims.map((aim) => ({ aim, share: this.share(aim, entries) })),
+      aims: c.aims.map((objective) => ({ aim: objective, share: this.share(objective, entries) })),
     };
   }
 
@@ -212,25 +212,25 @@
    * The share that met an objective; null when nothing counts. Except for uptime, a job counts only if its time limit
    * passed before the day ended and its user did not cancel it before that limit.
    */
-  private share(aim: Objective, all: readonly JobHistory[]): number | null {
+  private share(objective: Objective, all: readonly JobHistory[]): number | null {
     const end = this.now();
     let [met, counted] = [0, 0];
     for (const entry of all) {
       const { job, cancelAskedAt } = entry.view;
-      const from = aim.kind === 'deadline' ? entry.view.submittedAt : this.startableAt(entry);
+      const from = objective.kind === 'deadline' ? entry.view.submittedAt : this.startableAt(entry);
       // A dependency is not done yet, so the job's time limit has not started.
       if (from === null) continue;
       if (job.mistaken || entry.view.refused) continue;
-      if (aim.kind === 'up') {
+      if (objective.kind === 'up') {
         const { from, to } = this.uptimeWindow(entry);
         counted += Math.max(0, Math.min(to, end) - from) * job.spec.pieces;
         met += entry.uptimeMs;
         continue;
       }
-      const withinMs = (aim.kind === 'deadline' ? (job.spec.due_s ?? 0) : aim.within_s) * 1000;
+      const withinMs = (objective.kind === 'deadline' ? (job.spec.due_s ?? 0) : objective.within_s) * 1000;
       const dueAt = from + withinMs;
       if (dueAt > end || (cancelAskedAt !== null && cancelAskedAt < dueAt)) continue;
-      if (aim.kind === 'wait') {
+      if (objective.kind === 'wait') {
         counted += job.spec.pieces;
         for (const at of entry.firstStartAt.values()) if (at <= dueAt) met += 1;
       } else {
--- a/packages/region/src/report/table.ts
+++ b/packages/region/src/report/table.ts
@@ -7,7 +7,7 @@
 /** Formats quantiles as `p50 / p95 / p99`. */
 export const formatQuantiles = (q: Quantiles | null): string => (q ? `${q.p50} / ${q.p95} / ${q.p99}` : '-');
 
-/** Formats an aim of a class, and whether it was met. */
+/** Formats an objective of a class, and whether it was met. */
 export function formatAim({ aim, share }: AimResult): string {
   const name =
     aim.kind === 'deadline' ? 'deadline' : `${aim.kind} ${aim.kind === 'up' ? 'from' : 'within'} ${aim.within_s} s`;
--- a/packages/region/src/scale/run.ts
+++ b/packages/region/src/scale/run.ts
@@ -164,7 +164,7 @@
     this.startedAtWallMs = this.runtime.wall();
     this.events = new OrderedEvents(EVENT_REORDER_DELAY_MS, (event, atMs) => this.deliverEvent(event, atMs));
     const aims = day.classes.flatMap(({ name, aims: all }) =>
-      all.flatMap((aim) => (aim.kind === 'wait' ? [[name, aim.within_s * 1000] as const] : [])),
+      all.flatMap((objective) => (objective.kind === 'wait' ? [[name, objective.within_s * 1000] as const] : [])),
     );
     this.meter = new StartMeter(() => this.now(), new Map(aims));
     this.usage = new UsageMeter(
--- a/packages/region/src/scale/start-meter.ts
+++ b/packages/region/src/scale/start-meter.ts
@@ -43,7 +43,7 @@
   /** Time from submission to the first start of each task, in milliseconds. */
   readonly total: Percentiles | null;
   readonly phases: Readonly<Record<StartPhase, Percentiles | null>>;
-  /** Share of the tasks that started within the aim of the class; null if the class has no aim or no job has counted yet. */
+  /** Share of the tasks that started within the objective of the class; null if the class has no objective or no job has counted yet. */
   readonly withinAim: number | null;
 }
 
@@ -69,7 +69,7 @@
   private readonly startedTasks = new Set<string>();
   private readonly runningTasks = new Set<string>();
   private readonly histogramsByClass = new Map<string, ClassHistograms>();
-  /** Number of tasks of each job that started within the aim of its class. */
+  /** Number of tasks of each job that started within the objective of its class. */
   private readonly startsWithinAim = new Map<string, number>();
   /** Only jobs that are submitted at this true time in milliseconds or later are measured. */
   measuredFrom = Number.POSITIVE_INFINITY;
@@ -157,7 +157,7 @@
     recordDuration(phases.gather, nowMs - pendingStart.enteredAt);
   }
 
-  /** Returns the start delays by class. Jobs whose aim has not passed yet are left out of the share within the aim. */
+  /** Returns the start delays by class. Jobs whose objective has not passed yet are left out of the share within the objective. */
   waits(): StartWaits[] {
     return [...this.histogramsByClass].map(([jobClass, { aimMs, total, phases }]) => ({
       jobClass,
@@ -172,7 +172,7 @@
     }));
   }
 
-  /** Share of due tasks that started within the aim. Refused jobs, and jobs cancelled before the aim passed, do not count. */
+  /** Share of due tasks that started within the objective. Refused jobs, and jobs cancelled before the objective passed, do not count. */
   private shareWithinAim(jobClass: string, aimMs: number): number | null {
     const end = this.now();
     let [due, met] = [0, 0];
--- a/packages/region/src/scenario/parse.ts
+++ b/packages/region/src/scenario/parse.ts
@@ -92,13 +92,13 @@
     const inPipeline = day.pipelines.some((p) => p.stages.some((stage) => stage.class === c.name));
     if (c.initial === 0 && c.per_minute === 0 && !inPipeline)
       return { path: ['classes', i], message: 'no job of this class ever arrives: initial and per_minute are 0' };
-    for (const [j, aim] of c.aims.entries()) {
-      if ((aim.kind === 'up') !== (c.shape === 'service') && aim.kind !== 'wait')
+    for (const [j, objective] of c.aims.entries()) {
+      if ((objective.kind === 'up') !== (c.shape === 'service') && objective.kind !== 'wait')
         return {
           path: ['classes', i, 'aims', j],
-          message: `a job of shape ${c.shape} cannot have an aim of kind ${aim.kind}`,
+          message: `a job of shape ${c.shape} cannot have an objective of kind ${objective.kind}`,
         };
-      if (aim.kind === 'deadline' && c.deadline_factor === undefined)
+      if (objective.kind === 'deadline' && c.deadline_factor === undefined)
         return { path: ['classes', i, 'aims', j], message: 'the class has no deadline_factor' };
     }
   }
--- a/packages/trace/test/trail-cursor.test.ts
+++ b/packages/trace/test/trail-cursor.test.ts
@@ -16,14 +16,14 @@
 
 /** A controller that keeps only its last eight events and can restart. */
 class SimulatedController {
-  private lives = 0;
+  private incarnations = 0;
   private clockMs = 1000;
   private trail = this.newTrail();
   /** Number of events of each incarnation. */
   readonly eventCounts = new Map<string, number>();
 
   private newTrail(): Trail {
-    this.lives += 1;
+    this.incarnations += 1;
     return new Trail(8, { wall: () => wallMillis(this.clockMs) });
   }
 
@@ -31,7 +31,7 @@
     for (let i = 0; i < count; i++) {
       this.clockMs += 10;
       this.trail.record({ kind: 'claimed', shard: shardName('s') });
-      this.eventCounts.set(`life-${this.lives}`, (this.eventCounts.get(`life-${this.lives}`) ?? 0) + 1);
+      this.eventCounts.set(`life-${this.incarnations}`, (this.eventCounts.get(`life-${this.incarnations}`) ?? 0) + 1);
     }
   }
 
@@ -40,7 +40,7 @@
   }
 
   page(after: number): Parameters<typeof applyPage>[1] {
-    return { node: 'n', incarnation: `life-${this.lives}`, ...this.trail.page(after, 5) };
+    return { node: 'n', incarnation: `life-${this.incarnations}`, ...this.trail.page(after, 5) };
   }
 }
 
--- a/packages/whatif/src/forecast/report.ts
+++ b/packages/whatif/src/forecast/report.ts
@@ -54,8 +54,8 @@
 /** Returns one line per objective with the share that met it: recorded > unchanged > planned. */
 const objectiveLines = ([, recorded, unchanged, planned]: Row): string[] =>
   [...new Set([recorded, planned].flatMap((f) => Object.keys(f?.aims ?? {})))].map(
-    (aim) =>
-      `${aim}: ${percent(recorded?.aims[aim])} > ${percent(unchanged?.aims[aim])} > ${percent(planned?.aims[aim])}`,
+    (objective) =>
+      `${objective}: ${percent(recorded?.aims[objective])} > ${percent(unchanged?.aims[objective])} > ${percent(planned?.aims[objective])}`,
   );
 const percentilePair = (q: OutcomeSummary['finishS'] | undefined): string => (q ? `${q.p50} / ${q.p95}` : '-');
 /** Formats a row as recorded > unchanged > planned. */
--- a/packages/whatif/src/measure/measure.ts
+++ b/packages/whatif/src/measure/measure.ts
@@ -31,8 +31,8 @@
   /** Replay with its own decisions, by whole controllers. */
   readonly whole: ReplayErrors;
   /**
-   * Largest difference between recorded and replayed share of jobs that meet an aim, over all classes and aims, in
-   * percentage points.
+   * Largest difference between recorded and replayed share of jobs that meet an objective, over all classes and
+   * objectives, in percentage points.
    */
   readonly aimsOff: Readonly<Record<'followed' | 'decisions' | 'whole', number>>;
 }
@@ -46,8 +46,8 @@
   const playedClasses = byClass(played);
   let largest = 0;
   for (const [name, { aims }] of byClass(recorded))
-    for (const [aim, share] of Object.entries(aims))
-      largest = Math.max(largest, Math.abs(share - (playedClasses.get(name)?.aims[aim] ?? 0)) * 100);
+    for (const [objective, share] of Object.entries(aims))
+      largest = Math.max(largest, Math.abs(share - (playedClasses.get(name)?.aims[objective] ?? 0)) * 100);
   return Math.round(largest * 10) / 10;
 }
 
--- a/packages/whatif/src/plan/plan-schema.ts
+++ b/packages/whatif/src/plan/plan-schema.ts
@@ -97,7 +97,7 @@
   ),
   /** Makes a machine die at the given time. */
   kill: v.optional(v.array(v.strictObject({ machine: nonEmptyText, at: moment })), []),
-  /** Keeps a machine alive that died or was taken back by the cloud. */
+  /** Keeps a machine alive that died or was reclaimed by the cloud. */
   spare: v.optional(v.array(v.strictObject({ machine: nonEmptyText })), []),
   /** Overrides tunable settings of the controllers. */
   tunables: v.optional(
