--- a/packages/region/src/measure/speed.ts
+++ b/packages/region/src/measure/speed.ts
@@ -16,7 +16,7 @@
   readonly residentMb: number;
 }
 
-/** Measures how fast a fleet of a given size is simulated from its start, without troubles. */
+/** Measures how fast a fleet of a given size is simulated from its start, without faults. */
 export async function measureSpeed(
   machines: number,
   simulatedS: number,
@@ -28,11 +28,11 @@
   await region.play();
   const tookS = (clockMs() - startedMs) / 1000;
   const residentMb = Math.round(residentBytes() / 1e6);
-  const { executedCount: played } = region.world;
+  const { executedCount } = region.world;
   region.close();
   return {
     ...{ machines, simulatedS, tookS, residentMb },
     timesRealTime: simulatedS / tookS,
-    happeningsPerSimulatedS: Math.round(played / simulatedS),
+    happeningsPerSimulatedS: Math.round(executedCount / simulatedS),
   };
 }
