--- a/packages/region/src/scale/start-meter.ts
+++ b/packages/region/src/scale/start-meter.ts
@@ -43,7 +43,10 @@
   /** Time from submission to the first start of each task, in milliseconds. */
   readonly total: Percentiles | null;
   readonly phases: Readonly<Record<StartPhase, Percentiles | null>>;
-  /** Share of the tasks that started within the objective of the class; null if the class has no objective or no job has counted yet. */
+  /**
+   * Share of the tasks that started within the objective of the class; null if the class has no objective or no job has
+   * counted yet.
+   */
   readonly withinAim: number | null;
 }
 
