--- a/packages/whatif/src/night/outcome.ts
+++ b/packages/whatif/src/night/outcome.ts
@@ -30,7 +30,7 @@
   const failed = job.attempts.filter((a) => a.why === 'error').length;
   if (lost > 0) causes.push(`machine died under ${lost} of its tasks`);
   if (stoppedFor('preempted') > 0) causes.push(`${stoppedFor('preempted')} tasks gave way to others`);
-  if (stoppedFor('notice') > 0) causes.push(`${stoppedFor('notice')} tasks left machines that were reclaimed`);
+  if (stoppedFor('notice') > 0) causes.push(`${stoppedFor('notice')} tasks left machines that were taken back`);
   if (stoppedFor('drain') > 0) causes.push(`${stoppedFor('drain')} tasks left drained machines`);
   if (stoppedFor('straggler') > 0) causes.push(`${stoppedFor('straggler')} stragglers were restarted`);
   if (failed > 0) causes.push(`${failed} tasks failed`);
