--- a/packages/region/src/disposable-runtime.ts
+++ b/packages/region/src/disposable-runtime.ts
@@ -62,7 +62,7 @@
   }
 }
 
-/** The system runtime with traffic counters. `end` cancels every timer and closes every listener and socket at once. */
+/** The system runtime with traffic counters. `dispose` cancels every timer and closes every listener and socket at once. */
 export class DisposableRuntime implements Runtime {
   private readonly timers = new Set<Timer>();
   private readonly opened = new TrafficCounter();
@@ -81,7 +81,7 @@
     return { opened: this.opened.total, accepted: this.accepted.total };
   }
 
-  /** Registers a timer so that `end` cancels it. */
+  /** Registers a timer so that `dispose` cancels it. */
   private track(timer: Timer): Timer {
     const tracked = {
       cancel: () => {
@@ -116,7 +116,7 @@
     return this.trackSocket(systemRuntime.connect(to), this.opened);
   }
 
-  /** Counts a socket and registers it for `end`; destroys it at once if the runtime has already ended. */
+  /** Counts a socket and registers it for `dispose`; destroys it at once if the runtime has already ended. */
   private trackSocket(socket: Connection, counter: TrafficCounter): Connection {
     counter.add(socket);
     if (this.ended) socket.destroy();
--- a/packages/region/src/scale/messages.ts
+++ b/packages/region/src/scale/messages.ts
@@ -38,7 +38,7 @@
   | { readonly kind: 'fault'; readonly fault: WorkerFault; readonly machine: string; readonly downS: number }
   | { readonly kind: 'measure'; readonly id: number };
 
-/** Kind of a task event; the meanings are those of `TaskWatch`. */
+/** Kind of a task event; the meanings are those of `TaskObserver`. */
 export type TaskEventKind = 'ordered' | 'entered' | 'running' | 'left';
 
 /** A change of a task's true state. `atMs` is the wall-clock time. */
--- a/test/threshold.test.ts
+++ b/test/threshold.test.ts
@@ -61,7 +61,7 @@
   );
 });
 
-/** Reference implementation of flagTasks in plain steps. */
+/** Reference implementation of flagStragglers in plain steps. */
 function referenceFlags(job: JobSnapshot, r: number): number[] {
   const t = DEFAULT_TUNABLES;
   const sorted = [...job.finishedRunsS].sort((a, b) => a - b);
