--- a/packages/region/src/checker/rule-checker.ts
+++ b/packages/region/src/checker/rule-checker.ts
@@ -98,7 +98,7 @@
   /** Task starts after the user was told that the job is cancelled, and the longest time between the two in milliseconds. */
   readonly startsAfterCancel = { count: 0, latestMs: 0 };
   private readonly waitingDetector = new WaitingDetector(({ spec }) =>
-    this.reportViolation('left_waiting', `${spec.ref} is pending although a machine has free capacity for it`),
+    this.reportViolation('left_waiting', `${spec.ref} waits, and a machine has room for it`),
   );
 
   constructor(
@@ -231,7 +231,7 @@
   pollAnswered(ref: string, status: number | null, phase: unknown, asked: ReportedState): void {
     const reported = this.reportedJobs.get(ref);
     if (!reported) {
-      if (status === 200) this.reportViolation('invented', `a poll for ${ref} gets 200, but no user submitted it`);
+      if (status === 200) this.reportViolation('invented', `${ref} is answered, and nobody submitted it`);
       return;
     }
     const answered = status === 200 || status === 404;
@@ -247,9 +247,9 @@
       const silentMs = this.now() - reported.lastAnswerAtMs;
       const { quietFrom } = this;
       if (quietFrom !== null && this.now() - Math.max(reported.lastAnswerAtMs, quietFrom) > FORGOTTEN_AFTER_FAULTS_MS)
-        this.reportForgotten(reported, 'no poll is answered after the last fault has ended');
+        this.reportForgotten(reported, 'no question is answered after all troubles are over');
       if (silentMs > FORGOTTEN_AFTER_MS && reported.consecutiveFailedPolls >= 5 && this.mostPollsAnswered())
-        this.reportForgotten(reported, 'every poll fails while most polls of other jobs are answered');
+        this.reportForgotten(reported, 'every poll fails while most others get answers');
     }
   }
 
@@ -262,7 +262,7 @@
     const accepted = status === 200 || status === 201;
     if (!this.judgesOdd) return;
     if (accepted || ((status === 400 || status === 422 || status === 404) && status !== expectedStatus))
-      this.reportViolation('odd_answer', `${request} gets ${status} instead of ${expectedStatus}`);
+      this.reportViolation('odd_answer', `${request} is answered ${status}, not ${expectedStatus}`);
   }
 
   cancelAnswered(ref: string, status: number, phase: unknown, asked: ReportedState): void {
@@ -282,7 +282,7 @@
       for (const [index, machine] of siblings ?? [])
         this.reportViolation(
           'ran_cancelled',
-          `${ref}/${index} is still on ${machine.id} ${this.cancelDeadlineS} s after its user was told that it is cancelled`,
+          `${ref}/${index} is still on ${machine.id} ${this.cancelDeadlineS} s after`,
         );
     });
   }
@@ -293,31 +293,25 @@
     // The answer must not be older than what any node had reported before the request was sent. A request that was
     // already in flight at that time may get either answer.
     if (asked.final !== null && phase !== asked.final)
-      this.reportViolation(
-        'went_back',
-        `${ref} was reported as ${asked.final} and is now reported as ${String(phase)}`,
-      );
+      this.reportViolation('went_back', `${ref} was ${asked.final} and is now ${String(phase)}`);
     else if (
       reported.finalPhase !== null &&
       (phase === 'done' || phase === 'withdrawn') &&
       phase !== reported.finalPhase
     )
-      this.reportViolation('went_back', `${ref} is reported both as ${reported.finalPhase} and as ${phase}`);
+      this.reportViolation('went_back', `${ref} is called both ${reported.finalPhase} and ${phase}`);
     if (phase === 'done' && !reported.job.complete)
-      this.reportViolation('not_done', `${ref} is reported as done before its tasks are done`);
+      this.reportViolation('not_done', `${ref} is called done before its tasks are`);
     const cancelled = phase === 'done' ? [] : this.cancelledDependencies(reported.job);
     if ((phase === 'pending' || phase === 'running') && reported.accepted) {
       const overdue = cancelled.find(
         ({ cancelReportedAtMs: atMs }) => atMs !== null && this.now() > atMs + this.cancelDeadlineS * 1000,
       );
       if (overdue)
-        this.reportViolation(
-          'orphaned',
-          `${ref} is reported as ${phase} although ${overdue.job.spec.ref}, on which it depends, is cancelled`,
-        );
+        this.reportViolation('orphaned', `${ref} is called ${phase}, and ${overdue.job.spec.ref} is cancelled`);
     }
     if (phase === 'withdrawn' && !reported.cancelRequested && cancelled.length === 0)
-      this.reportViolation('went_back', `${ref} is reported as cancelled, but its user did not request it`);
+      this.reportViolation('went_back', `${ref} is cancelled, not by its user`);
     if (reported.finalPhase === null && (phase === 'done' || phase === 'withdrawn')) reported.finalPhase = phase;
     if (phase === 'withdrawn') this.onCancelReported(reported);
   }
--- a/packages/region/src/models/adversarial-users.ts
+++ b/packages/region/src/models/adversarial-users.ts
@@ -168,7 +168,7 @@
           { owner: 'no-such-team' },
         ]);
         void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, { ...spec, ...impossible }).then((answer) =>
-          checker.invalidSubmissionAnswered(`a submission that can never run (${spec.ref})`, 422, statusOf(answer)),
+          checker.invalidSubmissionAnswered(`${spec.ref} that can never run`, 422, statusOf(answer)),
         );
         return;
       }
@@ -177,7 +177,7 @@
         const field = random.pickOne(entries.map(([name]) => name).filter((name) => !NULLABLE_FIELDS.has(name)));
         const spec = Object.fromEntries(entries.filter(([name]) => name !== field));
         void this.callNode(node, 'POST', '/v1/jobs', SUBMIT_TIMEOUT_MS, spec).then((answer) =>
-          checker.invalidSubmissionAnswered(`a submission without ${field ?? ''}`, 400, statusOf(answer)),
+          checker.invalidSubmissionAnswered(`one without ${field ?? ''}`, 400, statusOf(answer)),
         );
       }
     }
